--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -4,13 +4,13 @@
 //! clock: bytes and times are arguments.
 //!
 //! ```
-//! use marldeal_bodies::{Budget, Held};
+//! use marldeal_bodies::{Budget, BufferedBody};
 //!
 //! let budget = Budget::new(64 << 10);
-//! let mut body = Held::new(&budget, Some(5));
+//! let mut body = BufferedBody::new(&budget, Some(5));
 //! assert!(body.push(b"hello"));
 //! assert_eq!((body.len(), body.blocks().concat()), (5, b"hello".to_vec()));
-//! let mut second = Held::new(&budget, None);
+//! let mut second = BufferedBody::new(&budget, None);
 //! assert!(!second.push(&[0; 64 << 10]), "no room beside the first");
 //! drop(body);
 //! assert!(second.push(&[0; 64 << 10]));
@@ -26,33 +26,33 @@
 /// Bytes that may be held at once.
 #[derive(Debug)]
 pub struct Budget {
-    most: Cell<usize>,
+    max_bytes: Cell<usize>,
     held: Cell<usize>,
 }
 
 impl Budget {
     /// So many bytes.
     pub fn new(most: usize) -> Rc<Budget> {
-        Rc::new(Budget { most: Cell::new(most), held: Cell::new(0) })
+        Rc::new(Budget { max_bytes: Cell::new(most), held: Cell::new(0) })
     }
 
     /// Bytes held now.
-    pub fn held(&self) -> usize {
+    pub fn used_bytes(&self) -> usize {
         self.held.get()
     }
 
     /// Most bytes that may be held.
-    pub fn most(&self) -> usize {
-        self.most.get()
+    pub fn max_bytes(&self) -> usize {
+        self.max_bytes.get()
     }
 
     /// Another bound from now on. What is held beyond it stays until it is dropped.
-    pub fn set_most(&self, most: usize) {
-        self.most.set(most);
+    pub fn set_max_bytes(&self, most: usize) {
+        self.max_bytes.set(most);
     }
 
     fn take(&self, bytes: usize) -> bool {
-        let fits = self.held.get() + bytes <= self.most.get();
+        let fits = self.held.get() + bytes <= self.max_bytes.get();
         if fits {
             self.held.set(self.held.get() + bytes);
         }
@@ -67,7 +67,7 @@
 
 /// A body that is held, in blocks. Handles on it are cheap to clone.
 #[derive(Debug)]
-pub struct Held {
+pub struct BufferedBody {
     budget: Rc<Budget>,
     taken: usize,
     blocks: Vec<Bytes>,
@@ -77,10 +77,17 @@
     told: Option<usize>,
 }
 
-impl Held {
+impl BufferedBody {
     /// Nothing yet, of `told` bytes in all if that is known.
-    pub fn new(budget: &Rc<Budget>, told: Option<usize>) -> Held {
-        Held { budget: budget.clone(), taken: 0, blocks: Vec::new(), open: BytesMut::new(), length: 0, told }
+    pub fn new(budget: &Rc<Budget>, told: Option<usize>) -> BufferedBody {
+        BufferedBody {
+            budget: budget.clone(),
+            taken: 0,
+            blocks: Vec::new(),
+            open: BytesMut::new(),
+            length: 0,
+            told,
+        }
     }
 
     /// Holds more bytes; false, and nothing is held of them, if the budget has no room or this body's part is full.
@@ -91,7 +98,7 @@
             // Small bodies take what they are; large ones whole blocks.
             let still = self.told.map_or(0, |told| told.saturating_sub(self.length + room));
             let takes = if still >= more { still.min(BLOCK).max(more) } else { more.max(self.next_block()) };
-            let part = (self.budget.most() / MOST_PART).max(BLOCK);
+            let part = (self.budget.max_bytes() / MOST_PART).max(BLOCK);
             if self.taken + takes > part || !self.budget.take(takes) {
                 return false;
             }
@@ -136,7 +143,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for BufferedBody {
     fn drop(&mut self) {
         self.budget.held.set(self.budget.held.get() - self.taken);
     }
@@ -144,17 +151,17 @@
 
 /// The progress that is asked of a sender: so much time to begin with, and more for what it has sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct MinDataRate {
     /// Milliseconds to spare.
     pub grace_ms: f64,
     /// Bytes a second at least.
-    pub bytes_a_s: f64,
+    pub bytes_per_s: f64,
 }
 
-impl Pace {
+impl MinDataRate {
     /// Until when, in milliseconds after it began, a sender of so many bytes is waited for.
-    pub fn until_ms(&self, sent: u64) -> f64 {
-        self.grace_ms + sent as f64 * 1000.0 / self.bytes_a_s
+    pub fn deadline_ms(&self, sent: u64) -> f64 {
+        self.grace_ms + sent as f64 * 1000.0 / self.bytes_per_s
     }
 }
 
@@ -166,25 +173,25 @@
     #[test]
     fn a_small_body_of_known_length_takes_no_more_than_it_is() {
         let budget = Budget::new(1 << 20);
-        let mut body = Held::new(&budget, Some(212));
+        let mut body = BufferedBody::new(&budget, Some(212));
         assert!(body.push(&[1; 100]) && body.push(&[1; 112]));
-        assert_eq!((budget.held(), body.blocks().len()), (212, 1));
+        assert_eq!((budget.used_bytes(), body.blocks().len()), (212, 1));
     }
 
     #[test]
     fn one_body_cannot_take_the_whole_budget() {
         let budget = Budget::new(8 << 20);
-        let mut body = Held::new(&budget, None);
+        let mut body = BufferedBody::new(&budget, None);
         let held = (0..1000).take_while(|_| body.push(&[0; 16 << 10])).count() * (16 << 10);
         assert!((900 << 10..=1 << 20).contains(&held), "{held}");
-        let mut other = Held::new(&budget, None);
+        let mut other = BufferedBody::new(&budget, None);
         assert!(other.push(&[0; 1000]));
     }
 
     #[test]
     fn a_sender_gets_more_time_with_what_it_sends() {
-        let pace = Pace { grace_ms: 2400.0, bytes_a_s: 64_000.0 };
-        assert_eq!((pace.until_ms(0), pace.until_ms(128_000)), (2400.0, 4400.0));
+        let pace = MinDataRate { grace_ms: 2400.0, bytes_per_s: 64_000.0 };
+        assert_eq!((pace.deadline_ms(0), pace.deadline_ms(128_000)), (2400.0, 4400.0));
     }
 
     proptest! {
@@ -197,7 +204,7 @@
             told in prop::option::of(0usize..200_000),
         ) {
             let budget = Budget::new(most);
-            let mut bodies: Vec<(Held, Vec<u8>)> = (0..3).map(|_| (Held::new(&budget, told), Vec::new())).collect();
+            let mut bodies: Vec<(BufferedBody, Vec<u8>)> = (0..3).map(|_| (BufferedBody::new(&budget, told), Vec::new())).collect();
             for (n, (which, length)) in pieces.into_iter().enumerate() {
                 let (held, truth) = &mut bodies[which];
                 let piece = vec![n as u8; length];
@@ -207,13 +214,13 @@
                 } else {
                     prop_assert_eq!(held.len(), before);
                 }
-                prop_assert!(budget.held() <= most);
+                prop_assert!(budget.used_bytes() <= most);
             }
             for (held, truth) in &mut bodies {
                 prop_assert_eq!(held.blocks().concat(), &truth[..]);
             }
             drop(bodies);
-            prop_assert_eq!(budget.held(), 0);
+            prop_assert_eq!(budget.used_bytes(), 0);
         }
     }
 }
--- a/crates/outcomes/src/lib.rs
+++ b/crates/outcomes/src/lib.rs
@@ -8,15 +8,15 @@
 //!
 //! ```
 //! use bytes::Bytes;
-//! use marldeal_outcomes::{Bounds, Found, Question, Record};
+//! use marldeal_outcomes::{Limits, Lookup, KeyedRequest, AnswerCache};
 //!
-//! let mut record = Record::new(Bounds::default());
-//! let asked = Question { place: b"/pickup-book/07", key: b"k-1", content: b"lot=7" };
-//! assert_eq!(record.find(0.0, &asked), Found::Nothing);
-//! record.keep(10.0, 8000.0, &asked, Bytes::from_static(b"booked"));
-//! assert_eq!(record.find(5000.0, &asked), Found::Answer(Bytes::from_static(b"booked")));
-//! assert_eq!(record.find(5000.0, &Question { content: b"lot=8", ..asked }), Found::Different);
-//! assert_eq!(record.find(8010.0, &asked), Found::Nothing);
+//! let mut record = AnswerCache::new(Limits::default());
+//! let asked = KeyedRequest { scope: b"/pickup-book/07", key: b"k-1", content: b"lot=7" };
+//! assert_eq!(record.lookup(0.0, &asked), Lookup::Miss);
+//! record.insert(10.0, 8000.0, &asked, Bytes::from_static(b"booked"));
+//! assert_eq!(record.lookup(5000.0, &asked), Lookup::Hit(Bytes::from_static(b"booked")));
+//! assert_eq!(record.lookup(5000.0, &KeyedRequest { content: b"lot=8", ..asked }), Lookup::KeyReused);
+//! assert_eq!(record.lookup(8010.0, &asked), Lookup::Miss);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -28,24 +28,24 @@
 
 /// What the record holds at most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// Answers.
-    pub most_answers: usize,
+    pub max_answers: usize,
     /// Bytes of all answers with their names, contents and overhead.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds { most_answers: 16_384, most_bytes: 8 << 20 }
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits { max_answers: 16_384, max_bytes: 8 << 20 }
     }
 }
 
 /// What was asked, and under which key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Question<'a> {
+pub struct KeyedRequest<'a> {
     /// Whose key it is: class and firm.
-    pub place: &'a [u8],
+    pub scope: &'a [u8],
     /// The value of `Idempotency-Key`.
     pub key: &'a [u8],
     /// What was asked under it.
@@ -54,13 +54,13 @@
 
 /// What the record knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Found {
+pub enum Lookup {
     /// No answer, or none any more.
-    Nothing,
+    Miss,
     /// The final answer to this very question.
-    Answer(Bytes),
+    Hit(Bytes),
     /// Something else was asked under this key (the draft `httpapi-idempotency-key-header`, section 2.7, has it refused).
-    Different,
+    KeyReused,
 }
 
 #[derive(Debug)]
@@ -76,8 +76,8 @@
 
 /// The record.
 #[derive(Debug)]
-pub struct Record {
-    bounds: Bounds,
+pub struct AnswerCache {
+    bounds: Limits,
     /// By place and key; nothing of it is ever listed, so that its order does not matter.
     kept: HashMap<Box<[u8]>, Kept>,
     /// In the order in which they came; one that was kept anew stands here twice, and only its last number counts.
@@ -87,19 +87,19 @@
 }
 
 /// Place and key as one name: the length keeps one from running into the other.
-fn name(question: &Question) -> Box<[u8]> {
-    let length = (question.place.len() as u64).to_be_bytes();
-    [&length[..], question.place, question.key].concat().into()
+fn name(question: &KeyedRequest) -> Box<[u8]> {
+    let length = (question.scope.len() as u64).to_be_bytes();
+    [&length[..], question.scope, question.key].concat().into()
 }
 
 fn size(name: &[u8], content: &[u8], answer: &Bytes) -> usize {
     2 * name.len() + content.len() + answer.len() + OVERHEAD
 }
 
-impl Record {
+impl AnswerCache {
     /// An empty record.
-    pub fn new(bounds: Bounds) -> Record {
-        Record { bounds, kept: HashMap::new(), order: VecDeque::new(), bytes: 0, number: 0 }
+    pub fn new(bounds: Limits) -> AnswerCache {
+        AnswerCache { bounds, kept: HashMap::new(), order: VecDeque::new(), bytes: 0, number: 0 }
     }
 
     /// Answers held.
@@ -119,12 +119,12 @@
 
     /// Keeps the final answer to a question for `life_ms`. The first answer stands: a second one to the same question within
     /// its life is not kept. One that is too large for the whole record is not either.
-    pub fn keep(&mut self, now: Millis, life_ms: Millis, question: &Question, answer: Bytes) {
+    pub fn insert(&mut self, now: Millis, life_ms: Millis, question: &KeyedRequest, answer: Bytes) {
         self.expire(now);
         let name = name(question);
         let takes = size(&name, question.content, &answer);
         let stands = self.kept.get(&name).is_some_and(|k| k.until > now);
-        if stands || takes > self.bounds.most_bytes || self.bounds.most_answers == 0 {
+        if stands || takes > self.bounds.max_bytes || self.bounds.max_answers == 0 {
             return;
         }
         self.forget(&name);
@@ -133,7 +133,7 @@
             let kept = &self.kept;
             self.order.retain(|(number, name)| kept.get(name).is_some_and(|k| k.number == *number));
         }
-        while self.kept.len() >= self.bounds.most_answers || self.bytes + takes > self.bounds.most_bytes {
+        while self.kept.len() >= self.bounds.max_answers || self.bytes + takes > self.bounds.max_bytes {
             self.drop_oldest();
         }
         self.number += 1;
@@ -144,12 +144,12 @@
     }
 
     /// What is known of a question.
-    pub fn find(&mut self, now: Millis, question: &Question) -> Found {
+    pub fn lookup(&mut self, now: Millis, question: &KeyedRequest) -> Lookup {
         self.expire(now);
         match self.kept.get(&name(question)).filter(|k| k.until > now) {
-            None => Found::Nothing,
-            Some(kept) if *kept.content == *question.content => Found::Answer(kept.answer.clone()),
-            Some(_) => Found::Different,
+            None => Lookup::Miss,
+            Some(kept) if *kept.content == *question.content => Lookup::Hit(kept.answer.clone()),
+            Some(_) => Lookup::KeyReused,
         }
     }
 
@@ -182,34 +182,34 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn question<'a>(place: &'a [u8], key: &'a [u8]) -> Question<'a> {
-        Question { place, key, content: b"lot=7" }
+    fn question<'a>(scope: &'a [u8], key: &'a [u8]) -> KeyedRequest<'a> {
+        KeyedRequest { scope, key, content: b"lot=7" }
     }
 
     /// The boundary between place and key must not move: "/a" + "bc" and "/ab" + "c" are two.
     #[test]
     fn another_firms_key_never_gets_the_answer() {
-        let mut record = Record::new(Bounds::default());
-        record.keep(0.0, 8000.0, &question(b"/book/1", b"23"), Bytes::from_static(b"mine"));
+        let mut record = AnswerCache::new(Limits::default());
+        record.insert(0.0, 8000.0, &question(b"/book/1", b"23"), Bytes::from_static(b"mine"));
         for other in [question(b"/book/12", b"3"), question(b"/book/2", b"23"), question(b"/book/1", b"2")] {
-            assert_eq!(record.find(1.0, &other), Found::Nothing);
+            assert_eq!(record.lookup(1.0, &other), Lookup::Miss);
         }
     }
 
     #[test]
     fn the_first_answer_stands_and_the_oldest_make_way() {
-        let mut record = Record::new(Bounds { most_answers: 2, most_bytes: 4096 });
-        let keep = |record: &mut Record, key: &[u8], answer: &'static str| {
-            record.keep(0.0, 8000.0, &question(b"/b", key), Bytes::from_static(answer.as_bytes()));
+        let mut record = AnswerCache::new(Limits { max_answers: 2, max_bytes: 4096 });
+        let keep = |record: &mut AnswerCache, key: &[u8], answer: &'static str| {
+            record.insert(0.0, 8000.0, &question(b"/b", key), Bytes::from_static(answer.as_bytes()));
         };
         keep(&mut record, b"1", "first");
         keep(&mut record, b"1", "second");
-        assert_eq!(record.find(0.0, &question(b"/b", b"1")), Found::Answer(Bytes::from_static(b"first")));
+        assert_eq!(record.lookup(0.0, &question(b"/b", b"1")), Lookup::Hit(Bytes::from_static(b"first")));
         keep(&mut record, b"2", "x");
         keep(&mut record, b"3", "x");
-        assert_eq!(record.find(0.0, &question(b"/b", b"1")), Found::Nothing);
-        record.keep(0.0, 8000.0, &question(b"/b", b"4"), vec![0; 5000].into());
-        assert_eq!((record.len(), record.find(0.0, &question(b"/b", b"4"))), (2, Found::Nothing));
+        assert_eq!(record.lookup(0.0, &question(b"/b", b"1")), Lookup::Miss);
+        record.insert(0.0, 8000.0, &question(b"/b", b"4"), vec![0; 5000].into());
+        assert_eq!((record.len(), record.lookup(0.0, &question(b"/b", b"4"))), (2, Lookup::Miss));
     }
 
     proptest! {
@@ -217,25 +217,25 @@
         /// hold; the bytes add up to nothing when all is over.
         #[test]
         fn whatever_comes(steps in prop::collection::vec((0u8..6, 0u8..3, 0usize..300, 0.0..3000.0f64, any::<bool>(), 1.0..9000.0f64), 1..200)) {
-            let bounds = Bounds { most_answers: 4, most_bytes: 1500 };
-            let mut record = Record::new(bounds);
+            let bounds = Limits { max_answers: 4, max_bytes: 1500 };
+            let mut record = AnswerCache::new(bounds);
             let (mut now, mut all): (f64, Vec<(u8, u8, Bytes, f64)>) = (0.0, Vec::new());
             for (key, content, length, wait, keeps, life) in steps {
                 now += wait;
                 let (key_bytes, content_bytes) = ([key], [content]);
-                let asked = Question { place: b"/book/1", key: &key_bytes, content: &content_bytes };
+                let asked = KeyedRequest { scope: b"/book/1", key: &key_bytes, content: &content_bytes };
                 if keeps {
                     let answer = Bytes::from(vec![key; length]);
-                    record.keep(now, life, &asked, answer.clone());
+                    record.insert(now, life, &asked, answer.clone());
                     all.push((key, content, answer, now + life));
-                } else if let Found::Answer(answer) = record.find(now, &asked) {
+                } else if let Lookup::Hit(answer) = record.lookup(now, &asked) {
                     prop_assert!(all.iter().any(|(k, c, a, until)| (*k, *c) == (key, content) && *a == answer && *until > now));
                 }
-                prop_assert!(record.len() <= bounds.most_answers && record.bytes() <= bounds.most_bytes);
-                prop_assert!(record.order.len() <= 2 * bounds.most_answers + 17);
+                prop_assert!(record.len() <= bounds.max_answers && record.bytes() <= bounds.max_bytes);
+                prop_assert!(record.order.len() <= 2 * bounds.max_answers + 17);
             }
             let last = [9];
-            record.find(now + 1e6, &Question { place: b"", key: &last, content: b"" });
+            record.lookup(now + 1e6, &KeyedRequest { scope: b"", key: &last, content: b"" });
             prop_assert_eq!((record.len(), record.bytes(), record.order.len()), (0, 0, 0));
         }
     }
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -19,7 +19,7 @@
 use marldeal_external as external;
 use marldeal_lifecycle::pauses::Pauses;
 use marldeal_lifecycle::{Command, Ending, Lifecycle, Phase};
-use marldeal_outcomes::{Found, Question, Record};
+use marldeal_outcomes::{AnswerCache, KeyedRequest, Lookup};
 use marldeal_permit::violation::Violations;
 use marldeal_snapshot::{Belief, Grade, Snapshot};
 use tokio::net::UdpSocket;
@@ -74,9 +74,9 @@
 
 impl Content {
     /// What was asked under its key: the path names class and firm.
-    fn question(&self) -> Option<Question<'_>> {
+    fn question(&self) -> Option<KeyedRequest<'_>> {
         let key = self.key.as_ref()?.as_bytes();
-        Some(Question { place: self.target.path().as_bytes(), key, content: self.body.small()? })
+        Some(KeyedRequest { scope: self.target.path().as_bytes(), key, content: self.body.small()? })
     }
 }
 
@@ -204,7 +204,7 @@
     upstream: Rc<dyn Upstream>,
     state: RefCell<State>,
     /// Final answers by key, where they are kept.
-    record: RefCell<Option<Record>>,
+    record: RefCell<Option<AnswerCache>>,
     timers_changed: Notify,
     /// Bytes of requests' bodies that are held.
     pub bodies: Rc<Budget>,
@@ -345,7 +345,7 @@
     /// Another process of this limiter lives, or none does any more.
     pub fn overlap(&self, overlaps: bool) {
         self.overlaps.set(overlaps);
-        self.bodies.set_most(self.room(self.config.most_body_bytes));
+        self.bodies.set_max_bytes(self.room(self.config.most_body_bytes));
         self.upstream.trim(self.room(self.config.most_servers));
     }
 
@@ -540,8 +540,8 @@
     }
 
     /// Final answers to keyed requests are kept from now on.
-    pub fn keep_answers(&self, bounds: marldeal_outcomes::Bounds) {
-        *self.record.borrow_mut() = Some(Record::new(bounds));
+    pub fn keep_answers(&self, bounds: marldeal_outcomes::Limits) {
+        *self.record.borrow_mut() = Some(AnswerCache::new(bounds));
     }
 
     /// Holds units of quotas ahead of need, for so many customers at most.
@@ -558,11 +558,11 @@
     /// The answer that there was to this very request, asked before under its key.
     pub fn recorded(&self, content: &Content) -> Option<Bytes> {
         content.keep_ms?;
-        let found = self.record.borrow_mut().as_mut()?.find(self.now(), &content.question()?);
+        let found = self.record.borrow_mut().as_mut()?.lookup(self.now(), &content.question()?);
         match found {
-            Found::Answer(body) => Some(body),
+            Lookup::Hit(body) => Some(body),
             // Servers judge what was asked differently under one key: they know the key as well.
-            Found::Nothing | Found::Different => None,
+            Lookup::Miss | Lookup::KeyReused => None,
         }
     }
 
@@ -627,7 +627,7 @@
         // Also where the client has left: its next try under the key gets this answer.
         if let (Outcome::Ok, Some(body), Some(keep_ms)) = (outcome, &body, job.content.keep_ms) {
             if let (Some(record), Some(question)) = (&mut *self.record.borrow_mut(), job.content.question()) {
-                record.keep(self.now(), keep_ms, &question, body.clone());
+                record.insert(self.now(), keep_ms, &question, body.clone());
             }
         }
         let mut state = self.state.borrow_mut();
--- a/marldeal/src/payload.rs
+++ b/marldeal/src/payload.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use marldeal_bodies::{Budget, Held, Pace};
+use marldeal_bodies::{Budget, BufferedBody, MinDataRate};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, Sleep};
 
@@ -24,7 +24,7 @@
 pub const STILL: Duration = Duration::from_secs(10);
 
 /// What a request's sender is asked for: the platform's slowest client writes 64 kB a second.
-pub const PACE: Pace = Pace { grace_ms: 2400.0, bytes_a_s: 60_000.0 };
+pub const PACE: MinDataRate = MinDataRate { grace_ms: 2400.0, bytes_per_s: 60_000.0 };
 
 /// A request's body.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
         /// How many.
         length: usize,
         /// Keeps its place in the budget.
-        held: Option<Held>,
+        held: Option<BufferedBody>,
     },
     /// It is still to come, and can be sent once.
     Piped(Rc<Pipe>),
@@ -44,7 +44,7 @@
 
 impl Payload {
     /// A whole one.
-    pub fn held(mut held: Held) -> Payload {
+    pub fn held(mut held: BufferedBody) -> Payload {
         Payload::Held { blocks: held.blocks().to_vec(), length: held.len(), held: Some(held) }
     }
 
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct Pipe {
     /// What has been read of it already.
-    first: RefCell<(VecDeque<Bytes>, Option<Held>)>,
+    first: RefCell<(VecDeque<Bytes>, Option<BufferedBody>)>,
     rest: RefCell<Incoming>,
     told: Option<u64>,
     began: Instant,
@@ -72,7 +72,13 @@
 
 impl Pipe {
     /// With what was held of it, and a piece that found no room.
-    pub fn new(mut held: Held, piece: Bytes, rest: Incoming, told: Option<u64>, began: Instant) -> Pipe {
+    pub fn new(
+        mut held: BufferedBody,
+        piece: Bytes,
+        rest: Incoming,
+        told: Option<u64>,
+        began: Instant,
+    ) -> Pipe {
         let mut first: VecDeque<Bytes> = held.blocks().iter().cloned().collect();
         first.extend((!piece.is_empty()).then_some(piece));
         let came = first.iter().map(|b| b.len() as u64).sum();
@@ -89,7 +95,7 @@
 
     /// The sender is waited for until then.
     fn until(&self) -> Instant {
-        self.began + Duration::from_secs_f64(PACE.until_ms(self.came.get()) / 1000.0)
+        self.began + Duration::from_secs_f64(PACE.deadline_ms(self.came.get()) / 1000.0)
     }
 
     fn poll_piece(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
@@ -313,7 +319,7 @@
 pub async fn take_in(mut body: Incoming, budget: &Rc<Budget>) -> Result<Payload, Refused> {
     let began = Instant::now();
     let told = body.size_hint().exact();
-    let mut held = Held::new(budget, told.and_then(|told| usize::try_from(told).ok()));
+    let mut held = BufferedBody::new(budget, told.and_then(|told| usize::try_from(told).ok()));
     if body.is_end_stream() {
         return Ok(Payload::held(held));
     }
@@ -321,7 +327,7 @@
         return Err(Refused::TooLarge(body));
     }
     loop {
-        let until = began + Duration::from_secs_f64(PACE.until_ms(held.len() as u64) / 1000.0);
+        let until = began + Duration::from_secs_f64(PACE.deadline_ms(held.len() as u64) / 1000.0);
         let piece = match tokio::time::timeout_at(until, body.frame()).await {
             Ok(None) => return Ok(Payload::held(held)),
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
--- a/marldeal/src/run.rs
+++ b/marldeal/src/run.rs
@@ -69,7 +69,7 @@
     let driver = Driver::new(config, Rc::new(servers.clone()), beside)?;
     if let Some(bounds) = extensions.final_answers {
         driver.keep_answers(bounds);
-        info!("keeps up to {} final answers by key", bounds.most_answers);
+        info!("keeps up to {} final answers by key", bounds.max_answers);
     }
     if let Some(most) = extensions.prefetch {
         driver.prefetch(most);
--- a/marldeal/src/settings/extensions.rs
+++ b/marldeal/src/settings/extensions.rs
@@ -31,11 +31,8 @@
 
 impl Default for FinalAnswers {
     fn default() -> FinalAnswers {
-        let bounds = marldeal_outcomes::Bounds::default();
-        FinalAnswers {
-            max_answers: bounds.most_answers,
-            max_mb: bounds.most_bytes as f64 / f64::from(1 << 20),
-        }
+        let bounds = marldeal_outcomes::Limits::default();
+        FinalAnswers { max_answers: bounds.max_answers, max_mb: bounds.max_bytes as f64 / f64::from(1 << 20) }
     }
 }
 
@@ -182,7 +179,7 @@
     /// The external processor.
     pub external_processor: Option<ExternalProcessor>,
     /// Final answers that are kept by idempotency key.
-    pub final_answers: Option<marldeal_outcomes::Bounds>,
+    pub final_answers: Option<marldeal_outcomes::Limits>,
     /// Customers for which units of quotas are held ahead of need at most; nothing where none are.
     pub prefetch: Option<usize>,
     /// What is logged, and how.
@@ -215,7 +212,7 @@
 }
 
 impl FinalAnswers {
-    fn checked(self, file: &str, found: &mut Vec<Mistake>) -> marldeal_outcomes::Bounds {
+    fn checked(self, file: &str, found: &mut Vec<Mistake>) -> marldeal_outcomes::Limits {
         let mut figure = |key: &str, value: f64, least: f64, most: f64| {
             if !(least..=most).contains(&value) {
                 let what = format!("{value} is not between {least} and {most}");
@@ -224,8 +221,8 @@
         };
         figure("max_answers", self.max_answers as f64, 1.0, 1e7);
         figure("max_mb", self.max_mb, 0.01, 4096.0);
-        let most_bytes = (self.max_mb * f64::from(1 << 20)) as usize;
-        marldeal_outcomes::Bounds { most_answers: self.max_answers, most_bytes }
+        let max_bytes = (self.max_mb * f64::from(1 << 20)) as usize;
+        marldeal_outcomes::Limits { max_answers: self.max_answers, max_bytes }
     }
 }
 
