--- a/crates/bench/src/direct.rs
+++ b/crates/bench/src/direct.rs
@@ -15,7 +15,7 @@
 use hyper::Response;
 use hyper_util::rt::TokioIo;
 use marldeal_standin::client::Client;
-use marldeal_standin::discovery::{line, Discovery};
+use marldeal_standin::discovery::{update_line, Discovery};
 use tokio::net::TcpListener;
 
 use crate::process::Process;
@@ -121,7 +121,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
         let addr = listener.local_addr().map_err(|e| e.to_string())?;
         tokio::spawn(node(listener));
-        let discovery = Discovery::shared(line(1, true, &[("s-1", addr, "active")]));
+        let discovery = Discovery::shared(update_line(1, true, &[("s-1", addr, "active")]));
         let bare = Process::own(&["pass", &addr.to_string()])?;
         let limiter = Process::limiter(program, discovery.addr, false)?;
         tokio::time::sleep(Duration::from_millis(1500)).await;
--- a/crates/bench/src/external.rs
+++ b/crates/bench/src/external.rs
@@ -11,9 +11,9 @@
 use ext::processing_request::Request as Phase;
 use ext::processing_response::Response as Answer;
 use hdrhistogram::Histogram;
-use marldeal_standin::discovery::{line, Discovery};
+use marldeal_standin::discovery::{update_line, Discovery};
 use marldeal_standin::proxy::{headers, request_headers, Stream};
-use marldeal_standin::traffic::{Call, Firm, Kind};
+use marldeal_standin::traffic::{Call, Customer, Kind};
 use tokio::time::Instant;
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Response, Status, Streaming};
@@ -114,8 +114,8 @@
         at_ms: 0.0,
         limiter: 0,
         name: format!("b-{number:x}"),
-        firm: Firm {
-            customer: 7 + number as u64 % 100,
+        customer: Customer {
+            id: 7 + number as u64 % 100,
             plan: "basic".into(),
             units_per_s: 0.0,
             spread: 1,
@@ -260,7 +260,7 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let node = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 40_000 + n));
-        let list = line(
+        let list = update_line(
             1,
             true,
             &[("s-1", node(1), "active"), ("s-2", node(2), "active"), ("s-3", node(3), "active")],
--- a/crates/bench/src/firms.rs
+++ b/crates/bench/src/firms.rs
@@ -8,7 +8,7 @@
 
 use clap::Args;
 use hdrhistogram::Histogram;
-use marldeal_standin::discovery::{line, Discovery};
+use marldeal_standin::discovery::{update_line, Discovery};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
@@ -350,7 +350,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
         let addr = listener.local_addr().map_err(|e| e.to_string())?;
         tokio::spawn(crate::direct::node(listener));
-        let discovery = Discovery::shared(line(1, true, &[("s-1", addr, "active")]));
+        let discovery = Discovery::shared(update_line(1, true, &[("s-1", addr, "active")]));
         if options.refusals_only {
             return refusals(program, discovery.addr, options).await;
         }
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use clap::Args;
-use marldeal_capacity::slopes::{Ground, Series, Slopes};
-use marldeal_standin::discovery::{line, Discovery};
+use marldeal_capacity::slopes::{MeasurementSetup, Series, Slopes};
+use marldeal_standin::discovery::{update_line, Discovery};
 use rand::RngExt;
 use tokio::net::TcpListener;
 
@@ -64,7 +64,7 @@
             None => self.series.push(Series {
                 figure: figure.to_string(),
                 along: along.to_string(),
-                ground: Ground::Process,
+                ground: MeasurementSetup::Process,
                 run: self.run.clone(),
                 points: vec![(size, value)],
             }),
@@ -75,11 +75,11 @@
 fn list(servers: u32, addr: SocketAddr) -> String {
     let ids: Vec<String> = (0..servers).map(|n| format!("s-{n:08x}")).collect();
     let lines: Vec<(&str, SocketAddr, &str)> = ids.iter().map(|id| (id.as_str(), addr, "active")).collect();
-    line(1, true, &lines)
+    update_line(1, true, &lines)
 }
 
 fn change(version: u64, server: u32, addr: SocketAddr, state: &str) -> String {
-    line(version, false, &[(&format!("s-{server:08x}"), addr, state)])
+    update_line(version, false, &[(&format!("s-{server:08x}"), addr, state)])
 }
 
 /// CPU of a process over so long, as a share of a core.
@@ -261,5 +261,5 @@
         by_open(program, options, &mut points).await
     })?;
     let slopes = Slopes { series: points.series };
-    std::fs::write(&options.out, slopes.write()).map_err(|e| format!("{}: {e}", options.out.display()))
+    std::fs::write(&options.out, slopes.to_toml()).map_err(|e| format!("{}: {e}", options.out.display()))
 }
--- a/crates/bench/src/told.rs
+++ b/crates/bench/src/told.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use clap::Args;
-use marldeal_capacity::slopes::{Ground, Series, Slopes};
-use marldeal_standin::discovery::{line, Discovery};
+use marldeal_capacity::slopes::{MeasurementSetup, Series, Slopes};
+use marldeal_standin::discovery::{update_line, Discovery};
 
 use crate::process::{Process, Setup};
 
@@ -70,7 +70,7 @@
     let ids: Vec<String> = (0..=options.servers).map(|n| format!("s-{n:08x}")).collect();
     let list = |version: u64, servers: usize| {
         let lines: Vec<_> = ids[..servers].iter().map(|id| (id.as_str(), addr, "active")).collect();
-        line(version, true, &lines)
+        update_line(version, true, &lines)
     };
     let servers = options.servers as usize;
     let mut points = [Vec::new(), Vec::new()];
@@ -86,7 +86,7 @@
             // One server more, then one fewer: told as a change, where `announce` would tell the whole list.
             let state = if n % 2 == 0 { "active" } else { "left" };
             version += 1;
-            discovery.announce(&line(version, false, &[(ids[servers].as_str(), addr, state)]));
+            discovery.announce(&update_line(version, false, &[(ids[servers].as_str(), addr, state)]));
             let (first, last) = all_have(&limiters, options.servers + u32::from(n % 2 == 0))?;
             println!("{count} limiters, change {n}: the first looked at has it after {first:.1} ms, the last {last:.1} ms");
             longest = longest.max(last);
@@ -99,10 +99,10 @@
     let series = |figure: &str, points| Series {
         figure: figure.to_string(),
         along: "limiters".to_string(),
-        ground: Ground::Processes,
+        ground: MeasurementSetup::Processes,
         run: format!("marldeal-bench {words}"),
         points,
     };
     let slopes = Slopes { series: vec![series("told_ms", told), series("memory_mb_each", memory)] };
-    std::fs::write(&options.out, slopes.write()).map_err(|e| format!("{}: {e}", options.out.display()))
+    std::fs::write(&options.out, slopes.to_toml()).map_err(|e| format!("{}: {e}", options.out.display()))
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -8,7 +8,7 @@
     /// Value more for each unit.
     pub slope: f64,
     /// Largest distance of a point from the line, as a share of the point.
-    pub worst: f64,
+    pub max_deviation: f64,
     /// The points, by size.
     pub points: Vec<(f64, f64)>,
 }
@@ -25,9 +25,9 @@
 }
 
 /// Points that a line needs at least: two always lie on one.
-pub const LEAST_POINTS: usize = 3;
+pub const MIN_POINTS: usize = 3;
 /// Distance from the line from which a fit counts as bent.
-pub const BENT: f64 = 0.15;
+pub const MAX_DEVIATION: f64 = 0.15;
 
 /// The line through points, of which there must be three sizes at least.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
@@ -35,7 +35,7 @@
     points.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut sizes: Vec<f64> = points.iter().map(|p| p.0).collect();
     sizes.dedup();
-    if sizes.len() < LEAST_POINTS || points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
+    if sizes.len() < MIN_POINTS || points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
         return None;
     }
     // Weighted by 1/y^2; figures of nothing weigh as the least that is more, or all alike.
@@ -49,13 +49,13 @@
     let base = (sy - slope * sx) / n;
     let worst =
         points.iter().map(|(x, y)| (base + slope * x - y).abs() / y.abs().max(least)).fold(0.0, f64::max);
-    Some(Fit { base, slope, worst, points })
+    Some(Fit { base, slope, max_deviation: worst, points })
 }
 
 impl Fit {
     /// Points lie off the line by more than measurement explains.
-    pub fn bends(&self) -> bool {
-        self.worst > BENT
+    pub fn is_nonlinear(&self) -> bool {
+        self.max_deviation > MAX_DEVIATION
     }
 
     /// The figure at a size: between points along the straight way from one to the next; beyond the largest along the
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -3,7 +3,7 @@
 use garde::Validate;
 use serde::Deserialize;
 
-use crate::Wrong;
+use crate::InputError;
 
 /// A size with its bounds.
 #[derive(Debug, Clone, PartialEq, Deserialize, Validate)]
@@ -148,12 +148,12 @@
     ///
     /// # Errors
     /// Each mistake with its key.
-    pub fn read(text: &str) -> Result<Size, Vec<Wrong>> {
+    pub fn parse(text: &str) -> Result<Size, Vec<InputError>> {
         let size: Size = crate::read(text)?;
         let mut wrong = Vec::new();
         let mut expect = |good: bool, key: &str, what: &str| {
             if !good {
-                wrong.push(Wrong { key: key.to_string(), what: what.to_string() });
+                wrong.push(InputError { key: key.to_string(), what: what.to_string() });
             }
         };
         let (fleet, tiers) = (&size.fleet, size.arrangement.tiers);
@@ -173,29 +173,29 @@
     }
 
     /// Limiters of the largest tier.
-    pub fn limiters_a_tier(&self) -> f64 {
+    pub fn limiters_per_tier(&self) -> f64 {
         f64::from(self.fleet.limiters.div_ceil(self.arrangement.tiers))
     }
 
     /// Limiters of the smallest tier.
-    pub fn limiters_of_the_smallest(&self) -> f64 {
+    pub fn limiters_in_smallest_tier(&self) -> f64 {
         f64::from(self.fleet.limiters / self.arrangement.tiers)
     }
 
     /// Servers of a tier.
-    pub fn servers_a_tier(&self) -> f64 {
+    pub fn servers_per_tier(&self) -> f64 {
         f64::from(self.fleet.servers.div_ceil(self.arrangement.tiers))
     }
 
     /// Tenants of a tier.
-    pub fn tenants_a_tier(&self) -> f64 {
+    pub fn tenants_per_tier(&self) -> f64 {
         let held = f64::from(self.traffic.tenants) * f64::from(self.arrangement.tiers_a_tenant);
         (held / f64::from(self.arrangement.tiers)).min(f64::from(self.traffic.tenants))
     }
 
     /// Requests a second of one limiter, of the smallest tier.
-    pub fn requests_a_limiter(&self) -> f64 {
+    pub fn requests_per_limiter(&self) -> f64 {
         let tier = self.traffic.requests_per_s / f64::from(self.arrangement.tiers);
-        tier / self.limiters_of_the_smallest()
+        tier / self.limiters_in_smallest_tier()
     }
 }
--- a/crates/capacity/src/slopes.rs
+++ b/crates/capacity/src/slopes.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fit::{fit, Fit, Value};
-use crate::Wrong;
+use crate::InputError;
 
 /// On what a figure was measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ground {
+pub enum MeasurementSetup {
     /// One real limiter on one core.
     Process,
     /// Many real limiters on one machine.
@@ -30,7 +30,7 @@
     pub along: String,
     /// On what.
     #[garde(skip)]
-    pub ground: Ground,
+    pub ground: MeasurementSetup,
     /// The command that wrote it.
     #[garde(length(min = 1, max = 400))]
     pub run: String,
@@ -59,17 +59,17 @@
     ///
     /// # Errors
     /// Each mistake with its key.
-    pub fn read(text: &str) -> Result<Slopes, Vec<Wrong>> {
+    pub fn parse(text: &str) -> Result<Slopes, Vec<InputError>> {
         let slopes: Slopes = crate::read(text)?;
         let mut wrong = Vec::new();
         for (n, s) in slopes.series.iter().enumerate() {
             if slopes.series[..n].iter().any(|o| (&o.figure, &o.along) == (&s.figure, &s.along)) {
                 let what = format!("{} along {} stands there twice", s.figure, s.along);
-                wrong.push(Wrong { key: format!("series[{n}].figure"), what });
+                wrong.push(InputError { key: format!("series[{n}].figure"), what });
             }
             if fit(&s.points).is_none() {
                 let what = format!("three sizes at least are expected, {} has too few", s.figure);
-                wrong.push(Wrong { key: format!("series[{n}].points"), what });
+                wrong.push(InputError { key: format!("series[{n}].points"), what });
             }
         }
         if wrong.is_empty() {
@@ -80,7 +80,7 @@
     }
 
     /// As a file.
-    pub fn write(&self) -> String {
+    pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
 
@@ -88,11 +88,11 @@
     ///
     /// # Errors
     /// The figure that stands in both.
-    pub fn add(&mut self, other: Slopes) -> Result<(), Wrong> {
+    pub fn merge(&mut self, other: Slopes) -> Result<(), InputError> {
         for s in other.series {
             if self.find(&s.figure, &s.along).is_some() {
                 let what = format!("{} along {} stands in two files", s.figure, s.along);
-                return Err(Wrong { key: "series".to_string(), what });
+                return Err(InputError { key: "series".to_string(), what });
             }
             self.series.push(s);
         }
@@ -108,8 +108,8 @@
     ///
     /// # Errors
     /// It is missing: it is never taken for nothing.
-    pub fn fit(&self, figure: &str, along: &str) -> Result<(Fit, &Series), Wrong> {
-        let missing = || Wrong {
+    pub fn fit(&self, figure: &str, along: &str) -> Result<(Fit, &Series), InputError> {
+        let missing = || InputError {
             key: format!("series {figure}"),
             what: format!("missing: {figure} along {along} has not been measured"),
         };
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     /// Its series is missing.
-    pub fn at(&self, figure: &str, along: &str, size: f64) -> Result<Value, Wrong> {
+    pub fn at(&self, figure: &str, along: &str, size: f64) -> Result<Value, InputError> {
         Ok(self.fit(figure, along)?.0.at(size))
     }
 }
--- a/crates/capacity/src/table.rs
+++ b/crates/capacity/src/table.rs
@@ -3,7 +3,7 @@
 use crate::fit::Value;
 use crate::size::Size;
 use crate::slopes::{Series, Slopes};
-use crate::Wrong;
+use crate::InputError;
 
 /// How a need stands to its bound.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -13,7 +13,7 @@
     /// Beyond it, by so many times.
     Missed(f64),
     /// The need is told and there is no bound for it.
-    Told,
+    NoBound,
     /// There is nothing that carries it, or nothing here that could measure it.
     NotAnswered,
 }
@@ -23,7 +23,7 @@
         match self {
             Verdict::Met(room) => write!(f, "met, room {:.0}%", 100.0 * room),
             Verdict::Missed(times) => write!(f, "MISSED by {times:.1} times"),
-            Verdict::Told => f.write_str("told"),
+            Verdict::NoBound => f.write_str("told"),
             Verdict::NotAnswered => f.write_str("NOT ANSWERED"),
         }
     }
@@ -35,7 +35,7 @@
     /// Whose.
     pub role: &'static str,
     /// Of what.
-    pub what: String,
+    pub resource: String,
     /// How much of it; nothing where it cannot be told.
     pub need: Option<f64>,
     /// How much there may be.
@@ -45,11 +45,11 @@
     /// How the two stand.
     pub verdict: Verdict,
     /// What carries it, or what would tell.
-    pub by: &'static str,
+    pub basis: &'static str,
     /// Figures it rests on, each with its ground, and how far its points lie from a line.
     pub sources: Vec<String>,
     /// Beyond the largest size measured, which was this.
-    pub beyond: Option<f64>,
+    pub extrapolated_from: Option<f64>,
 }
 
 /// Seconds of a year.
@@ -66,26 +66,26 @@
     slopes: &'a Slopes,
     value: f64,
     sources: Vec<String>,
-    beyond: Option<f64>,
+    extrapolated_from: Option<f64>,
 }
 
 impl<'a> Sum<'a> {
     fn new(slopes: &'a Slopes) -> Sum<'a> {
-        Sum { slopes, value: 0.0, sources: Vec::new(), beyond: None }
+        Sum { slopes, value: 0.0, sources: Vec::new(), extrapolated_from: None }
     }
 
     /// `times` the figure at a size; of `above` only what it is more than at nothing.
-    fn add(mut self, figure: &str, along: &str, size: f64, times: f64) -> Result<Self, Wrong> {
+    fn add(mut self, figure: &str, along: &str, size: f64, times: f64) -> Result<Self, InputError> {
         let (fit, series) = self.slopes.fit(figure, along)?;
-        self.note(series, fit.worst, fit.at(size));
+        self.note(series, fit.max_deviation, fit.at(size));
         self.value += times * fit.at(size).value;
         Ok(self)
     }
 
     /// What the figure grows by from nothing to a size, along the fitted line.
-    fn grow(mut self, figure: &str, along: &str, size: f64) -> Result<Self, Wrong> {
+    fn grow(mut self, figure: &str, along: &str, size: f64) -> Result<Self, InputError> {
         let (fit, series) = self.slopes.fit(figure, along)?;
-        self.note(series, fit.worst, fit.at(size));
+        self.note(series, fit.max_deviation, fit.at(size));
         self.value += (fit.at(size).value - fit.at(0.0).value).max(0.0);
         Ok(self)
     }
@@ -95,13 +95,13 @@
         let off = 100.0 * worst;
         self.sources.push(format!("{} by {} ({ground}, {off:.0}% off a line)", series.figure, series.along));
         if at.extrapolated {
-            self.beyond = Some(self.beyond.unwrap_or(f64::INFINITY).min(at.largest));
+            self.extrapolated_from = Some(self.extrapolated_from.unwrap_or(f64::INFINITY).min(at.largest));
         }
     }
 
     fn row(self, role: &'static str, what: impl Into<String>, bound: Option<f64>, unit: &'static str) -> Row {
-        let Sum { value, sources, beyond, .. } = self;
-        Row { sources, beyond, ..told(role, what, value, bound, unit, "") }
+        let Sum { value, sources, extrapolated_from, .. } = self;
+        Row { sources, extrapolated_from, ..told(role, what, value, bound, unit, "") }
     }
 }
 
@@ -114,20 +114,20 @@
     by: &'static str,
 ) -> Row {
     let verdict = match bound {
-        None => Verdict::Told,
+        None => Verdict::NoBound,
         Some(bound) if need <= bound => Verdict::Met(1.0 - need / bound),
         Some(bound) => Verdict::Missed(need / bound),
     };
     Row {
         role,
-        what: what.into(),
+        resource: what.into(),
         need: Some(need),
         bound,
         unit,
         verdict,
-        by,
+        basis: by,
         sources: Vec::new(),
-        beyond: None,
+        extrapolated_from: None,
     }
 }
 
@@ -140,14 +140,14 @@
 ) -> Row {
     Row {
         role,
-        what: what.into(),
+        resource: what.into(),
         need: None,
         bound,
         unit,
         verdict: Verdict::NotAnswered,
-        by,
+        basis: by,
         sources: Vec::new(),
-        beyond: None,
+        extrapolated_from: None,
     }
 }
 
@@ -155,30 +155,31 @@
 ///
 /// # Errors
 /// A series that has not been measured.
-pub fn table(size: &Size, slopes: &Slopes, prefetch: bool) -> Result<Vec<Row>, Wrong> {
-    let (tier, servers, tenants) = (size.limiters_a_tier(), size.servers_a_tier(), size.tenants_a_tier());
+pub fn table(size: &Size, slopes: &Slopes, prefetch: bool) -> Result<Vec<Row>, InputError> {
+    let (tier, servers, tenants) =
+        (size.limiters_per_tier(), size.servers_per_tier(), size.tenants_per_tier());
     let sum = || Sum::new(slopes);
     let way = if prefetch { "prefetch_" } else { "" };
     let figure = |name: &str| format!("{way}{name}");
-    let per_limiter = size.requests_a_limiter();
+    let per_limiter = size.requests_per_limiter();
     let control = &size.control;
     let mut rows = vec![
         Row {
-            by: "prefetch of quota units; without it a keeper's word is waited for",
+            basis: "prefetch of quota units; without it a keeper's word is waited for",
             ..sum()
                 .add(&figure("wait_ms_p99"), "limiters", tier, 1.0)?
                 .add("added_ms_p99", "servers", servers, 1.0)?
                 .row("limiter", "time added to a request, p99", Some(size.traffic.added_ms), "ms")
         },
         Row {
-            by: "prefetch of quota units",
+            basis: "prefetch of quota units",
             ..sum()
                 .add(&figure("wait_ms_p999"), "limiters", tier, 1.0)?
                 .add("added_ms_p999", "servers", servers, 1.0)?
                 .row("limiter", "time added to a request, p99.9", None, "ms")
         },
         Row {
-            by: "changes of the list, each taken in by itself",
+            basis: "changes of the list, each taken in by itself",
             ..sum().add("changing_idle_percent", "servers", servers, 1.0)?.row(
                 "limiter",
                 "processor for control while the list changes, words apart",
@@ -187,7 +188,7 @@
             )
         },
         Row {
-            by: "bounded tables; bodies under one budget",
+            basis: "bounded tables; bodies under one budget",
             ..sum()
                 .add("memory_mb", "servers", servers, 1.0)?
                 .grow("memory_mb", "tenants", tenants)?
@@ -206,11 +207,11 @@
                 "KB/s",
             );
             row.sources.extend(list_sources);
-            row.by = "words between limiters of one tier; changes of the list";
+            row.basis = "words between limiters of one tier; changes of the list";
             row
         },
         Row {
-            by: "an allowance, with waiting asks first",
+            basis: "an allowance, with waiting asks first",
             ..sum().add(&figure("messages_in_per_s"), "limiters", tier, 1.0)?.row(
                 "limiter",
                 "words taken in, at the limiter with most",
@@ -226,7 +227,7 @@
                 Some(100.0),
                 "% of a core",
             );
-            row.by = "one thread";
+            row.basis = "one thread";
             row
         },
         {
@@ -237,7 +238,7 @@
                 Some(100.0),
                 "% of a core",
             );
-            row.by = "looks at every server of its list: a loop to be bounded";
+            row.basis = "looks at every server of its list: a loop to be bounded";
             row
         },
         {
@@ -248,7 +249,7 @@
                 Some(size.changes.in_force_s),
                 "s",
             );
-            row.by = "one whole list a start; changes after it";
+            row.basis = "one whole list a start; changes after it";
             row
         },
     ];
@@ -277,7 +278,7 @@
     ));
     let keepers = KEEPERS.min(tier);
     rows.push(Row {
-        by: "bounded tables by tenant, what is forgotten is carried on as a debt",
+        basis: "bounded tables by tenant, what is forgotten is carried on as a debt",
         ..sum().grow("memory_mb", "tenants", tenants * keepers / tier)?.row(
             "keeper of tenants",
             format!("memory for {:.0} accounts", tenants * keepers / tier),
@@ -322,7 +323,7 @@
         "s",
         "one limiter of a tier gone: the others bear its clients (next row)",
     ));
-    let least = size.limiters_of_the_smallest();
+    let least = size.limiters_in_smallest_tier();
     rows.push(told(
         "path of a failed machine",
         format!("what the others of a tier of {least:.0} bear, in processor"),
@@ -372,7 +373,7 @@
 }
 
 fn rows_value(rows: &[Row], what: &str) -> f64 {
-    rows.iter().find(|row| row.what == what).and_then(|row| row.need).unwrap_or(f64::NAN)
+    rows.iter().find(|row| row.resource == what).and_then(|row| row.need).unwrap_or(f64::NAN)
 }
 
 /// A resource against the number of limiters, with its bound.
@@ -390,7 +391,7 @@
 ///
 /// # Errors
 /// A series that has not been measured.
-pub fn curves(size: &Size, slopes: &Slopes) -> Result<Vec<Curve>, Wrong> {
+pub fn curves(size: &Size, slopes: &Slopes) -> Result<Vec<Curve>, InputError> {
     let bounds = [
         ("wait_ms_p99", "wait before the first attempt, p99, ms", size.traffic.added_ms),
         ("control_kb_per_s", "control, in and out, KB/s", size.control.kb_per_s),
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,8 +1,8 @@
 //! Files read and checked, fits with their residuals, and the table: what is missing is an error and never nothing.
 
-use marldeal_capacity::fit::{fit, BENT};
+use marldeal_capacity::fit::{fit, MAX_DEVIATION};
 use marldeal_capacity::size::Size;
-use marldeal_capacity::slopes::{Ground, Series, Slopes};
+use marldeal_capacity::slopes::{MeasurementSetup, Series, Slopes};
 use marldeal_capacity::table::{curves, table, Verdict};
 use proptest::prelude::*;
 
@@ -12,7 +12,7 @@
     Series {
         figure: figure.to_string(),
         along: along.to_string(),
-        ground: Ground::Process,
+        ground: MeasurementSetup::Process,
         run: "a test".to_string(),
         points: points.to_vec(),
     }
@@ -53,9 +53,11 @@
     assert!(fit(&[(1.0, 1.0), (2.0, 2.0)]).is_none(), "two points always lie on a line");
     assert!(fit(&[(1.0, 1.0), (1.0, 2.0), (2.0, 3.0)]).is_none(), "two sizes");
     let straight = fit(&[(10.0, 25.0), (20.0, 45.0), (40.0, 85.0)]).expect("a line");
-    assert!((straight.slope - 2.0).abs() < 1e-9 && (straight.base - 5.0).abs() < 1e-9 && !straight.bends());
+    assert!(
+        (straight.slope - 2.0).abs() < 1e-9 && (straight.base - 5.0).abs() < 1e-9 && !straight.is_nonlinear()
+    );
     let bent = fit(&[(10.0, 10.0), (100.0, 10.0), (1000.0, 100.0)]).expect("a line");
-    assert!(bent.bends() && bent.worst > BENT);
+    assert!(bent.is_nonlinear() && bent.max_deviation > MAX_DEVIATION);
 }
 
 #[test]
@@ -69,10 +71,10 @@
 
 #[test]
 fn the_table_tells_met_missed_and_not_answered() {
-    let size = Size::read(SIZE).expect("the committed size");
+    let size = Size::parse(SIZE).expect("the committed size");
     let rows = table(&size, &slopes(), false).expect("all measured");
     let of = |what: &str| {
-        rows.iter().find(|r| r.what.starts_with(what)).unwrap_or_else(|| panic!("no row {what}"))
+        rows.iter().find(|r| r.resource.starts_with(what)).unwrap_or_else(|| panic!("no row {what}"))
     };
     let added = of("time added to a request, p99");
     assert_eq!(added.need, Some(150.5));
@@ -86,14 +88,14 @@
     assert!((of("control, in and out").need.expect("a need") - 13.6).abs() < 1e-9);
     assert!(rows.iter().all(|r| r.need.is_none_or(f64::is_finite)));
     let with = table(&size, &slopes(), true).expect("all measured");
-    let added = with.iter().find(|r| r.what.ends_with("p99")).expect("the row");
+    let added = with.iter().find(|r| r.resource.ends_with("p99")).expect("the row");
     assert!(matches!(added.verdict, Verdict::Met(_)), "{added:?}");
     assert!(added.sources.iter().any(|s| s.starts_with("prefetch_wait_ms_p99 by limiters")), "{added:?}");
 }
 
 #[test]
 fn a_missing_slope_is_an_error_that_names_it() {
-    let size = Size::read(SIZE).expect("the committed size");
+    let size = Size::parse(SIZE).expect("the committed size");
     for n in 0..slopes().series.len() {
         let mut fewer = slopes();
         let gone = fewer.series.remove(n);
@@ -109,7 +111,7 @@
     let size = |from: &str, to: &str| {
         let text = SIZE.replacen(from, to, 1);
         assert_ne!(text, SIZE, "{from}");
-        Size::read(&text).expect_err(to).iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+        Size::parse(&text).expect_err(to).iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
     };
     for (from, to, expected) in [
         ("limiters = 520", "limiters = 0", "fleet.limiters"),
@@ -124,7 +126,7 @@
         assert!(said.contains(expected), "{to:?}: {said:?}");
     }
     let slopes = |text: &str| {
-        Slopes::read(text).expect_err(text).iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
+        Slopes::parse(text).expect_err(text).iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
     };
     let one = "[[series]]\nfigure = \"a\"\nalong = \"b\"\nground = \"process\"\nrun = \"r\"\n";
     let good = "points = [[1.0, 1.0], [2.0, 1.0], [3.0, 1.0]]\n";
@@ -135,8 +137,8 @@
     );
     assert!(slopes(&format!("{one}points = [[-1.0, 1.0]]\n")).contains("series[0].points"));
     assert!(slopes(&one.replace("process", "guess")).contains("ground"));
-    let mut two = Slopes::read(&format!("{one}{good}")).expect("good");
-    assert!(two.add(two.clone()).expect_err("twice").to_string().contains("in two files"));
+    let mut two = Slopes::parse(&format!("{one}{good}")).expect("good");
+    assert!(two.merge(two.clone()).expect_err("twice").to_string().contains("in two files"));
 }
 
 proptest! {
@@ -154,6 +156,6 @@
             prop_assert!(value >= least - 1e-6 && value <= most + 1e-6);
         }
         let file = Slopes { series: vec![series("f", "n", &points)] };
-        prop_assert_eq!(Slopes::read(&file.write()).expect("its own file"), file);
+        prop_assert_eq!(Slopes::parse(&file.to_toml()).expect("its own file"), file);
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -59,7 +59,7 @@
     Settings,
 };
 use ledger::{End, Ledger};
-use marldeal_snapshot::{Belief, Grade, Snapshot};
+use marldeal_snapshot::{Assessment, Snapshot, SnapshotKind};
 use timers::Timers;
 
 /// What tells one client's request from another while it is open, such as the value of `X-Correlation-Id`.
@@ -388,20 +388,20 @@
     }
 
     /// What is known at `now`, for another process to go on with; `grade` says what this one does from here on.
-    pub fn snapshot(&self, now: Millis, grade: Grade) -> Snapshot {
-        Snapshot { grade, written: now, next: self.next, knowledge: self.limiter.knowledge(now) }
+    pub fn snapshot(&self, now: Millis, kind: SnapshotKind) -> Snapshot {
+        Snapshot { kind, written_ms: now, next_request: self.next, knowledge: self.limiter.knowledge(now) }
     }
 
     /// Takes over what is believed of another process's snapshot. Only before the first request: what this one had
     /// learnt itself is replaced.
-    pub fn learn(&mut self, now: Millis, belief: Belief) {
+    pub fn learn(&mut self, now: Millis, belief: Assessment) {
         match belief {
-            Belief::Same { knowledge, next } => {
-                self.next = self.next.max(next);
+            Assessment::SameLimiter { knowledge, next_request } => {
+                self.next = self.next.max(next_request);
                 self.limiter.learn(now, &knowledge, true);
             }
-            Belief::Hints { knowledge } => self.limiter.learn(now, &knowledge, false),
-            Belief::Nothing { .. } => {}
+            Assessment::Hints { knowledge } => self.limiter.learn(now, &knowledge, false),
+            Assessment::Expired { .. } => {}
         }
     }
 
--- a/crates/external/tests/same.rs
+++ b/crates/external/tests/same.rs
@@ -10,7 +10,7 @@
 use fawnhill::{Condition, Outcome, Request};
 use marldeal_engine::{Answer, Engine, Input as Told, Output};
 use marldeal_external::*;
-use marldeal_standin::traffic::{draw, sample, Call};
+use marldeal_standin::traffic::{generate, sample_traffic, Call};
 
 const LIMITERS: u32 = 3;
 const SECONDS: f64 = 30.0;
@@ -94,7 +94,7 @@
 
     fn request(&self, call: usize) -> Request {
         let call = &self.calls[call];
-        let plan = match call.firm.plan.as_str() {
+        let plan = match call.customer.plan.as_str() {
             "small-yard" => SMALL,
             "mill" => MILL,
             _ => FLEET,
@@ -103,11 +103,11 @@
             id: 0,
             class: if call.kind.keyed { KEYED } else { SAFE },
             plan,
-            customer: call.firm.customer,
+            customer: call.customer.id,
             budget_ms: call.kind.budget_s * 1000.0,
             units: call.kind.units,
-            spread: call.firm.spread,
-            first: call.firm.first,
+            spread: call.customer.spread,
+            first: call.customer.first,
         }
     }
 
@@ -215,8 +215,8 @@
         self.figures.attempts += 1;
         let of = &self.calls[call];
         if attempt == 0 {
-            *self.figures.units.entry(of.firm.customer).or_default() += of.kind.units as u64;
-            *self.figures.let_in.entry(of.firm.customer).or_default() += 1;
+            *self.figures.units.entry(of.customer.id).or_default() += of.kind.units as u64;
+            *self.figures.let_in.entry(of.customer.id).or_default() += 1;
         }
         let work_ms = 40.0 + 200.0 * chance(self.seed, call as u64, u64::from(attempt));
         self.later(work_ms, Moment::Ends(limiter, id, attempt, call, stream));
@@ -242,7 +242,7 @@
 
     fn done(&mut self, call: usize, what: &'static str) {
         if what == "refused" {
-            *self.figures.refused.entry(self.calls[call].firm.customer).or_default() += 1;
+            *self.figures.refused.entry(self.calls[call].customer.id).or_default() += 1;
         }
         self.figures.finals.entry(call).or_default().push(what);
     }
@@ -314,9 +314,9 @@
 #[test]
 fn external_mode_decides_as_direct_mode_does() {
     // The greedy firm asks for three times its ceiling.
-    let (firms, kinds) = sample(96.0);
+    let (firms, kinds) = sample_traffic(96.0);
     for seed in [11, 12, 13] {
-        let calls = draw(seed, &firms, &kinds, LIMITERS, SECONDS);
+        let calls = generate(seed, &firms, &kinds, LIMITERS, SECONDS);
         assert!(calls.len() >= 3000, "seed {seed}: {}", calls.len());
         let direct = play(Mode::Direct, seed, &calls);
         assert_eq!(direct.finals.len(), calls.len(), "seed {seed}: each request is answered");
--- a/crates/faults/src/ground/clients.rs
+++ b/crates/faults/src/ground/clients.rs
@@ -5,7 +5,7 @@
 use marldeal_engine::Answer;
 use marldeal_rehearsal::clients::{End, Got, Say};
 use marldeal_rehearsal::scenario::Repeats;
-use marldeal_standin::client::Lost;
+use marldeal_standin::client::ExchangeError;
 
 use super::*;
 
@@ -123,7 +123,7 @@
                     Got::Nothing => {
                         state.oracle.gone(try_id);
                         // A limiter that was never reached has taken nothing.
-                        if came.is_err_and(|e| e == Lost::Broken) {
+                        if came.is_err_and(|e| e == ExchangeError::ConnectionLost) {
                             spawn_local(breaks_off(of_stage.clone(), limiter, try_id, began));
                         }
                     }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,11 +1,11 @@
 //! What a limiter knows, as versioned and bounded bytes, and what a reader believes of it by its age.
 //!
 //! The bytes say which version wrote them, for which settings, and when; what is cut, garbled, too large, of another
-//! version or of other settings is refused whole, with the reason. What is whole is believed by its [`Grade`] and age. It
+//! version or of other settings is refused whole, with the reason. What is whole is believed by its [`SnapshotKind`] and age. It
 //! does *not* read a clock, open a socket or touch the decision module: bytes and moments are arguments.
 //!
 //! ```
-//! use marldeal_snapshot::{believe, Belief, Grade, Refused, Snapshot};
+//! use marldeal_snapshot::{assess, Assessment, SnapshotKind, ReadError, Snapshot};
 //! # use fawnhill::{Limiter, Settings};
 //! # let settings = Settings {
 //! #     limiters: 1, position: 0, zone: 0, classes: vec![], plans: vec![], round_ms: 1.0,
@@ -14,11 +14,11 @@
 //! #     fall_multiple: 3.0, fall_ms: 2000.0, firms: 10_000,
 //! # };
 //! let limiter = Limiter::new(settings.clone(), 42, 0.0)?;
-//! let snapshot = Snapshot { grade: Grade::Last, written: 500.0, next: 7, knowledge: limiter.knowledge(500.0) };
+//! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, knowledge: limiter.knowledge(500.0) };
 //! let bytes = snapshot.to_bytes(&settings);
 //! let read = Snapshot::from_bytes(&bytes, &settings).expect("what was written");
-//! assert!(matches!(believe(read, 510.0), Belief::Same { .. }));
-//! assert_eq!(Snapshot::from_bytes(&bytes[..40], &settings), Err(Refused::Cut));
+//! assert!(matches!(assess(read, 510.0), Assessment::SameLimiter { .. }));
+//! assert_eq!(Snapshot::from_bytes(&bytes[..40], &settings), Err(ReadError::Truncated));
 //! # Ok::<(), String>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -32,14 +32,14 @@
 
 /// Says that these are a snapshot's bytes.
 const MARK: [u8; 4] = *b"MDSN";
-/// This version of what follows the head. Another one is not read: an upgrade that changes it starts cautiously.
+/// This version of what follows the head. Another one is not read: an upkind that changes it starts cautiously.
 pub const VERSION: u16 = 1;
 /// Mark, version, fingerprint of the settings, length, checksum.
 const HEAD: usize = 4 + 2 + 4 + 4 + 4;
 /// Most bytes of a snapshot: some 50,000 records.
-pub const MOST_BYTES: usize = 4 << 20;
+pub const MAX_BYTES: usize = 4 << 20;
 /// Knowledge older than this is not believed at all, in milliseconds.
-pub const MOST_AGE_MS: Millis = 60_000.0;
+pub const MAX_AGE_MS: Millis = 60_000.0;
 /// Errors and silence of a server fade over this time.
 const HEALTH_MS: Millis = 10_000.0;
 /// A last snapshot that is older tells of a reader that slept: what it was told to go on with is not so any more.
@@ -47,33 +47,33 @@
 
 /// What the writer did after it wrote.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Grade {
+pub enum SnapshotKind {
     /// It went on granting and spending.
-    Warm,
+    Running,
     /// It had stopped before it wrote: the reader goes on in its place.
-    Last,
+    Final,
 }
 
 /// What a limiter knew at a moment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// What the writer did then.
-    pub grade: Grade,
+    pub kind: SnapshotKind,
     /// When, in milliseconds of Unix time.
-    pub written: Millis,
+    pub written_ms: Millis,
     /// The writer's requests have numbers below this.
-    pub next: RequestId,
+    pub next_request: RequestId,
     /// What it knew.
     pub knowledge: Knowledge,
 }
 
 /// Why bytes are no snapshot to go by.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refused {
+pub enum ReadError {
     /// They end before they should, or go on.
-    Cut,
+    Truncated,
     /// They do not begin as one.
-    NoSnapshot,
+    NotASnapshot,
     /// Another version wrote them.
     Version(u16),
     /// They were written under other settings.
@@ -81,18 +81,18 @@
     /// There are more of them than may be.
     TooLarge(usize),
     /// The checksum does not fit them, or they make no sense.
-    Garbled(String),
+    Corrupt(String),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::Cut => f.write_str("the snapshot did not come whole"),
-            Refused::NoSnapshot => f.write_str("these bytes are no snapshot"),
-            Refused::Version(v) => write!(f, "the snapshot is of version {v}, {VERSION} is expected"),
-            Refused::Settings => f.write_str("the snapshot was written under other settings"),
-            Refused::TooLarge(n) => write!(f, "the snapshot has {n} bytes, {MOST_BYTES} at most are read"),
-            Refused::Garbled(what) => write!(f, "the snapshot is garbled: {what}"),
+            ReadError::Truncated => f.write_str("the snapshot did not come whole"),
+            ReadError::NotASnapshot => f.write_str("these bytes are no snapshot"),
+            ReadError::Version(v) => write!(f, "the snapshot is of version {v}, {VERSION} is expected"),
+            ReadError::Settings => f.write_str("the snapshot was written under other settings"),
+            ReadError::TooLarge(n) => write!(f, "the snapshot has {n} bytes, {MAX_BYTES} at most are read"),
+            ReadError::Corrupt(what) => write!(f, "the snapshot is garbled: {what}"),
         }
     }
 }
@@ -104,7 +104,7 @@
         loop {
             // Nothing in it cannot be written; what cannot be is told as nothing, which a reader refuses.
             let body = postcard::to_stdvec(&kept).unwrap_or_default();
-            if HEAD + body.len() <= MOST_BYTES {
+            if HEAD + body.len() <= MAX_BYTES {
                 let mut bytes = Vec::with_capacity(HEAD + body.len());
                 bytes.extend_from_slice(&MARK);
                 bytes.extend_from_slice(&VERSION.to_be_bytes());
@@ -129,32 +129,32 @@
     ///
     /// # Errors
     /// Why nothing of them is believed.
-    pub fn from_bytes(bytes: &[u8], settings: &Settings) -> Result<Snapshot, Refused> {
-        if bytes.len() > MOST_BYTES {
-            return Err(Refused::TooLarge(bytes.len()));
+    pub fn from_bytes(bytes: &[u8], settings: &Settings) -> Result<Snapshot, ReadError> {
+        if bytes.len() > MAX_BYTES {
+            return Err(ReadError::TooLarge(bytes.len()));
         }
         if bytes.len() < MARK.len() || bytes[..MARK.len()] != MARK {
-            return Err(Refused::NoSnapshot);
+            return Err(ReadError::NotASnapshot);
         }
-        let Some((head, body)) = bytes.split_at_checked(HEAD) else { return Err(Refused::Cut) };
+        let Some((head, body)) = bytes.split_at_checked(HEAD) else { return Err(ReadError::Truncated) };
         let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let version = u16::from_be_bytes([head[4], head[5]]);
         if version != VERSION {
-            return Err(Refused::Version(version));
+            return Err(ReadError::Version(version));
         }
         if word(6) != fingerprint(settings) {
-            return Err(Refused::Settings);
+            return Err(ReadError::Settings);
         }
         if body.len() != word(10) as usize {
-            return Err(Refused::Cut);
+            return Err(ReadError::Truncated);
         }
         if crc32fast::hash(body) != word(14) {
-            return Err(Refused::Garbled("the checksum does not fit".to_string()));
+            return Err(ReadError::Corrupt("the checksum does not fit".to_string()));
         }
-        let read: Snapshot = postcard::from_bytes(body).map_err(|e| Refused::Garbled(e.to_string()))?;
-        read.knowledge.fits(settings).map_err(Refused::Garbled)?;
-        if !read.written.is_finite() {
-            return Err(Refused::Garbled("the moment makes no sense".to_string()));
+        let read: Snapshot = postcard::from_bytes(body).map_err(|e| ReadError::Corrupt(e.to_string()))?;
+        read.knowledge.fits(settings).map_err(ReadError::Corrupt)?;
+        if !read.written_ms.is_finite() {
+            return Err(ReadError::Corrupt("the moment makes no sense".to_string()));
         }
         Ok(read)
     }
@@ -167,13 +167,13 @@
 
 /// What a reader makes of a snapshot.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Belief {
+pub enum Assessment {
     /// It is the same limiter from now on.
-    Same {
+    SameLimiter {
         /// As of now.
         knowledge: Knowledge,
         /// Its requests have numbers from here on.
-        next: RequestId,
+        next_request: RequestId,
     },
     /// It starts anew, and knows this of servers, rates and demand.
     Hints {
@@ -181,7 +181,7 @@
         knowledge: Knowledge,
     },
     /// It starts anew.
-    Nothing {
+    Expired {
         /// How old the snapshot is, in milliseconds.
         age_ms: Millis,
     },
@@ -191,19 +191,22 @@
 const NUMBERS_APART: RequestId = 1 << 20;
 
 /// What is believed at `now` (Unix time in milliseconds). Clocks that went back count as no age.
-pub fn believe(snapshot: Snapshot, now: Millis) -> Belief {
-    let age_ms = (now - snapshot.written).max(0.0);
+pub fn assess(snapshot: Snapshot, now: Millis) -> Assessment {
+    let age_ms = (now - snapshot.written_ms).max(0.0);
     let mut knowledge = snapshot.knowledge;
-    match snapshot.grade {
-        _ if age_ms > MOST_AGE_MS => Belief::Nothing { age_ms },
-        Grade::Last if age_ms <= LAST_MS => {
+    match snapshot.kind {
+        _ if age_ms > MAX_AGE_MS => Assessment::Expired { age_ms },
+        SnapshotKind::Final if age_ms <= LAST_MS => {
             later(&mut knowledge, age_ms);
-            Belief::Same { knowledge, next: snapshot.next.wrapping_add(NUMBERS_APART) }
+            Assessment::SameLimiter {
+                knowledge,
+                next_request: snapshot.next_request.wrapping_add(NUMBERS_APART),
+            }
         }
-        Grade::Warm | Grade::Last => {
+        SnapshotKind::Running | SnapshotKind::Final => {
             later(&mut knowledge, age_ms);
             discount(&mut knowledge, age_ms);
-            Belief::Hints { knowledge }
+            Assessment::Hints { knowledge }
         }
     }
 }
--- a/crates/snapshot/tests/snapshot.rs
+++ b/crates/snapshot/tests/snapshot.rs
@@ -2,7 +2,7 @@
 
 use fawnhill::{Class, Condition, Effect, KeyGroup, Outcome, Plan, Request, ServerEntry, Settings};
 use marldeal_engine::{Answer, Engine, Input, Output};
-use marldeal_snapshot::{believe, Belief, Grade, Refused, Snapshot, MOST_AGE_MS, MOST_BYTES};
+use marldeal_snapshot::{assess, Assessment, ReadError, Snapshot, SnapshotKind, MAX_AGE_MS, MAX_BYTES};
 use proptest::prelude::*;
 
 fn settings() -> Settings {
@@ -83,10 +83,10 @@
 fn a_firm_gets_no_second_allowance_from_the_successor() {
     let (old, now, let_in) = used();
     assert_eq!(let_in, 8, "one burst");
-    let bytes = old.snapshot(now, Grade::Last).to_bytes(&settings());
+    let bytes = old.snapshot(now, SnapshotKind::Final).to_bytes(&settings());
     let mut new = engine(2, now + 20.0);
     let read = Snapshot::from_bytes(&bytes, &settings()).expect("whole");
-    new.learn(now + 30.0, believe(read, now + 30.0));
+    new.learn(now + 30.0, assess(read, now + 30.0));
     assert!(new.ready(now + 30.0), "its ceilings are as full as the old one's");
     assert!((0..20).all(|n| !ask(&mut new, now + 31.0, n, 7)), "nothing is left");
     assert!(ask(&mut new, now + 32.0, 100, 8), "another firm has its own");
@@ -113,11 +113,11 @@
 #[test]
 fn hints_open_no_ceiling() {
     let (old, now, _) = used();
-    let bytes = old.snapshot(now, Grade::Warm).to_bytes(&settings());
+    let bytes = old.snapshot(now, SnapshotKind::Running).to_bytes(&settings());
     let mut new = engine(2, now + 500.0);
     let read = Snapshot::from_bytes(&bytes, &settings()).expect("whole");
-    let belief = believe(read, now + 500.0);
-    assert!(matches!(belief, Belief::Hints { .. }));
+    let belief = assess(read, now + 500.0);
+    assert!(matches!(belief, Assessment::Hints { .. }));
     new.learn(now + 500.0, belief);
     assert!(!new.ready(now + 500.0));
     assert!(!ask(&mut new, now + 501.0, 1, 8));
@@ -126,59 +126,59 @@
 #[test]
 fn age_discounts_and_ends_belief() {
     let (old, now, _) = used();
-    let mut snapshot = old.snapshot(now, Grade::Warm);
+    let mut snapshot = old.snapshot(now, SnapshotKind::Running);
     for (_, s) in &mut snapshot.knowledge.servers {
         (s.errors, s.silences, s.aside) = (0.4, 3, (5000.0, 8000.0));
     }
-    let at = |age: f64| believe(snapshot.clone(), now + age);
-    let errors = |b: Belief| match b {
-        Belief::Hints { knowledge } => knowledge.servers[0].1.errors,
+    let at = |age: f64| assess(snapshot.clone(), now + age);
+    let errors = |b: Assessment| match b {
+        Assessment::Hints { knowledge } => knowledge.servers[0].1.errors,
         _ => f64::NAN,
     };
     assert!((errors(at(0.0)) - 0.4).abs() < 1e-9);
     assert!(errors(at(10_000.0)) < 0.2 && errors(at(10_000.0)) > 0.1);
-    let Belief::Hints { knowledge } = at(20_000.0) else { panic!("hints") };
+    let Assessment::Hints { knowledge } = at(20_000.0) else { panic!("hints") };
     assert_eq!((knowledge.servers[0].1.silences, knowledge.servers[0].1.aside.0), (0, 0.0));
-    assert_eq!(at(MOST_AGE_MS + 1.0), Belief::Nothing { age_ms: MOST_AGE_MS + 1.0 });
+    assert_eq!(at(MAX_AGE_MS + 1.0), Assessment::Expired { age_ms: MAX_AGE_MS + 1.0 });
     // A clock that went back is no age.
     assert!((errors(at(-5000.0)) - 0.4).abs() < 1e-9);
-    let late = Snapshot { grade: Grade::Last, ..snapshot };
-    assert!(matches!(believe(late, now + 6000.0), Belief::Hints { .. }), "its reader slept");
+    let late = Snapshot { kind: SnapshotKind::Final, ..snapshot };
+    assert!(matches!(assess(late, now + 6000.0), Assessment::Hints { .. }), "its reader slept");
 }
 
 #[test]
 fn what_is_spoilt_is_refused_whole_and_named() {
     let (old, now, _) = used();
-    let good = old.snapshot(now, Grade::Last).to_bytes(&settings());
+    let good = old.snapshot(now, SnapshotKind::Final).to_bytes(&settings());
     let read = |bytes: &[u8]| Snapshot::from_bytes(bytes, &settings());
     assert!(read(&good).is_ok());
-    assert_eq!(read(&[]), Err(Refused::NoSnapshot));
-    assert_eq!(read(b"MDSN"), Err(Refused::Cut));
-    assert_eq!(read(&good[..good.len() - 1]), Err(Refused::Cut));
-    assert_eq!(read(&[&good[..], b"x"].concat()), Err(Refused::Cut));
-    assert_eq!(read(&vec![0; MOST_BYTES + 1]), Err(Refused::TooLarge(MOST_BYTES + 1)));
+    assert_eq!(read(&[]), Err(ReadError::NotASnapshot));
+    assert_eq!(read(b"MDSN"), Err(ReadError::Truncated));
+    assert_eq!(read(&good[..good.len() - 1]), Err(ReadError::Truncated));
+    assert_eq!(read(&[&good[..], b"x"].concat()), Err(ReadError::Truncated));
+    assert_eq!(read(&vec![0; MAX_BYTES + 1]), Err(ReadError::TooLarge(MAX_BYTES + 1)));
     let mut other = good.clone();
     other[5] = 9;
-    assert_eq!(read(&other), Err(Refused::Version(9)));
+    assert_eq!(read(&other), Err(ReadError::Version(9)));
     let mut dearer = settings();
     dearer.plans[0].rate = 3.0;
-    assert_eq!(Snapshot::from_bytes(&good, &dearer), Err(Refused::Settings));
+    assert_eq!(Snapshot::from_bytes(&good, &dearer), Err(ReadError::Settings));
     // A record that cannot belong here, though the checksum fits.
-    let mut wrong = old.snapshot(now, Grade::Last);
+    let mut wrong = old.snapshot(now, SnapshotKind::Final);
     wrong.knowledge.accounts[0].1.plan = 9;
-    assert!(matches!(read(&wrong.to_bytes(&settings())), Err(Refused::Garbled(_))));
+    assert!(matches!(read(&wrong.to_bytes(&settings())), Err(ReadError::Corrupt(_))));
 }
 
 /// However many firms there are, the bytes stay within their bound and can be read.
 #[test]
 fn the_bytes_are_bounded() {
     let (old, now, _) = used();
-    let mut snapshot = old.snapshot(now, Grade::Last);
+    let mut snapshot = old.snapshot(now, SnapshotKind::Final);
     let (customer, account) = (snapshot.knowledge.customers[0], snapshot.knowledge.accounts[0]);
     snapshot.knowledge.customers = (0..100_000).map(|n| (n, customer.1)).collect();
     snapshot.knowledge.accounts = (0..100_000).map(|n| (n, account.1)).collect();
     let bytes = snapshot.to_bytes(&settings());
-    assert!(bytes.len() <= MOST_BYTES, "{}", bytes.len());
+    assert!(bytes.len() <= MAX_BYTES, "{}", bytes.len());
     assert!(Snapshot::from_bytes(&bytes, &settings()).is_ok());
 }
 
@@ -186,7 +186,7 @@
     /// One byte changed anywhere is seen; no bytes make the reader panic.
     #[test]
     fn no_garbled_byte_passes(at in any::<prop::sample::Index>(), flip in 1u8..=255, noise in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut bytes = engine(1, START).snapshot(START + 100.0, Grade::Last).to_bytes(&settings());
+        let mut bytes = engine(1, START).snapshot(START + 100.0, SnapshotKind::Final).to_bytes(&settings());
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
         prop_assert!(Snapshot::from_bytes(&bytes, &settings()).is_err());
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -13,11 +13,11 @@
 
 /// Why there is no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
+pub enum ExchangeError {
     /// No connection came about: the request was never sent.
     NotConnected,
     /// The connection ended before the whole answer: the request may have run.
-    Broken,
+    ConnectionLost,
 }
 
 /// A client that keeps its connections.
@@ -30,8 +30,12 @@
     /// Sends a request and reads the whole answer. Dropping the future closes the connection.
     ///
     /// # Errors
-    /// [`Lost`] tells whether the request may have run.
-    pub async fn exchange(&self, addr: SocketAddr, request: Request<Bytes>) -> Result<Response<Bytes>, Lost> {
+    /// [`ExchangeError`] tells whether the request may have run.
+    pub async fn exchange(
+        &self,
+        addr: SocketAddr,
+        request: Request<Bytes>,
+    ) -> Result<Response<Bytes>, ExchangeError> {
         let request = request.map(Full::new);
         let mut sender = match self.kept(addr) {
             Some(sender) => sender,
@@ -44,13 +48,13 @@
             Err(mut e) => match e.take_message() {
                 Some(request) => {
                     sender = connect(addr).await?;
-                    sender.send_request(request).await.map_err(|_| Lost::Broken)?
+                    sender.send_request(request).await.map_err(|_| ExchangeError::ConnectionLost)?
                 }
-                None => return Err(Lost::Broken),
+                None => return Err(ExchangeError::ConnectionLost),
             },
         };
         let (head, body) = answer.into_parts();
-        let body = body.collect().await.map_err(|_| Lost::Broken)?.to_bytes();
+        let body = body.collect().await.map_err(|_| ExchangeError::ConnectionLost)?.to_bytes();
         if !sender.is_closed() {
             let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
             idle.entry(addr).or_default().push(sender);
@@ -70,10 +74,11 @@
     }
 }
 
-async fn connect(addr: SocketAddr) -> Result<SendRequest<Full<Bytes>>, Lost> {
-    let stream = TcpStream::connect(addr).await.map_err(|_| Lost::NotConnected)?;
+async fn connect(addr: SocketAddr) -> Result<SendRequest<Full<Bytes>>, ExchangeError> {
+    let stream = TcpStream::connect(addr).await.map_err(|_| ExchangeError::NotConnected)?;
     let _ = stream.set_nodelay(true);
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| Lost::NotConnected)?;
+    let (sender, connection) =
+        handshake(TokioIo::new(stream)).await.map_err(|_| ExchangeError::NotConnected)?;
     tokio::spawn(async move { drop(connection.await) });
     Ok(sender)
 }
--- a/crates/standin/src/counter.rs
+++ b/crates/standin/src/counter.rs
@@ -45,7 +45,7 @@
     /// Added, but the connection ends before the answer.
     LostAnswer,
     /// Turned away, nothing added.
-    TurnAway,
+    Unprocessed,
     /// Added, and answered with what is no number.
     Garbage,
     /// Added, and never answered; the connection stays open.
@@ -258,7 +258,7 @@
                 break;
             }
         };
-        let total = if fault == Some(Fault::TurnAway) { None } else { shared.add(&call) };
+        let total = if fault == Some(Fault::Unprocessed) { None } else { shared.add(&call) };
         let goes_on = match (fault, total) {
             (_, None) => answer(&mut stream, "503 Service Unavailable", ""),
             (Some(Fault::LostAnswer), _) => false,
@@ -333,7 +333,7 @@
         assert!(message::read(&mut stream).is_none());
         assert_eq!(counter.total("a"), Some(1.0), "added, though nobody heard");
         let mut stream = connect(&counter);
-        counter.fail(Fault::TurnAway, 1);
+        counter.fail(Fault::Unprocessed, 1);
         assert_eq!(message::exchange(&mut stream, &call("a", 1.0, 9000)).status, 503);
         counter.fail(Fault::Garbage, 1);
         assert_eq!(message::exchange(&mut stream, &call("a", 1.0, 9000)).body, "many");
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -13,7 +13,7 @@
 const BEAT: Duration = Duration::from_millis(500);
 
 /// A line of discovery: version, whether it is the whole list, and servers by id, address and state.
-pub fn line(version: u64, full: bool, servers: &[(&str, SocketAddr, &str)]) -> String {
+pub fn update_line(version: u64, full: bool, servers: &[(&str, SocketAddr, &str)]) -> String {
     let entry = |(id, addr, state): &(&str, SocketAddr, &str)| {
         format!(
             r#"{{"id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":0,"state":"{state}","weight":1.0,"started_ms":0}}"#
@@ -129,11 +129,11 @@
         lock(&self.watches.heads).clone()
     }
     /// No more beats.
-    pub fn mute(&self) {
+    pub fn stop_heartbeats(&self) {
         self.watches.muted.store(true, Ordering::SeqCst);
     }
     /// Ends all watches.
-    pub fn end(&self) {
+    pub fn close_watches(&self) {
         for stream in lock(&self.watches.streams).drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -3,12 +3,12 @@
 //! are loopback, ports come from the kernel. Nothing here knows how marldeal decides.
 //!
 //! ```
-//! use marldeal_standin::node::{Fault, Node, Script};
+//! use marldeal_standin::server::{Fault, Script, Server};
 //!
 //! // The second request to this node is answered 500; all others are served after 1 ms.
 //! let script = Script { work_ms: 1, faults: vec![(1..2, Fault::Error)], ..Script::default() };
-//! let node = Node::scripted(script);
-//! assert!(node.addr.ip().is_loopback());
+//! let server = Server::scripted(script);
+//! assert!(server.addr.ip().is_loopback());
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -17,24 +17,24 @@
 pub mod counter;
 pub mod discovery;
 pub mod message;
-pub mod node;
 #[cfg(feature = "proxy")]
 pub mod proxy;
+pub mod server;
 pub mod traffic;
 
 use std::time::{Duration, Instant};
 
 /// Longest that [`wait_for`] waits, and that [`message::read`] waits for an answer.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until something holds.
 ///
 /// # Panics
-/// When it does not hold within [`PATIENCE`]; the message names `what`.
+/// When it does not hold within [`TIMEOUT`]; the message names `what`.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(began.elapsed() < TIMEOUT, "waited in vain for {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -15,9 +15,9 @@
 use hyper::Response;
 use hyper_util::rt::TokioIo;
 use marldeal_standin::counter::{self, Counter};
-use marldeal_standin::discovery::{line, Discovery};
-use marldeal_standin::node::{Fault, Node, Script};
-use marldeal_standin::proxy::{Proxy, Shape};
+use marldeal_standin::discovery::{update_line, Discovery};
+use marldeal_standin::proxy::{Proxy, RetryMode};
+use marldeal_standin::server::{Fault, Script, Server};
 
 /// Stand-in outside systems for marldeal, on loopback addresses.
 #[derive(Parser)]
@@ -125,7 +125,7 @@
     match what {
         What::Node { listen, work_ms, cores, faults } => {
             let script = Script { work_ms, cores, faults, ..Script::default() };
-            let node = Node::scripted_on(bind(listen)?, script);
+            let node = Server::scripted_on(bind(listen)?, script);
             println!("node on {}", node.addr);
             loop {
                 std::thread::park();
@@ -133,7 +133,7 @@
         }
         What::Discovery { listen, nodes } => {
             let servers: Vec<_> = nodes.iter().map(|(id, addr)| (id.as_str(), *addr, "active")).collect();
-            let discovery = Discovery::shared_on(bind(listen)?, line(1, true, &servers));
+            let discovery = Discovery::shared_on(bind(listen)?, update_line(1, true, &servers));
             println!("discovery on {}", discovery.addr);
             for text in std::io::stdin().lines().map_while(Result::ok) {
                 discovery.announce(&format!("{text}\n"));
@@ -185,9 +185,9 @@
 
 async fn proxy(listener: TcpListener, processor: SocketAddr, retries: Retries) -> Result<(), String> {
     let shape = match retries {
-        Retries::PerTry => Shape::PerTry,
-        Retries::Loop => Shape::Loop,
-        Retries::Once => Shape::Once,
+        Retries::PerTry => RetryMode::PerTry,
+        Retries::Loop => RetryMode::SameStream,
+        Retries::Once => RetryMode::None,
     };
     let proxy = Proxy::connect(processor, shape).await.map_err(|e| format!("processor {processor}: {e}"))?;
     let proxy = Arc::new(proxy);
@@ -215,7 +215,7 @@
     let Ok(body) = Limited::new(body, MOST_BODY).collect().await else {
         return plain(413, Bytes::from_static(b"the body is too large or did not come whole"));
     };
-    match proxy.carry(&hyper::Request::from_parts(head, body.to_bytes())).await {
+    match proxy.handle(&hyper::Request::from_parts(head, body.to_bytes())).await {
         Ok(done) => {
             let mut answer = plain(done.status, done.body);
             if let Some(value) = done.retry_after.and_then(|v| v.parse().ok()) {
--- a/crates/standin/src/message.rs
+++ b/crates/standin/src/message.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-use crate::PATIENCE;
+use crate::TIMEOUT;
 
 /// Longest body that is read.
 const MOST_BODY: usize = 64 << 20;
@@ -85,9 +85,9 @@
 /// Reads an answer that has to come.
 ///
 /// # Panics
-/// When it does not come whole within [`PATIENCE`].
+/// When it does not come whole within [`TIMEOUT`].
 pub fn read_answer(stream: &mut TcpStream) -> Message {
-    stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("time-out");
     read(stream).expect("a whole answer")
 }
 
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -21,29 +21,29 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::Streaming;
 
-use crate::client::{Client, Lost};
+use crate::client::{Client, ExchangeError};
 
 /// Names the chosen node, as the endpoint picker protocol of the Gateway API inference extension has it.
-pub const DESTINATION: &str = "x-gateway-destination-endpoint";
+pub const DESTINATION_HEADER: &str = "x-gateway-destination-endpoint";
 /// Set by the processor on a response that is to be tried again.
-pub const RETRY: &str = "x-marldeal-retry";
+pub const RETRY_HEADER: &str = "x-marldeal-retry";
 /// Counts the attempts of a proxy, from 1.
-pub const ATTEMPT_COUNT: &str = "x-envoy-attempt-count";
+pub const ATTEMPT_COUNT_HEADER: &str = "x-envoy-attempt-count";
 
 /// How the proxy carries out a further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shape {
+pub enum RetryMode {
     /// The filter runs once for each try: a new stream presents the request again.
     PerTry,
     /// One stream for the request: the answer to response headers names the next node.
-    Loop,
+    SameStream,
     /// No further attempts.
-    Once,
+    None,
 }
 
 /// What the proxy's client got.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Final {
+pub struct FinalResponse {
     /// Status of the answer.
     pub status: u16,
     /// The node's body, or the processor's text.
@@ -51,18 +51,18 @@
     /// `retry-after`, as it came.
     pub retry_after: Option<String>,
     /// Nodes that the request was written to, in order.
-    pub nodes: Vec<SocketAddr>,
+    pub servers: Vec<SocketAddr>,
 }
 
 /// Why the proxy has no answer for its client.
 #[derive(Debug)]
-pub enum Trouble {
+pub enum ProcessorError {
     /// The processor ended the stream with an error.
     Stream(tonic::Status),
     /// It ended the stream, or left it silent for longer than a proxy waits.
-    Silent,
+    NoAnswer,
     /// It said what does not fit the message.
-    Wrong(String),
+    Unexpected(String),
 }
 
 /// Longest that the proxy waits for the processor's answer to one message, and for a node that has no time limit.
@@ -90,25 +90,25 @@
 
     /// Sends one message; false if the stream has ended.
     pub async fn send(&self, phase: Phase) -> bool {
-        self.send_whole(ext::ProcessingRequest { request: Some(phase), ..Default::default() }).await
+        self.send_message(ext::ProcessingRequest { request: Some(phase), ..Default::default() }).await
     }
 
     /// Sends one message with all its fields; false if the stream has ended.
-    pub async fn send_whole(&self, message: ext::ProcessingRequest) -> bool {
+    pub async fn send_message(&self, message: ext::ProcessingRequest) -> bool {
         self.to.send(message).await.is_ok()
     }
 
     /// The next message, passing over those that only ask for more time.
     ///
     /// # Errors
-    /// [`Trouble`], when the stream ends or stays silent.
-    pub async fn next(&mut self) -> Result<ext::ProcessingResponse, Trouble> {
+    /// [`ProcessorError`], when the stream ends or stays silent.
+    pub async fn next(&mut self) -> Result<ext::ProcessingResponse, ProcessorError> {
         loop {
             match tokio::time::timeout(MESSAGE_TIMEOUT, self.from.message()).await {
                 Ok(Ok(Some(answer))) if answer.response.is_none() => {}
                 Ok(Ok(Some(answer))) => return Ok(answer),
-                Ok(Ok(None)) | Err(_) => return Err(Trouble::Silent),
-                Ok(Err(status)) => return Err(Trouble::Stream(status)),
+                Ok(Ok(None)) | Err(_) => return Err(ProcessorError::NoAnswer),
+                Ok(Err(status)) => return Err(ProcessorError::Stream(status)),
             }
         }
     }
@@ -140,7 +140,7 @@
     let text = |value: &hyper::header::HeaderValue| String::from_utf8_lossy(value.as_bytes()).into_owned();
     pairs.extend(request.headers().iter().map(|(name, value)| (name.as_str(), text(value))));
     if let Some(count) = count {
-        pairs.push((ATTEMPT_COUNT, count.to_string()));
+        pairs.push((ATTEMPT_COUNT_HEADER, count.to_string()));
     }
     Phase::RequestHeaders(headers(pairs, request.body().is_empty()))
 }
@@ -156,18 +156,18 @@
     })
 }
 
-fn immediate(response: &ext::ImmediateResponse, nodes: Vec<SocketAddr>) -> Final {
+fn immediate(response: &ext::ImmediateResponse, servers: Vec<SocketAddr>) -> FinalResponse {
     let common = ext::CommonResponse { header_mutation: response.headers.clone(), ..Default::default() };
-    Final {
+    FinalResponse {
         status: response.status.as_ref().map_or(200, |s| s.code as u16),
         body: response.body.clone().into(),
         retry_after: set_header(Some(&common), "retry-after"),
-        nodes,
+        servers,
     }
 }
 
 /// What became of one attempt at a node, in the terms of response headers.
-struct Tried {
+struct AttemptResult {
     status: u16,
     unprocessed: bool,
     /// `%RESPONSE_FLAGS%`: `UF` for a connection that never came about, `UC` for one that broke, `UT` for time.
@@ -179,7 +179,7 @@
 pub struct Proxy {
     channel: Channel,
     client: Client,
-    shape: Shape,
+    shape: RetryMode,
 }
 
 impl Proxy {
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     /// No connection could be made.
-    pub async fn connect(processor: SocketAddr, shape: Shape) -> Result<Proxy, tonic::transport::Error> {
+    pub async fn connect(processor: SocketAddr, shape: RetryMode) -> Result<Proxy, tonic::transport::Error> {
         let channel = Endpoint::from_shared(format!("http://{processor}"))?.connect().await?;
         Ok(Proxy { channel, client: Client::default(), shape })
     }
@@ -195,79 +195,90 @@
     /// Carries a request through: asks, enforces, reports.
     ///
     /// # Errors
-    /// [`Trouble`] with the processor; a real proxy would answer 500 or go by its failure mode.
-    pub async fn carry(&self, request: &Request<Bytes>) -> Result<Final, Trouble> {
-        let mut nodes = Vec::new();
+    /// [`ProcessorError`] with the processor; a real proxy would answer 500 or go by its failure mode.
+    pub async fn handle(&self, request: &Request<Bytes>) -> Result<FinalResponse, ProcessorError> {
+        let mut servers = Vec::new();
         let mut count = 1;
         loop {
-            let mut stream = Stream::open(self.channel.clone()).await.map_err(Trouble::Stream)?;
-            let told = (self.shape == Shape::PerTry).then_some(count);
+            let mut stream = Stream::open(self.channel.clone()).await.map_err(ProcessorError::Stream)?;
+            let told = (self.shape == RetryMode::PerTry).then_some(count);
             stream.send(request_headers(request, told)).await;
             let mut target = match stream.next().await?.response {
-                Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, nodes)),
-                Some(Verdict::RequestHeaders(r)) => destination(r.response.as_ref(), DESTINATION)?,
-                other => return Err(Trouble::Wrong(format!("{other:?} to request headers"))),
+                Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, servers)),
+                Some(Verdict::RequestHeaders(r)) => destination(r.response.as_ref(), DESTINATION_HEADER)?,
+                other => return Err(ProcessorError::Unexpected(format!("{other:?} to request headers"))),
             };
             // One round for each attempt on this stream.
             let again = loop {
-                nodes.push(target.0);
+                servers.push(target.0);
                 let attempt = self.attempt(request, target);
                 // An immediate response may come unasked: the attempt is called off then.
                 let tried = tokio::select! {
                     biased;
                     unasked = stream.next() => match unasked?.response {
-                        Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, nodes)),
-                        other => return Err(Trouble::Wrong(format!("{other:?} unasked"))),
+                        Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, servers)),
+                        other => return Err(ProcessorError::Unexpected(format!("{other:?} unasked"))),
                     },
                     tried = attempt => tried,
                 };
                 stream.send(response_headers(&tried)).await;
                 let answer = match stream.next().await?.response {
-                    Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, nodes)),
+                    Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, servers)),
                     Some(Verdict::ResponseHeaders(r)) => r.response,
-                    other => return Err(Trouble::Wrong(format!("{other:?} to response headers"))),
+                    other => {
+                        return Err(ProcessorError::Unexpected(format!("{other:?} to response headers")))
+                    }
                 };
-                if set_header(answer.as_ref(), RETRY).is_some() {
+                if set_header(answer.as_ref(), RETRY_HEADER).is_some() {
                     match self.shape {
-                        Shape::Loop => target = destination(answer.as_ref(), RETRY)?,
-                        Shape::PerTry => break true,
-                        Shape::Once => break false,
+                        RetryMode::SameStream => target = destination(answer.as_ref(), RETRY_HEADER)?,
+                        RetryMode::PerTry => break true,
+                        RetryMode::None => break false,
                     }
                     continue;
                 }
-                return Ok(Final { status: tried.status, body: tried.body, retry_after: None, nodes });
+                return Ok(FinalResponse {
+                    status: tried.status,
+                    body: tried.body,
+                    retry_after: None,
+                    servers,
+                });
             };
             drop(stream);
             if !again {
-                return Ok(Final { status: 503, body: Bytes::new(), retry_after: None, nodes });
+                return Ok(FinalResponse { status: 503, body: Bytes::new(), retry_after: None, servers });
             }
             count += 1;
         }
     }
 
     /// One attempt at a node.
-    async fn attempt(&self, request: &Request<Bytes>, (addr, limit): (SocketAddr, Duration)) -> Tried {
+    async fn attempt(
+        &self,
+        request: &Request<Bytes>,
+        (addr, limit): (SocketAddr, Duration),
+    ) -> AttemptResult {
         let mut request = request.clone();
         let left = format!("{:.3}", limit.as_secs_f64());
         if let Ok(left) = left.parse() {
             request.headers_mut().insert("x-time-left", left);
         }
-        let local = |status, flags| Tried { status, unprocessed: false, flags, body: Bytes::new() };
+        let local = |status, flags| AttemptResult { status, unprocessed: false, flags, body: Bytes::new() };
         match tokio::time::timeout(limit, self.client.exchange(addr, request)).await {
-            Ok(Ok(answer)) => Tried {
+            Ok(Ok(answer)) => AttemptResult {
                 status: answer.status().as_u16(),
                 unprocessed: answer.headers().get("x-unprocessed").is_some_and(|v| v == "1"),
                 flags: None,
                 body: answer.into_body(),
             },
-            Ok(Err(Lost::NotConnected)) => local(503, Some("UF")),
-            Ok(Err(Lost::Broken)) => local(503, Some("UC")),
+            Ok(Err(ExchangeError::NotConnected)) => local(503, Some("UF")),
+            Ok(Err(ExchangeError::ConnectionLost)) => local(503, Some("UC")),
             Err(_) => local(504, Some("UT")),
         }
     }
 }
 
-fn response_headers(tried: &Tried) -> Phase {
+fn response_headers(tried: &AttemptResult) -> Phase {
     let mut pairs = vec![(":status", tried.status.to_string())];
     if tried.unprocessed {
         pairs.push(("x-unprocessed", "1".to_string()));
@@ -282,8 +293,8 @@
 fn destination(
     response: Option<&ext::CommonResponse>,
     header: &str,
-) -> Result<(SocketAddr, Duration), Trouble> {
-    let wrong = |what: &str| Trouble::Wrong(format!("let in, but {what}"));
+) -> Result<(SocketAddr, Duration), ProcessorError> {
+    let wrong = |what: &str| ProcessorError::Unexpected(format!("let in, but {what}"));
     let node = set_header(response, header).ok_or_else(|| wrong("no node is named"))?;
     let addr = node.parse().map_err(|_| wrong("the node's address makes no sense"))?;
     let limit = set_header(response, "x-envoy-upstream-rq-timeout-ms")
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/server.rs
@@ -18,7 +18,7 @@
     /// 500: it may have run.
     Error,
     /// 503 with `X-Unprocessed: 1`: it never ran.
-    TurnAway,
+    Unprocessed,
     /// 503 without the mark: it may have run.
     Unavailable,
     /// The connection is closed after the request was read.
@@ -36,7 +36,7 @@
     fn from_str(text: &str) -> Result<Fault, String> {
         match text.split_once('=') {
             None if text == "error" => Ok(Fault::Error),
-            None if text == "turn-away" => Ok(Fault::TurnAway),
+            None if text == "turn-away" => Ok(Fault::Unprocessed),
             None if text == "unavailable" => Ok(Fault::Unavailable),
             None if text == "reset" => Ok(Fault::Reset),
             None if text == "half" => Ok(Fault::Half),
@@ -109,30 +109,30 @@
 }
 
 /// A booking node on a loopback address.
-pub struct Node {
+pub struct Server {
     /// Where it listens.
     pub addr: SocketAddr,
     counts: Arc<Counts>,
 }
 
-impl Node {
+impl Server {
     /// A node that answers as the closure does; false from it ends the connection.
-    pub fn new(answer: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static) -> Node {
+    pub fn new(answer: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
-        Node::on(listener, answer)
+        Server::on(listener, answer)
     }
 
     /// A node that follows a script.
-    pub fn scripted(script: Script) -> Node {
+    pub fn scripted(script: Script) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
-        Node::scripted_on(listener, script)
+        Server::scripted_on(listener, script)
     }
 
     /// A node that follows a script, on a listener of the caller's.
-    pub fn scripted_on(listener: TcpListener, script: Script) -> Node {
+    pub fn scripted_on(listener: TcpListener, script: Script) -> Server {
         let arrived = AtomicUsize::new(0);
         let cores = Cores { free: Mutex::new(script.cores.max(1)), freed: Condvar::new() };
-        Node::on(listener, move |_, stream| {
+        Server::on(listener, move |_, stream| {
             let number = arrived.fetch_add(1, Ordering::SeqCst);
             let fault = script.faults.iter().find(|(range, _)| range.contains(&number)).map(|(_, f)| *f);
             let plain = |stream: &mut TcpStream, head: &str| {
@@ -144,7 +144,7 @@
                     write_ok(stream, &script.body)
                 }
                 Some(Fault::Error) => plain(stream, "500 Internal Server Error"),
-                Some(Fault::TurnAway) => plain(stream, "503 Service Unavailable\r\nX-Unprocessed: 1"),
+                Some(Fault::Unprocessed) => plain(stream, "503 Service Unavailable\r\nX-Unprocessed: 1"),
                 Some(Fault::Unavailable) => plain(stream, "503 Service Unavailable"),
                 Some(Fault::Reset) => false,
                 Some(Fault::Half) => {
@@ -162,7 +162,7 @@
     fn on(
         listener: TcpListener,
         answer: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static,
-    ) -> Node {
+    ) -> Server {
         let addr = listener.local_addr().expect("an address");
         let (counts, answer) = (Arc::new(Counts::default()), Arc::new(answer));
         let all = counts.clone();
@@ -176,15 +176,15 @@
                 std::thread::spawn(move || connection(stream, &counts, &*answer));
             }
         });
-        Node { addr, counts }
+        Server { addr, counts }
     }
 
     /// All requests so far.
-    pub fn seen(&self) -> Vec<Message> {
+    pub fn requests(&self) -> Vec<Message> {
         lock(&self.counts.seen).clone()
     }
     /// Number of requests so far.
-    pub fn arrivals(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.counts.arrivals.load(Ordering::SeqCst)
     }
     /// Number of connections so far.
@@ -192,15 +192,15 @@
         self.counts.connections.load(Ordering::SeqCst)
     }
     /// Most connections open at once.
-    pub fn most_open(&self) -> usize {
+    pub fn max_open_connections(&self) -> usize {
         self.counts.most_open.load(Ordering::SeqCst)
     }
     /// Connections that ended, whoever closed them.
-    pub fn closed_by_peer(&self) -> usize {
+    pub fn closed_connections(&self) -> usize {
         self.counts.closed_by_peer.load(Ordering::SeqCst)
     }
     /// Most requests of one `X-Correlation-Id` worked on at once, by this node.
-    pub fn most_at_once(&self) -> usize {
+    pub fn max_concurrent_requests(&self) -> usize {
         lock(&self.counts.at_once).1
     }
     /// Stops listening; returns when connections are refused.
@@ -255,7 +255,7 @@
     #[test]
     fn faults_are_read_as_they_are_written() {
         assert_eq!("silent=250".parse(), Ok(Fault::Silent(250)));
-        assert_eq!("turn-away".parse(), Ok(Fault::TurnAway));
+        assert_eq!("turn-away".parse(), Ok(Fault::Unprocessed));
         assert!("silent=soon".parse::<Fault>().expect_err("no number").contains("'soon'"));
         assert!("explode".parse::<Fault>().expect_err("unknown").contains("turn-away"));
     }
@@ -263,8 +263,8 @@
     #[test]
     fn a_script_meets_the_requests_it_names() {
         let script =
-            Script { faults: vec![(1..2, Fault::TurnAway), (2..3, Fault::Reset)], ..Script::default() };
-        let node = Node::scripted(script);
+            Script { faults: vec![(1..2, Fault::Unprocessed), (2..3, Fault::Reset)], ..Script::default() };
+        let node = Server::scripted(script);
         let request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
         let mut stream = TcpStream::connect(node.addr).expect("connect");
         assert_eq!(message::exchange(&mut stream, request).status, 200);
@@ -272,6 +272,6 @@
         assert_eq!((away.status, away.header("x-unprocessed").as_deref()), (503, Some("1")));
         stream.write_all(request.as_bytes()).expect("write");
         assert!(message::read(&mut stream).is_none());
-        assert_eq!((node.arrivals(), node.connections()), (3, 1));
+        assert_eq!((node.request_count(), node.connections()), (3, 1));
     }
 }
--- a/crates/standin/src/traffic.rs
+++ b/crates/standin/src/traffic.rs
@@ -6,9 +6,9 @@
 
 /// A member firm that asks.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Firm {
+pub struct Customer {
     /// Its number; below 2^33.
-    pub customer: u64,
+    pub id: u64,
     /// Name of its plan.
     pub plan: String,
     /// Units a second that it asks for, on average.
@@ -44,26 +44,29 @@
     /// `X-Correlation-Id`.
     pub name: String,
     /// Whose it is.
-    pub firm: Firm,
+    pub customer: Customer,
     /// What it is.
     pub kind: Kind,
 }
 
 impl Call {
     /// Method and path.
-    pub fn line(&self) -> (&'static str, String) {
+    pub fn method_and_path(&self) -> (&'static str, String) {
         let method = if self.kind.keyed { "POST" } else { "GET" };
-        (method, format!("/{}/{:016x}", self.kind.class, self.firm.customer))
+        (method, format!("/{}/{:016x}", self.kind.class, self.customer.id))
     }
 
     /// Its headers, without those of framing.
     pub fn headers(&self) -> Vec<(&'static str, String)> {
         let mut weight = String::new();
-        let _ =
-            write!(weight, "units={},spread={},first={}", self.kind.units, self.firm.spread, self.firm.first);
+        let _ = write!(
+            weight,
+            "units={},spread={},first={}",
+            self.kind.units, self.customer.spread, self.customer.first
+        );
         let mut headers = vec![
             ("x-correlation-id", self.name.clone()),
-            ("x-tariff", self.firm.plan.clone()),
+            ("x-tariff", self.customer.plan.clone()),
             ("x-time-left", format!("{:.3}", self.kind.budget_s)),
             ("x-weight", weight),
         ];
@@ -83,7 +86,7 @@
     /// # Panics
     /// When a name in it is no header value.
     pub fn request(&self) -> hyper::Request<Bytes> {
-        let (method, path) = self.line();
+        let (method, path) = self.method_and_path();
         let mut request =
             hyper::Request::builder().method(method).uri(path).header("host", "service.internal");
         for (name, value) in self.headers() {
@@ -95,12 +98,12 @@
 
 /// Draws `seconds` of traffic. The same arguments give the same requests: arrivals of each firm are Poisson, its
 /// requests are dealt out evenly among its limiters, and names hold the seed.
-pub fn draw(seed: u64, firms: &[Firm], kinds: &[Kind], limiters: u32, seconds: f64) -> Vec<Call> {
+pub fn generate(seed: u64, customers: &[Customer], kinds: &[Kind], limiters: u32, seconds: f64) -> Vec<Call> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let shares: f64 = kinds.iter().map(|k| k.share).sum();
     let mean_units = kinds.iter().map(|k| k.share / shares * k.units).sum::<f64>();
     let mut calls = Vec::new();
-    for firm in firms {
+    for firm in customers {
         let per_ms = firm.units_per_s / mean_units / 1000.0;
         let mut at_ms = 0.0;
         for turn in 0.. {
@@ -115,8 +118,8 @@
             });
             let kind = kind.unwrap_or(&kinds[kinds.len() - 1]).clone();
             let limiter = ((firm.first + turn % firm.spread) % limiters) as usize;
-            let name = format!("{seed:x}-{:x}-{turn}", firm.customer);
-            calls.push(Call { at_ms, limiter, name, firm: firm.clone(), kind });
+            let name = format!("{seed:x}-{:x}-{turn}", firm.id);
+            calls.push(Call { at_ms, limiter, name, customer: firm.clone(), kind });
         }
     }
     calls.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
@@ -125,9 +128,9 @@
 
 /// Firms inside, near and beyond the quotas of three plans (1.5, 4 and 16 units a second) over three limiters, and the
 /// kinds of requests that they make. The last firm asks for `greedy` units a second on the plan `fleet`.
-pub fn sample(greedy: f64) -> (Vec<Firm>, [Kind; 2]) {
-    let firm = |customer, plan: &str, units_per_s, spread, first| Firm {
-        customer,
+pub fn sample_traffic(greedy: f64) -> (Vec<Customer>, [Kind; 2]) {
+    let firm = |id, plan: &str, units_per_s, spread, first| Customer {
+        id,
         plan: plan.into(),
         units_per_s,
         spread,
@@ -156,10 +159,10 @@
     use super::*;
 
     fn drawn(seed: u64) -> Vec<Call> {
-        let firm = Firm { customer: 9, plan: "mill".into(), units_per_s: 40.0, spread: 2, first: 2 };
+        let firm = Customer { id: 9, plan: "mill".into(), units_per_s: 40.0, spread: 2, first: 2 };
         let kind =
             |class: &str, keyed, units| Kind { class: class.into(), keyed, share: 0.5, units, budget_s: 2.0 };
-        draw(seed, &[firm], &[kind("look", false, 1.0), kind("book", true, 3.0)], 3, 20.0)
+        generate(seed, &[firm], &[kind("look", false, 1.0), kind("book", true, 3.0)], 3, 20.0)
     }
 
     #[test]
--- a/marldeal/src/command/capacity.rs
+++ b/marldeal/src/command/capacity.rs
@@ -7,7 +7,7 @@
 use marldeal_capacity::size::Size;
 use marldeal_capacity::slopes::Slopes;
 use marldeal_capacity::table::{curves, table, Row};
-use marldeal_capacity::Wrong;
+use marldeal_capacity::InputError;
 use marldeal_rehearsal::report;
 
 use super::scenarios::print;
@@ -33,7 +33,7 @@
     std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn named(path: &Path, wrong: &[Wrong]) -> String {
+fn named(path: &Path, wrong: &[InputError]) -> String {
     wrong.iter().map(|w| format!("{}: {w}", path.display())).collect::<Vec<_>>().join("\n")
 }
 
@@ -42,11 +42,11 @@
 /// # Errors
 /// A line a mistake in the files, or the slope that is missing.
 pub fn run(what: &Capacity) -> Result<(), String> {
-    let size = Size::read(&text(&what.size)?).map_err(|wrong| named(&what.size, &wrong))?;
+    let size = Size::parse(&text(&what.size)?).map_err(|wrong| named(&what.size, &wrong))?;
     let mut slopes = Slopes::default();
     for path in &what.slopes {
-        let more = Slopes::read(&text(path)?).map_err(|wrong| named(path, &wrong))?;
-        slopes.add(more).map_err(|wrong| named(path, &[wrong]))?;
+        let more = Slopes::parse(&text(path)?).map_err(|wrong| named(path, &wrong))?;
+        slopes.merge(more).map_err(|wrong| named(path, &[wrong]))?;
     }
     let rows = table(&size, &slopes, what.prefetch).map_err(|wrong| wrong.to_string())?;
     print([shown(&rows), runs(&slopes)]);
@@ -70,18 +70,18 @@
     out.push_str("| --- | --- | ---: | ---: | --- | --- | --- | --- |\n");
     for r in rows {
         let mut rests = r.sources.join("; ");
-        if let Some(largest) = r.beyond {
+        if let Some(largest) = r.extrapolated_from {
             rests.push_str(&format!(" **extrapolated beyond {largest}**"));
         }
         out.push_str(&format!(
             "| {} | {} | {} | {} | {} | {} | {} | {} |\n",
             r.role,
-            r.what,
+            r.resource,
             figure(r.need),
             figure(r.bound),
             r.unit,
             r.verdict,
-            r.by,
+            r.basis,
             rests
         ));
     }
--- a/marldeal/src/command/demo.rs
+++ b/marldeal/src/command/demo.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use marldeal_standin::client::Client;
-use marldeal_standin::discovery::{line, Discovery};
-use marldeal_standin::node::{Node, Script};
-use marldeal_standin::traffic::{draw, Firm, Kind};
+use marldeal_standin::discovery::{update_line, Discovery};
+use marldeal_standin::server::{Script, Server};
+use marldeal_standin::traffic::{generate, Customer, Kind};
 use tokio::time::Instant;
 
 use marldeal_faults::processes::{self, Files, Process, Program};
@@ -67,13 +67,13 @@
     }
 }
 
-fn firms() -> Vec<Firm> {
-    let firm = |customer, plan: usize, units_per_s| Firm {
-        customer,
+fn firms() -> Vec<Customer> {
+    let firm = |id, plan: usize, units_per_s| Customer {
+        id,
         plan: PLANS[plan].0.into(),
         units_per_s,
         spread: LIMITERS,
-        first: customer as u32 % LIMITERS,
+        first: id as u32 % LIMITERS,
     };
     // On each plan one firm well inside its quota, one near it, one far beyond.
     vec![
@@ -99,12 +99,12 @@
 }
 
 async fn play(seconds: f64) -> Result<(), String> {
-    let nodes: Vec<Node> =
-        (0..NODES).map(|_| Node::scripted(Script { work_ms: 30, cores: 4, ..Script::default() })).collect();
+    let nodes: Vec<Server> =
+        (0..NODES).map(|_| Server::scripted(Script { work_ms: 30, cores: 4, ..Script::default() })).collect();
     let roster = |version, drained: Option<usize>| {
         let ids = ["node-0", "node-1", "node-2"];
         let entry = |n: usize| (ids[n], nodes[n].addr, if drained == Some(n) { "leaving" } else { "active" });
-        line(version, true, &(0..NODES).map(entry).collect::<Vec<_>>())
+        update_line(version, true, &(0..NODES).map(entry).collect::<Vec<_>>())
     };
     let discovery = Discovery::shared(roster(1, None));
     let mail = processes::mail_addresses(LIMITERS as usize)?;
@@ -122,7 +122,7 @@
     let kind =
         |class: &str, keyed, share, units| Kind { class: class.into(), keyed, share, units, budget_s: 3.0 };
     let kinds = [kind("slot-check", false, 0.62, 1.0), kind("pickup-book", true, 0.38, 2.0)];
-    let calls = draw(SEED, &firms(), &kinds, LIMITERS, seconds);
+    let calls = generate(SEED, &firms(), &kinds, LIMITERS, seconds);
     let began = Instant::now();
     let (done, mut finished) = tokio::sync::mpsc::unbounded_channel();
     for call in &calls {
@@ -146,7 +146,7 @@
         tokio::select! {
             one = finished.recv() => {
                 let Some((call, status, took_ms)) = one else { break };
-                let row = rows.entry(call.firm.plan.clone()).or_default();
+                let row = rows.entry(call.customer.plan.clone()).or_default();
                 match status {
                     Ok(200) => {
                         row.served += 1;
@@ -158,7 +158,7 @@
                 }
             }
             () = tokio::time::sleep_until(half), if drained.is_none() => {
-                let before = nodes[2].arrivals();
+                let before = nodes[2].request_count();
                 discovery.announce(&roster(2, Some(2)));
                 drained = Some((Instant::now(), before));
             }
@@ -180,7 +180,7 @@
         let Row { served, refused, failed, .. } = row;
         println!("{plan:<12}{served:>8}{refused:>9}{failed:>8}{p50:>10.0}{p99:>10.0}{used:>11.0}%");
     }
-    let arrivals: Vec<usize> = nodes.iter().map(Node::arrivals).collect();
+    let arrivals: Vec<usize> = nodes.iter().map(Server::request_count).collect();
     println!("\nrequests at the nodes: {arrivals:?}; the last was drained after {:.0} s", seconds / 2.0);
     if let Some((_, before)) = drained {
         println!("of its {} requests, {} came after the notice was sent", arrivals[2], arrivals[2] - before);
--- a/marldeal/src/command/scale.rs
+++ b/marldeal/src/command/scale.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-use marldeal_capacity::slopes::{Ground, Series, Slopes};
+use marldeal_capacity::slopes::{MeasurementSetup, Series, Slopes};
 use marldeal_rehearsal::figures::Figures;
 use marldeal_rehearsal::report::{self, Size};
 use marldeal_rehearsal::scenario::Scenario;
@@ -59,7 +59,7 @@
         write(path, &serde_json::to_string_pretty(&all).map_err(|e| e.to_string())?)?;
     }
     if let Some(path) = &out.slopes {
-        write(path, &slopes(limiters, &all, &decided, prefetch).write())?;
+        write(path, &slopes(limiters, &all, &decided, prefetch).to_toml())?;
     }
     if let Some(f) = all.iter().find(|f| f.broken_count > 0) {
         return Err(format!("rule broken: {:?}", f.broken.first()));
@@ -133,7 +133,7 @@
     let series = |name: &str, values: Vec<f64>| Series {
         figure: if prefetch { format!("prefetch_{name}") } else { name.to_string() },
         along: "limiters".to_string(),
-        ground: Ground::Hollow,
+        ground: MeasurementSetup::Hollow,
         run: format!("marldeal {words}"),
         points: limiters.iter().map(|n| f64::from(*n)).zip(values).collect(),
     };
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -21,7 +21,7 @@
 use marldeal_lifecycle::{Command, Ending, Lifecycle, Phase};
 use marldeal_outcomes::{AnswerCache, KeyedRequest, Lookup};
 use marldeal_permit::violation::Violations;
-use marldeal_snapshot::{Belief, Grade, Snapshot};
+use marldeal_snapshot::{Assessment, Snapshot, SnapshotKind};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tracing::{debug, info};
@@ -364,7 +364,7 @@
     }
 
     /// What is known now, as bytes.
-    pub fn snapshot(&self, grade: Grade) -> Vec<u8> {
+    pub fn snapshot(&self, grade: SnapshotKind) -> Vec<u8> {
         self.state.borrow().engine.snapshot(self.now(), grade).to_bytes(&self.config.settings)
     }
 
@@ -375,18 +375,18 @@
             Err(why) => return format!("{why}; it starts as if alone"),
         };
         let now = self.now();
-        let belief = marldeal_snapshot::believe(read, now);
+        let belief = marldeal_snapshot::assess(read, now);
         let said = match &belief {
-            Belief::Same { knowledge, .. } => format!(
+            Assessment::SameLimiter { knowledge, .. } => format!(
                 "goes on as the same limiter with {} servers, {} customers, {} accounts",
                 knowledge.servers.len(),
                 knowledge.customers.len(),
                 knowledge.accounts.len()
             ),
-            Belief::Hints { .. } => "knows the servers; ceilings start as if spent".to_string(),
-            Belief::Nothing { age_ms } => format!("a snapshot {age_ms} ms old is not believed"),
+            Assessment::Hints { .. } => "knows the servers; ceilings start as if spent".to_string(),
+            Assessment::Expired { age_ms } => format!("a snapshot {age_ms} ms old is not believed"),
         };
-        self.follows.set(!matches!(belief, Belief::Nothing { .. }));
+        self.follows.set(!matches!(belief, Assessment::Expired { .. }));
         let mut state = self.state.borrow_mut();
         state.engine.learn(now, belief);
         if state.rearm() {
--- a/marldeal/src/upgrade/frame.rs
+++ b/marldeal/src/upgrade/frame.rs
@@ -4,14 +4,14 @@
 use std::fmt;
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use marldeal_snapshot::MOST_BYTES;
+use marldeal_snapshot::MAX_BYTES;
 
 /// The version of this protocol.
 pub const VERSION: u8 = 1;
 /// Kind and length.
 const HEAD: usize = 5;
 /// Longest body: a snapshot, or what was read of one request.
-const MOST_BODY: usize = MOST_BYTES;
+const MOST_BODY: usize = MAX_BYTES;
 
 /// One thing said.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/marldeal/src/upgrade/mod.rs
+++ b/marldeal/src/upgrade/mod.rs
@@ -12,7 +12,7 @@
 
 use bytes::{Bytes, BytesMut};
 use marldeal_lifecycle::{Command, Phase};
-use marldeal_snapshot::Grade;
+use marldeal_snapshot::SnapshotKind;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -266,7 +266,7 @@
         Ok(Ok(Some((Frame::Hello(version), _)))) => return format!("it speaks version {version}"),
         _ => return "it says nothing that is expected".to_string(),
     }
-    let warm = Frame::Snapshot(driver.snapshot(Grade::Warm).into());
+    let warm = Frame::Snapshot(driver.snapshot(SnapshotKind::Running).into());
     if !matches!(timeout(PATIENCE, line.send(&warm, None)).await, Ok(Ok(()))) {
         return "it does not take the snapshot in".to_string();
     }
@@ -282,7 +282,7 @@
     let _ = driver.command(Command::HandOver);
     driver.close_mail();
     driver.close_idle();
-    let last = Frame::Snapshot(driver.snapshot(Grade::Last).into());
+    let last = Frame::Snapshot(driver.snapshot(SnapshotKind::Final).into());
     if !matches!(timeout(PATIENCE, line.send(&last, None)).await, Ok(Ok(()))) {
         return "it does not take the last snapshot in; connections are closed here".to_string();
     }
--- a/marldeal/tests/bodies.rs
+++ b/marldeal/tests/bodies.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use marldeal_standin::message::read;
-use marldeal_standin::PATIENCE;
+use marldeal_standin::TIMEOUT;
 use stubs::{ask, get, post, read_answer, wait_for, write_ok, Node, Stub};
 
 /// A text of so many bytes in which no two places look alike.
@@ -18,7 +18,7 @@
 
 fn connect(node: &Node) -> TcpStream {
     let stream = TcpStream::connect(node.addr).expect("connect");
-    stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("time-out");
     stream
 }
 
@@ -28,7 +28,7 @@
     let addr = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         let (stream, _) = listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("time-out");
         play(stream);
     });
     addr
@@ -40,7 +40,7 @@
     let node = Node::managed(&[("s-0", &server, "active")], |c| {
         c.replace(r#""memory_mb":192"#, r#""memory_mb":20"#)
     });
-    node.discovery.push(&stubs::line(2, true, &[("s-1", addr, "active")]));
+    node.discovery.push(&stubs::update_line(2, true, &[("s-1", addr, "active")]));
     node.wait_log("server s-1");
     node
 }
@@ -82,7 +82,7 @@
         assert_eq!(read_answer(&mut stream).body, key);
     }
     // Held ones are sent on with their length, whatever they came with.
-    assert!(server.seen().iter().all(|s| s.header("content-length").is_some()));
+    assert!(server.requests().iter().all(|s| s.header("content-length").is_some()));
 }
 
 #[test]
@@ -186,7 +186,7 @@
         assert!(bytes.starts_with(b"HTTP/1.1 200") && !bytes.ends_with(b"0\r\n\r\n"));
         assert!((70_000..160_000).contains(&bytes.len()), "{}", bytes.len());
         wait_for("its end", || node.figure("aborted.look") == 1);
-        assert_eq!((node.figure("succeeded.look"), server.seen().len()), (0, 1), "no second attempt");
+        assert_eq!((node.figure("succeeded.look"), server.requests().len()), (0, 1), "no second attempt");
     }
 }
 
@@ -206,7 +206,7 @@
     stream.write_all(get("look", "").as_bytes()).expect("write");
     stream.read_exact(&mut [0; 100_000]).expect("some of it");
     drop(stream);
-    ended.recv_timeout(PATIENCE).expect("the server is called off");
+    ended.recv_timeout(TIMEOUT).expect("the server is called off");
     wait_for("its end", || node.figure("outstanding") == 0);
     assert_eq!(node.figure("aborted.look"), 1);
 }
@@ -237,7 +237,7 @@
     let (first, rest) = request.split_at(1_200_000);
     let mut stream = connect(&node);
     stream.write_all(first.as_bytes()).expect("write");
-    half.recv_timeout(PATIENCE).expect("the server has bytes already");
+    half.recv_timeout(TIMEOUT).expect("the server has bytes already");
     assert_eq!(node.figure("forwards"), 0, "not written whole yet");
     stream.write_all(rest.as_bytes()).expect("write");
     assert_eq!(read_answer(&mut stream).body, body.len().to_string());
@@ -294,7 +294,7 @@
     let all = request("a");
     stream.write_all(&all.as_bytes()[..1_200_000]).expect("write");
     // The last bytes come once the server has gone: whatever room there is on the way, it cannot have had them.
-    closed.recv_timeout(PATIENCE).expect("the server closes");
+    closed.recv_timeout(TIMEOUT).expect("the server closes");
     stream.write_all(&all.as_bytes()[1_200_000..]).expect("write");
     assert_eq!(read_answer(&mut stream).status, 429);
     let after = played(|mut stream| {
@@ -325,7 +325,7 @@
     stream.write_all(&request.as_bytes()[..1_200_000]).expect("write");
     wait_for("the request to be open", || node.figure("outstanding") == 1);
     drop(stream);
-    ended.recv_timeout(PATIENCE).expect("the server is not left waiting");
+    ended.recv_timeout(TIMEOUT).expect("the server is not left waiting");
     wait_for("its end", || node.figure("outstanding") == 0);
 }
 
@@ -342,7 +342,7 @@
                 let (addr, request) = (node.addr, post("book", &format!("{round}-{n}"), "", &text(300_000)));
                 std::thread::spawn(move || {
                     let mut stream = TcpStream::connect(addr).expect("connect");
-                    stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+                    stream.set_read_timeout(Some(TIMEOUT)).expect("time-out");
                     stream.write_all(request.as_bytes()).expect("write");
                     read_answer(&mut stream)
                 })
@@ -365,5 +365,5 @@
     stream.write_all(announce("k", "Content-Length: 99000000\r\n").as_bytes()).expect("write");
     stream.shutdown(Shutdown::Write).expect("shutdown");
     assert_eq!(read_answer(&mut stream).status, 413);
-    assert!(server.seen().is_empty());
+    assert!(server.requests().is_empty());
 }
--- a/marldeal/tests/capacity.rs
+++ b/marldeal/tests/capacity.rs
@@ -102,7 +102,7 @@
     let output = scale("3,4,6", &["--prefetch"]);
     assert!(output.status.success(), "{}", text(&output.stderr));
     let written = std::fs::read_to_string(&slopes).expect("slopes");
-    let read = marldeal_capacity::slopes::Slopes::read(&written).expect("good slopes");
+    let read = marldeal_capacity::slopes::Slopes::parse(&written).expect("good slopes");
     let series = read.find("prefetch_wait_ms_p99", "limiters").expect("the series");
     assert_eq!(series.points.iter().map(|p| p.0).collect::<Vec<_>>(), [3.0, 4.0, 6.0]);
     assert!(series.run.starts_with("marldeal rehearse scale --like size/calm"), "{}", series.run);
--- a/marldeal/tests/crossings.rs
+++ b/marldeal/tests/crossings.rs
@@ -68,7 +68,7 @@
     let swallowed = call(&calls, PATIENT, "first call");
     let again = call(&calls, Duration::from_millis(2500), "second call beside the first");
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let list = line(2, true, &[("s-1", server.addr, "active")]);
+    let list = update_line(2, true, &[("s-1", server.addr, "active")]);
     let _open = answer_until(&calls, &list, || readiness(&node) == 200);
     drop(again);
     drop(swallowed);
@@ -81,18 +81,18 @@
     let (addr, calls) = agent();
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let node = Bare::start(addr, |c| c);
-    let list = line(2, true, &[("s-1", server.addr, "active")]);
+    let list = update_line(2, true, &[("s-1", server.addr, "active")]);
     let watches = answer_until(&calls, &list, || readiness(&node) == 200);
     // Away: the watch is reset, and what is asked from here on is swallowed.
     drop(watches);
     let swallowed = call(&calls, PATIENT, "call that is swallowed");
     // Back: whoever asks now hears it.
     let back = Instant::now();
-    let list = line(3, false, &[("s-1", server.addr, "leaving")]);
+    let list = update_line(3, false, &[("s-1", server.addr, "leaving")]);
     let _open = answer_until(&calls, &list, || readiness(&node) == 503);
     assert!(back.elapsed() < Duration::from_millis(4000), "{:?}", back.elapsed());
     assert_eq!(node.ask(&get("look", "")).status, 429);
-    assert_eq!(server.arrivals(), 0);
+    assert_eq!(server.request_count(), 0);
     drop(swallowed);
 }
 
@@ -143,7 +143,7 @@
 fn lists_may_come_indented_and_in_pieces() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let node = Node::start(&[]);
-    let compact = line(5, true, &[("s-1", server.addr, "active")]);
+    let compact = update_line(5, true, &[("s-1", server.addr, "active")]);
     let value: serde_json::Value = serde_json::from_str(&compact).expect("a list");
     let indented = serde_json::to_string_pretty(&value).expect("text") + "\n";
     for piece in indented.as_bytes().chunks(7) {
@@ -171,12 +171,12 @@
     let one = |n: u32| get("look", "").replace("c-1", &format!("c-{n}")).replace("Left: 3.0", "Left: 50.0");
     let mut client = TcpStream::connect(node.addr).expect("connect");
     client.write_all((one(1) + &one(2) + &one(3) + &one(4)).as_bytes()).expect("write");
-    wait_for("the first at the server", || server.arrivals() == 1);
+    wait_for("the first at the server", || server.request_count() == 1);
     drop(client);
     assert_eq!(leaves.recv_timeout(Duration::from_secs(8)), Ok(true), "the attempt is called off");
     // By now its connection is gone: the requests behind have been dropped with it.
     assert_eq!(ready(&node), 200);
-    assert_eq!(server.arrivals(), 1);
+    assert_eq!(server.request_count(), 1);
 }
 
 /// The same while a request waits for a peer's word that never comes: after 0.4 s the even part would send it on.
@@ -210,7 +210,7 @@
     });
     let customer = theirs.expect("one of them is kept by the peer");
     while peer.recv(&mut buffer).is_ok() {}
-    let before = server.arrivals();
+    let before = server.request_count();
     let mut client = TcpStream::connect(node.addr).expect("connect");
     client.write_all((request(customer, 1) + &request(customer, 2)).as_bytes()).expect("write");
     peer.set_read_timeout(Some(PATIENT)).expect("time-out");
@@ -218,7 +218,8 @@
     drop(client);
     // It asks later and is sent on later.
     assert_eq!(ask(&node, &request(customer, 3)).status, 200);
-    let ids: Vec<_> = server.seen()[before..].iter().filter_map(|s| s.header("x-correlation-id")).collect();
+    let ids: Vec<_> =
+        server.requests()[before..].iter().filter_map(|s| s.header("x-correlation-id")).collect();
     assert_eq!(ids, [format!("c-{customer}-3")]);
 }
 
@@ -228,7 +229,7 @@
 fn a_booking_whose_client_left_while_its_connection_came_up_is_not_sent() {
     let (addr, listener, filler) = full();
     let node = Node::with(&[], |c| c.replace(r#""DialTimeoutMs":250"#, r#""DialTimeoutMs":6000"#));
-    node.discovery.push(&line(2, true, &[("s-1", addr, "active")]));
+    node.discovery.push(&update_line(2, true, &[("s-1", addr, "active")]));
     wait_for("readiness", || ready(&node) == 200);
     let mut client = TcpStream::connect(node.addr).expect("connect");
     let long = post("book", "k1", "", "x").replace("X-Time-Left: 3.0", "X-Time-Left: 8.0");
@@ -261,8 +262,8 @@
     let mut client = TcpStream::connect(node.addr).expect("connect");
     let long = post("book", "k1", "", "x").replace("X-Time-Left: 3.0", "X-Time-Left: 8.0");
     client.write_all(long.as_bytes()).expect("write");
-    wait_for("the first attempt", || first.arrivals() == 1);
-    node.discovery.push(&line(2, false, &[("s-2", addr, "active")]));
+    wait_for("the first attempt", || first.request_count() == 1);
+    node.discovery.push(&update_line(2, false, &[("s-2", addr, "active")]));
     node.wait_log("server s-2 at");
     told.send(()).expect("the first server waits");
     wait_for("the second attempt's connect", || connecting(addr));
@@ -311,7 +312,7 @@
 fn nothing_is_sent_by_the_old_list_before_the_agent_has_spoken() {
     let (addr, calls) = agent();
     let (old, new) = (Stub::new(|_, s| write_ok(s, "old")), Stub::new(|_, s| write_ok(s, "new")));
-    let known = line(1, true, &[("s-1", old.addr, "active")]);
+    let known = update_line(1, true, &[("s-1", old.addr, "active")]);
     // Aims that leave the word its whole time.
     let node = Bare::start(addr, |c| {
         c.replace(r#"{"version":1,"full":true,"servers":[]}"#, known.trim())
@@ -324,9 +325,9 @@
     // Time enough for it to go out, and far less than a silent agent is waited for.
     std::thread::sleep(Duration::from_millis(300));
     let _ = watch.write_all(HEAD.as_bytes());
-    say(&mut watch, &line(2, true, &[("s-1", old.addr, "leaving"), ("s-2", new.addr, "active")]));
+    say(&mut watch, &update_line(2, true, &[("s-1", old.addr, "leaving"), ("s-2", new.addr, "active")]));
     assert_eq!(read_answer(&mut client).body, "new");
-    assert_eq!(old.arrivals(), 0);
+    assert_eq!(old.request_count(), 0);
 }
 
 /// Connections that come late while the process ends lie in its queue. Guards against a request that was written to one of
@@ -339,7 +340,7 @@
     });
     let mut slow = TcpStream::connect(node.addr).expect("connect");
     slow.write_all(post("book", "k1", "", "slow").as_bytes()).expect("write");
-    wait_for("the slow request to arrive", || server.arrivals() == 1);
+    wait_for("the slow request to arrive", || server.request_count() == 1);
     node.signal("TERM");
     node.wait_log("turned away from now on");
     let mut late: Vec<_> = (0..40).map(|_| TcpStream::connect(node.addr).expect("connect")).collect();
@@ -352,7 +353,7 @@
         assert_eq!(answer.status, 429);
         assert!(answer.header("retry-after").is_some(), "{}", answer.head);
     }
-    assert_eq!(server.arrivals(), 1);
+    assert_eq!(server.request_count(), 1);
     release.store(true, std::sync::atomic::Ordering::SeqCst);
     assert_eq!(read_answer(&mut slow).body, "done");
     assert_eq!(node.exit_code(), Some(0));
@@ -404,7 +405,7 @@
         let (addr, calls) = agent();
         let server = Stub::new(|_, stream| write_ok(stream, "fine"));
         let node = Bare::start(addr, |c| c);
-        let list = line(2, true, &[("s-1", server.addr, "active")]);
+        let list = update_line(2, true, &[("s-1", server.addr, "active")]);
         let mut watches = answer_until(&calls, &list, || readiness(&node) == 200);
         let mut clients: Vec<_> = (0..8).map(|_| TcpStream::connect(node.addr).expect("connect")).collect();
         for (n, client) in clients.iter_mut().enumerate() {
@@ -413,7 +414,7 @@
         }
         // Idle connections rest a little before they are used again.
         std::thread::sleep(Duration::from_millis(50));
-        let before = server.arrivals();
+        let before = server.request_count();
         stopped(&node, || {
             for (n, client) in clients.iter_mut().enumerate() {
                 let request = get("look", "")
@@ -422,14 +423,14 @@
                 client.write_all(request.as_bytes()).expect("write");
             }
             for watch in &mut watches {
-                say(watch, &line(3, false, &[("s-1", server.addr, "leaving")]));
+                say(watch, &update_line(3, false, &[("s-1", server.addr, "leaving")]));
             }
             std::thread::sleep(Duration::from_millis(1300));
         });
         for client in &mut clients {
             assert_eq!(read_answer(client).status, 429);
         }
-        assert_eq!(server.arrivals(), before, "nothing new, turn {turn}");
+        assert_eq!(server.request_count(), before, "nothing new, turn {turn}");
     }
 }
 
@@ -441,7 +442,7 @@
         let (addr, calls) = agent();
         let server = Stub::new(|_, stream| write_ok(stream, "fine"));
         let node = Bare::start(addr, |c| c);
-        let list = line(2, true, &[("s-1", server.addr, "active")]);
+        let list = update_line(2, true, &[("s-1", server.addr, "active")]);
         let _watches = answer_until(&calls, &list, || readiness(&node) == 200);
         let mut clients: Vec<_> = (0..8).map(|_| TcpStream::connect(node.addr).expect("connect")).collect();
         for (n, client) in clients.iter_mut().enumerate() {
@@ -449,7 +450,7 @@
             assert_eq!(exchange(client, &request).body, "fine");
         }
         std::thread::sleep(Duration::from_millis(50));
-        let before = server.arrivals();
+        let before = server.request_count();
         stopped(&node, || {
             for (n, mut client) in clients.drain(..).enumerate() {
                 let request = post("book", &format!("{turn}-{n}"), "", "x").replace("Left: 3.0", "Left: 9.0");
@@ -459,7 +460,7 @@
         });
         assert_eq!(readiness(&node), 200);
         std::thread::sleep(Duration::from_millis(100));
-        assert_eq!(server.arrivals(), before, "nothing for those who left, turn {turn}");
+        assert_eq!(server.request_count(), before, "nothing for those who left, turn {turn}");
     }
 }
 
@@ -508,7 +509,7 @@
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let (addr, calls) = agent();
     let node = Bare::start(addr, |c| c);
-    let list = line(2, true, &[("s-1", server.addr, "active")]);
+    let list = update_line(2, true, &[("s-1", server.addr, "active")]);
     let _watches = answer_until(&calls, &list, || readiness(&node) == 200);
     let mut clients: Vec<_> = (0..12).map(|_| TcpStream::connect(node.addr).expect("connect")).collect();
     let request =
@@ -534,7 +535,7 @@
 fn the_time_in_the_queue_of_a_start_counts() {
     let (addr, _calls) = agent();
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let known = line(1, true, &[("s-1", server.addr, "active")]);
+    let known = update_line(1, true, &[("s-1", server.addr, "active")]);
     let node = Bare::start(addr, |c| {
         c.replace(r#"{"version":1,"full":true,"servers":[]}"#, known.trim())
             .replace(r#""AimMs":1000"#, r#""AimMs":9000"#)
@@ -545,7 +546,7 @@
     client.write_all(get("look", "").replace("Left: 3.0", "Left: 9.0").as_bytes()).expect("write");
     assert_eq!(read_answer(&mut client).body, "fine");
     let waited = began.elapsed().as_secs_f64();
-    let told: f64 = server.seen()[0].header("x-time-left").expect("a time").parse().expect("a number");
+    let told: f64 = server.requests()[0].header("x-time-left").expect("a time").parse().expect("a number");
     assert!(waited > 1.0, "the agent is waited for: {waited}");
     assert!(told <= 9.0 - waited + 0.2, "told {told} s after {waited} s");
 }
--- a/marldeal/tests/external.rs
+++ b/marldeal/tests/external.rs
@@ -13,9 +13,9 @@
 use envoy_types::pb::envoy::service::ratelimit::v3 as rls;
 use ext::processing_request::Request as Phase;
 use ext::processing_response::Response as Verdict;
-use marldeal_standin::node::{Fault, Script};
 use marldeal_standin::proxy::*;
-use marldeal_standin::traffic::{Call, Firm, Kind};
+use marldeal_standin::server::{Fault, Script};
+use marldeal_standin::traffic::{Call, Customer, Kind};
 use stubs::*;
 use tonic::transport::{Channel, Endpoint};
 use tonic::Code;
@@ -25,7 +25,7 @@
         at_ms: 0.0,
         limiter: 0,
         name: name.to_string(),
-        firm: Firm { customer: 0xb4d65521, plan: "basic".into(), units_per_s: 1.0, spread: 1, first: 0 },
+        customer: Customer { id: 0xb4d65521, plan: "basic".into(), units_per_s: 1.0, spread: 1, first: 0 },
         kind: Kind { class: class.into(), keyed: class == "book", share: 1.0, units: 1.0, budget_s: 3.0 },
     }
 }
@@ -61,18 +61,18 @@
     match stream.next().await {
         Ok(answer) => match answer.response {
             Some(Verdict::RequestHeaders(r)) => {
-                format!("go {}", set_header(r.response.as_ref(), DESTINATION).unwrap_or_default())
+                format!("go {}", set_header(r.response.as_ref(), DESTINATION_HEADER).unwrap_or_default())
             }
-            Some(Verdict::ResponseHeaders(r)) => match set_header(r.response.as_ref(), RETRY) {
+            Some(Verdict::ResponseHeaders(r)) => match set_header(r.response.as_ref(), RETRY_HEADER) {
                 Some(node) => format!("retry {node}"),
                 None => "pass".to_string(),
             },
             Some(Verdict::ImmediateResponse(r)) => r.status.map_or(0, |s| s.code).to_string(),
             other => format!("{other:?}"),
         },
-        Err(Trouble::Stream(status)) => format!("{:?}", status.code()),
-        Err(Trouble::Silent) => "end".to_string(),
-        Err(Trouble::Wrong(what)) => what,
+        Err(ProcessorError::Stream(status)) => format!("{:?}", status.code()),
+        Err(ProcessorError::NoAnswer) => "end".to_string(),
+        Err(ProcessorError::Unexpected(what)) => what,
     }
 }
 
@@ -98,7 +98,7 @@
     let channel = channel(node.processor()).await;
     let mut stream = presented(&channel, &call("c-1", "look"), Some(1)).await;
     let answer = stream.next().await.expect("an answer");
-    assert_eq!(metadata(&answer, "envoy.lb", DESTINATION), Some(server.addr.to_string()));
+    assert_eq!(metadata(&answer, "envoy.lb", DESTINATION_HEADER), Some(server.addr.to_string()));
     let mode = answer.mode_override.expect("a mode");
     assert_eq!(
         (mode.response_header_mode, mode.response_body_mode),
@@ -107,16 +107,16 @@
     );
     let Some(Verdict::RequestHeaders(go)) = answer.response else { panic!("not let in") };
     let header = |name| set_header(go.response.as_ref(), name).expect(name);
-    assert_eq!(header(DESTINATION), server.addr.to_string());
+    assert_eq!(header(DESTINATION_HEADER), server.addr.to_string());
     assert!(header("x-envoy-upstream-rq-timeout-ms").parse::<u64>().is_ok_and(|ms| ms <= 3000));
     assert!(header("x-time-left").parse::<f64>().is_ok_and(|s| s <= 3.0));
     stream.send(answered(200, &[])).await;
     assert_eq!(told(&mut stream).await, "pass");
 
-    let proxy = Proxy::connect(node.processor(), Shape::PerTry).await.expect("a proxy");
-    let done = proxy.carry(&call("c-2", "book").request()).await.expect("an answer");
+    let proxy = Proxy::connect(node.processor(), RetryMode::PerTry).await.expect("a proxy");
+    let done = proxy.handle(&call("c-2", "book").request()).await.expect("an answer");
     assert_eq!((done.status, &done.body[..]), (200, &b"booked"[..]));
-    assert_eq!(server.arrivals(), 1, "the first stream was only talk");
+    assert_eq!(server.request_count(), 1, "the first stream was only talk");
     assert!(stop(&mut node).contains("0 open"));
 }
 
@@ -124,38 +124,38 @@
 async fn beyond_its_quota_a_firm_is_refused_with_advice() {
     let server = Stub::scripted(Script::default());
     let node = Node::proxied(&[("s-1", &server, "active")], quota(4), "");
-    let proxy = Proxy::connect(node.processor(), Shape::Once).await.expect("a proxy");
+    let proxy = Proxy::connect(node.processor(), RetryMode::None).await.expect("a proxy");
     let mut statuses = Vec::new();
     for n in 0..6 {
-        let done = proxy.carry(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
+        let done = proxy.handle(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
         assert_eq!(done.retry_after.is_some(), done.status == 429);
         statuses.push(done.status);
     }
     assert_eq!(statuses, [200, 200, 200, 200, 429, 429]);
     // Direct mode counts with it: the same account is empty there too.
     assert_eq!(ask(&node, &get("look", "")).status, 429);
-    assert_eq!(server.arrivals(), 4);
+    assert_eq!(server.request_count(), 4);
 }
 
 /// Both shapes of a further attempt: the first answer never ran, the second serves; the firm pays once.
 #[tokio::test]
 async fn a_further_attempt_is_carried_out_by_the_proxy_in_both_shapes() {
     for (shape, extension) in
-        [(Shape::PerTry, "retries = \"presented\""), (Shape::Loop, "retries = \"looped\"")]
+        [(RetryMode::PerTry, "retries = \"presented\""), (RetryMode::SameStream, "retries = \"looped\"")]
     {
-        let script = Script { faults: vec![(0..2, Fault::TurnAway)], ..Script::default() };
+        let script = Script { faults: vec![(0..2, Fault::Unprocessed)], ..Script::default() };
         let servers = [Stub::scripted(script), Stub::scripted(Script::default())];
         let all = [("s-1", &servers[0], "active"), ("s-2", &servers[1], "active")];
         let node = Node::proxied(&all, quota(4), extension);
         let proxy = Proxy::connect(node.processor(), shape).await.expect("a proxy");
         let mut attempts = 0;
         for n in 0..4 {
-            let done = proxy.carry(&call(&format!("c-{n}"), "book").request()).await.expect("an answer");
+            let done = proxy.handle(&call(&format!("c-{n}"), "book").request()).await.expect("an answer");
             assert_eq!(done.status, 200, "{shape:?}");
-            attempts += done.nodes.len();
+            attempts += done.servers.len();
         }
-        assert_eq!(servers[0].arrivals() + servers[1].arrivals(), attempts);
-        let last = proxy.carry(&call("c-9", "book").request()).await.expect("an answer");
+        assert_eq!(servers[0].request_count() + servers[1].request_count(), attempts);
+        let last = proxy.handle(&call("c-9", "book").request()).await.expect("an answer");
         assert_eq!(last.status, 429, "four tries were paid for, whatever their attempts");
     }
 }
@@ -166,10 +166,10 @@
     let script = Script { faults: vec![(0..99, Fault::Error)], ..Script::default() };
     let server = Stub::scripted(script);
     let node = Node::proxied(&[("s-1", &server, "active")], same, "retries = \"looped\"");
-    let proxy = Proxy::connect(node.processor(), Shape::Loop).await.expect("a proxy");
-    let done = proxy.carry(&call("c-1", "book").request()).await.expect("an answer");
+    let proxy = Proxy::connect(node.processor(), RetryMode::SameStream).await.expect("a proxy");
+    let done = proxy.handle(&call("c-1", "book").request()).await.expect("an answer");
     assert_eq!(done.status, 502);
-    assert!((1..=3).contains(&server.arrivals()) && server.most_at_once() == 1);
+    assert!((1..=3).contains(&server.request_count()) && server.max_concurrent_requests() == 1);
 }
 
 /// A node that is never reached has not run anything: a refusal, and no unit of doubt.
@@ -178,9 +178,9 @@
     let server = Stub::scripted(Script::default());
     let node = Node::proxied(&[("s-1", &server, "active")], same, "retries = \"looped\"");
     server.close();
-    let proxy = Proxy::connect(node.processor(), Shape::Loop).await.expect("a proxy");
-    let done = proxy.carry(&call("c-1", "book").request()).await.expect("an answer");
-    assert_eq!((done.status, server.arrivals()), (429, 0));
+    let proxy = Proxy::connect(node.processor(), RetryMode::SameStream).await.expect("a proxy");
+    let done = proxy.handle(&call("c-1", "book").request()).await.expect("an answer");
+    assert_eq!((done.status, server.request_count()), (429, 0));
 }
 
 #[tokio::test]
@@ -194,14 +194,14 @@
         ("400", |h| h.retain(|(n, _)| *n != "x-correlation-id")),
         ("400", |h| h.push(("x-tariff", "other".into()))),
         ("400", |h| h.push(("bad name", "x".into()))),
-        ("400", |h| h.push((ATTEMPT_COUNT, "0".into()))),
+        ("400", |h| h.push((ATTEMPT_COUNT_HEADER, "0".into()))),
         ("404", |h| h.iter_mut().filter(|(n, _)| *n == ":path").for_each(|(_, v)| *v = "/look".into())),
         ("405", |h| h.iter_mut().filter(|(n, _)| *n == ":method").for_each(|(_, v)| *v = "POST".into())),
         ("431", |h| h.extend((0..200).map(|_| ("x-more", String::new())))),
     ];
     for (expected, change) in changes {
         let call = call("c-1", "look");
-        let (method, path) = call.line();
+        let (method, path) = call.method_and_path();
         let mut pairs = vec![(":method", method.to_string()), (":path", path)];
         pairs.extend(call.headers());
         change(&mut pairs);
@@ -240,7 +240,7 @@
 async fn a_proxy_that_cancels_before_the_verdict_leaves_nothing_behind() {
     let server = Stub::scripted(Script::default());
     let mut node = Node::proxied(&[("s-1", &server, "active")], quota(4), "");
-    node.discovery.push(&line(2, true, &[("s-1", server.addr, "leaving")]));
+    node.discovery.push(&update_line(2, true, &[("s-1", server.addr, "leaving")]));
     node.wait_log("Draining");
     let channel = channel(node.processor()).await;
     for n in 0..3 {
@@ -254,7 +254,7 @@
     bad.send(Phase::RequestHeaders(headers(Vec::new(), true))).await;
     assert_eq!(told(&mut bad).await, "400");
     tokio::time::sleep(Duration::from_millis(50)).await;
-    node.discovery.push(&line(3, true, &[("s-1", server.addr, "active")]));
+    node.discovery.push(&update_line(3, true, &[("s-1", server.addr, "active")]));
     node.wait_log("Serving");
     wait_for("readiness", || ready(&node) == 200);
     // Had the three kept their units, one would be left.
@@ -304,7 +304,7 @@
     }
     // One that asks something else under that name is no repeat of it; neither is one of the direct front.
     let mut different = call.clone();
-    different.firm.customer += 1;
+    different.customer.id += 1;
     let mut second = presented(&other, &different, Some(1)).await;
     assert_eq!(told(&mut second).await, "409");
     assert_eq!(ask(&node, &get("look", "")).status, 409, "its id is c-1 as well");
@@ -355,11 +355,11 @@
     let server = Stub::scripted(Script::default());
     let nodes = [0, 1].map(|_| Node::proxied(&[("s-1", &server, "active")], quota(2), ""));
     for node in &nodes {
-        let proxy = Proxy::connect(node.processor(), Shape::PerTry).await.expect("a proxy");
-        let done = proxy.carry(&call("c-1", "book").request()).await.expect("an answer");
+        let proxy = Proxy::connect(node.processor(), RetryMode::PerTry).await.expect("a proxy");
+        let done = proxy.handle(&call("c-1", "book").request()).await.expect("an answer");
         assert_eq!(done.status, 200);
     }
-    let keys: Vec<_> = server.seen().iter().map(|m| m.header("idempotency-key")).collect();
+    let keys: Vec<_> = server.requests().iter().map(|m| m.header("idempotency-key")).collect();
     assert_eq!(keys, [Some("key-c-1".to_string()), Some("key-c-1".to_string())]);
 }
 
@@ -405,10 +405,10 @@
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let proxy = Proxy::connect(node.processor(), Shape::Once).await.expect("a proxy");
+    let proxy = Proxy::connect(node.processor(), RetryMode::None).await.expect("a proxy");
     let began = Instant::now();
     for n in 0..20 {
-        let done = proxy.carry(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
+        let done = proxy.handle(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
         assert_eq!(done.status, 200);
     }
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
@@ -451,7 +451,7 @@
     assert_eq!(told(&mut stream).await, "InvalidArgument");
 
     let mut stream = open().await;
-    stream.send_whole(ext::ProcessingRequest::default()).await;
+    stream.send_message(ext::ProcessingRequest::default()).await;
     assert_eq!(told(&mut stream).await, "InvalidArgument");
 
     let mut stream = presented(&channel, &call("c-1", "look"), Some(1)).await;
@@ -521,7 +521,7 @@
     for n in 0..3 {
         let request = Some(request_headers(&call(&format!("c-{n}"), "look").request(), None));
         stream
-            .send_whole(ext::ProcessingRequest { request, observability_mode: true, ..Default::default() })
+            .send_message(ext::ProcessingRequest { request, observability_mode: true, ..Default::default() })
             .await;
     }
     let answer = tokio::time::timeout(Duration::from_millis(300), stream.next()).await;
@@ -564,8 +564,8 @@
         let mut all = Vec::new();
         let _ = stream.read_to_end(&mut all);
     }
-    let proxy = Proxy::connect(node.processor(), Shape::Once).await.expect("a proxy");
-    assert_eq!(proxy.carry(&call("c-1", "look").request()).await.expect("an answer").status, 200);
+    let proxy = Proxy::connect(node.processor(), RetryMode::None).await.expect("a proxy");
+    assert_eq!(proxy.handle(&call("c-1", "look").request()).await.expect("an answer").status, 200);
 }
 
 fn framed(message: &ext::ProcessingRequest) -> Bytes {
@@ -606,9 +606,9 @@
         stalled.push((answer, body));
         h2 = h2.ready().await.expect("ready");
     }
-    let proxy = Proxy::connect(node.processor(), Shape::Once).await.expect("a proxy");
+    let proxy = Proxy::connect(node.processor(), RetryMode::None).await.expect("a proxy");
     for n in 0..20 {
-        let done = proxy.carry(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
+        let done = proxy.handle(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
         assert_eq!(done.status, 200);
     }
     drop((stalled, h2, proxy));
@@ -662,7 +662,7 @@
     let answer = authorization.check(check("a-1")).await.expect("an answer").into_inner();
     assert_eq!(answer.status.map(|s| s.code), Some(0));
     let Some(auth::check_response::HttpResponse::OkResponse(ok)) = answer.http_response else { panic!() };
-    assert!(ok.headers.iter().any(|h| h.header.as_ref().is_some_and(|h| h.key == DESTINATION)));
+    assert!(ok.headers.iter().any(|h| h.header.as_ref().is_some_and(|h| h.key == DESTINATION_HEADER)));
     // The same request again is no further attempt here: this protocol cannot say so.
     let again = authorization.check(check("a-1")).await.expect("an answer").into_inner();
     assert_ne!(again.status.map(|s| s.code), Some(0));
@@ -704,7 +704,7 @@
         panic!()
     };
     assert_eq!(denied.status.map(|s| s.code), Some(429));
-    assert_eq!(server.arrivals(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 /// With trailers asked for, a good answer counts once it has come whole: a proxy that breaks off before that reports a
@@ -758,7 +758,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(status, 1);
-    node.discovery.push(&line(2, true, &[]));
+    node.discovery.push(&update_line(2, true, &[]));
     for _ in 0..100 {
         let request = HealthCheckRequest { service: String::new() };
         status = health.check(request).await.expect("an answer").into_inner().status;
--- a/marldeal/tests/failing_calls.rs
+++ b/marldeal/tests/failing_calls.rs
@@ -41,7 +41,7 @@
     for n in 0..60 {
         assert_eq!(exchange(&mut client, &numbered(n)).body, "fine", "request {n}");
     }
-    assert_eq!(server.arrivals(), 60, "each went out once");
+    assert_eq!(server.request_count(), 60, "each went out once");
 }
 
 /// Guards against a client that is cut in the middle of its request since another one's connect was aborted: only a want of
@@ -97,7 +97,7 @@
     let (old, new) = (Stub::new(|_, s| write_ok(s, "old")), Stub::new(|_, s| write_ok(s, "new")));
     let blocked = std::env::temp_dir().join(format!("marldeal-test-blocked-{}", std::process::id()));
     let node = Node::failing_open(&[("s-1", &old, "active")], &blocked);
-    let next = Discovery::new(line(9, true, &[("s-2", new.addr, "active")]));
+    let next = Discovery::new(update_line(9, true, &[("s-2", new.addr, "active")]));
     std::fs::write(&blocked, "").expect("a file");
     let before = node.discovery.addr.to_string();
     node.reload(|config| config.replace(&before, &next.addr.to_string()));
@@ -113,7 +113,7 @@
 fn a_reload_in_the_middle_of_a_write_takes_effect_when_the_file_is_whole() {
     let (old, new) = (Stub::new(|_, s| write_ok(s, "old")), Stub::new(|_, s| write_ok(s, "new")));
     let node = Node::start(&[("s-1", &old, "active")]);
-    let next = Discovery::new(line(9, true, &[("s-2", new.addr, "active")]));
+    let next = Discovery::new(update_line(9, true, &[("s-2", new.addr, "active")]));
     let before = node.discovery.addr.to_string();
     let mut whole = String::new();
     let keep = std::sync::Mutex::new(&mut whole);
--- a/marldeal/tests/management.rs
+++ b/marldeal/tests/management.rs
@@ -7,7 +7,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use stubs::{ask, exchange, get, held, line, post, read_answer, ready, wait_for, write_ok, Node, Stub};
+use stubs::{
+    ask, exchange, get, held, post, read_answer, ready, update_line, wait_for, write_ok, Node, Stub,
+};
 
 /// Every request ends in one count, the counts are what the clients saw, and attempts are those that nodes saw.
 #[test]
@@ -46,7 +48,7 @@
     assert_eq!((node.figure("declined.look"), node.figure("declined.book")), (0, 1));
     // The bad one; the failed one and the one whose client left.
     assert_eq!((node.figure("aborted.look"), node.figure("aborted.book")), (1, 2));
-    assert_eq!(node.figure("forwards"), server.seen().len() as u64);
+    assert_eq!(node.figure("forwards"), server.requests().len() as u64);
 }
 
 /// Guards against counting an attempt that a server never got whole.
@@ -57,7 +59,7 @@
     let server = Stub::new(|_, stream| write_ok(stream, "done"));
     let node = Node::managed(&[("s-1", &server, "active")], |c| c);
     drop(listener);
-    node.discovery.push(&line(2, true, &[("s-2", dead, "active")]));
+    node.discovery.push(&update_line(2, true, &[("s-2", dead, "active")]));
     wait_for("the new list", || node.log().contains("s-2"));
     assert_eq!(ask(&node, &get("look", "")).status, 429);
     assert_eq!(node.figure("forwards"), 0);
@@ -88,7 +90,7 @@
     assert_eq!(node.operator(b"active\n"), "SUCCESS serving\n");
     let connect = || {
         let stream = TcpStream::connect(node.addr).expect("connect");
-        stream.set_read_timeout(Some(marldeal_standin::PATIENCE)).expect("time-out");
+        stream.set_read_timeout(Some(marldeal_standin::TIMEOUT)).expect("time-out");
         stream
     };
     let (mut kept, mut idle, mut silent) = (connect(), connect(), connect());
@@ -118,11 +120,11 @@
     let node = Node::managed(&[("s-1", &server, "active")], |c| c);
     let mut slow = TcpStream::connect(node.addr).expect("connect");
     slow.write_all(post("book", "k", "", "slow").as_bytes()).expect("write");
-    wait_for("the request to arrive", || server.seen().len() == 1);
+    wait_for("the request to arrive", || server.requests().len() == 1);
     let mut idle = TcpStream::connect(node.addr).expect("connect");
     assert_eq!(exchange(&mut idle, &get("look", "")).status, 200);
     node.operator(b"standby\n");
-    idle.set_read_timeout(Some(marldeal_standin::PATIENCE)).expect("time-out");
+    idle.set_read_timeout(Some(marldeal_standin::TIMEOUT)).expect("time-out");
     assert_eq!(idle.read(&mut [0; 16]).expect("a clean end"), 0, "idle ones go");
     release.store(true, Ordering::SeqCst);
     assert_eq!(read_answer(&mut slow).body, "done");
@@ -135,7 +137,7 @@
     let mut node = Node::managed(&[("s-1", &server, "active")], |c| c);
     let mut slow = TcpStream::connect(node.addr).expect("connect");
     slow.write_all(post("book", "k", "", "slow").as_bytes()).expect("write");
-    wait_for("the request to arrive", || server.seen().len() == 1);
+    wait_for("the request to arrive", || server.requests().len() == 1);
     node.operator(b"standby\n");
     node.signal("TERM");
     node.wait_log("finishing");
--- a/marldeal/tests/modes.rs
+++ b/marldeal/tests/modes.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use marldeal_standin::client::Client;
-use marldeal_standin::node::{Fault, Script};
-use marldeal_standin::proxy::{Proxy, Shape};
-use marldeal_standin::traffic::{draw, sample, Call};
+use marldeal_standin::proxy::{Proxy, RetryMode};
+use marldeal_standin::server::{Fault, Script};
+use marldeal_standin::traffic::{generate, sample_traffic, Call};
 use stubs::{Node, Stub};
 
 const LIMITERS: u32 = 3;
@@ -63,7 +63,7 @@
 
 fn start(mode: Mode) -> Fleet {
     // A few answers that never ran and some that may have: further attempts belong to the traffic.
-    let faults = |n: usize| vec![(50 + n..55 + n, Fault::TurnAway), (120..122, Fault::Error)];
+    let faults = |n: usize| vec![(50 + n..55 + n, Fault::Unprocessed), (120..122, Fault::Error)];
     let script = |n| Script { work_ms: 15, faults: faults(n), ..Script::default() };
     let nodes: Vec<_> = (0..6).map(|n| Stub::scripted(script(n))).collect();
     let ids: Vec<String> = (0..6).map(|n| format!("s-{n}")).collect();
@@ -89,7 +89,7 @@
 async fn play(mode: Mode, fleet: &Fleet, calls: &[Call]) -> Figures {
     let mut proxies = Vec::new();
     for limiter in &fleet.limiters {
-        let proxy = Proxy::connect(limiter.processor(), Shape::PerTry).await.expect("a proxy");
+        let proxy = Proxy::connect(limiter.processor(), RetryMode::PerTry).await.expect("a proxy");
         proxies.push(Arc::new(proxy));
     }
     let client = Arc::new(Client::default());
@@ -102,11 +102,11 @@
         asked.push(tokio::spawn(async move {
             tokio::time::sleep_until(began + Duration::from_secs_f64(call.at_ms / 1000.0)).await;
             let status = if external {
-                proxy.carry(&call.request()).await.expect("a final answer").status
+                proxy.handle(&call.request()).await.expect("a final answer").status
             } else {
                 client.exchange(addr, call.request()).await.expect("a final answer").status().as_u16()
             };
-            (call.firm.customer, call.kind.units, status)
+            (call.customer.id, call.kind.units, status)
         }));
     }
     let mut figures = Figures::new();
@@ -126,8 +126,8 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn quotas_come_out_alike_in_direct_external_and_mixed_mode() {
-    let (firms, kinds) = sample(GREEDY);
-    let calls = draw(SEED, &firms, &kinds, LIMITERS, SECONDS);
+    let (firms, kinds) = sample_traffic(GREEDY);
+    let calls = generate(SEED, &firms, &kinds, LIMITERS, SECONDS);
     assert!(calls.len() >= 3000, "{}", calls.len());
     let fleets = [Mode::Direct, Mode::External, Mode::Mixed].map(|mode| (mode, start(mode)));
     let [direct, external, mixed] = &fleets;
@@ -137,18 +137,18 @@
         play(mixed.0, &mixed.1, &calls)
     );
     for (mode, fleet) in &fleets {
-        let at_once = fleet.nodes.iter().map(Stub::most_at_once).max();
+        let at_once = fleet.nodes.iter().map(Stub::max_concurrent_requests).max();
         assert_eq!(at_once, Some(1), "{mode:?}: a request was at a node twice at once");
     }
     let mut wrong = Vec::new();
     for firm in firms {
         let (_, rate, store) = PLANS.iter().find(|(name, ..)| *name == firm.plan).expect("a plan");
         let bound = store + rate + LARGEST;
-        let units = [&a, &b, &c].map(|figures| figures[&firm.customer].0);
+        let units = [&a, &b, &c].map(|figures| figures[&firm.id].0);
         let (least, most) = units.iter().fold((f64::MAX, 0.0_f64), |(l, m), u| (l.min(*u), m.max(*u)));
-        println!("firm {} on {}: units {units:?}, bound {bound}", firm.customer, firm.plan);
+        println!("firm {} on {}: units {units:?}, bound {bound}", firm.id, firm.plan);
         if most - least > bound {
-            wrong.push((firm.customer, units, bound));
+            wrong.push((firm.id, units, bound));
         }
     }
     assert!(wrong.is_empty(), "seed {SEED:#x}: beyond the bound: {wrong:?}");
--- a/marldeal/tests/sockets.rs
+++ b/marldeal/tests/sockets.rs
@@ -16,7 +16,7 @@
     let node = Node::start(&[("s-1", &server, "active")]);
     let answer = ask(&node, &post("book", "k1", "X-Ignored: 1\r\n", "hello"));
     assert_eq!((answer.status, answer.body.as_str()), (200, body.as_str()));
-    let seen = server.seen();
+    let seen = server.requests();
     assert_eq!(seen.len(), 1);
     assert!(seen[0].head.starts_with("POST /book/00000000b4d65521?x=1 HTTP/1.1\r\n"), "{}", seen[0].head);
     assert_eq!(seen[0].header("x-correlation-id").as_deref(), Some("c-k1"));
@@ -63,7 +63,7 @@
         assert!(began.elapsed() < Duration::from_secs(3), "{:.300}", request);
     }
     assert_eq!(ask(&node, &good).status, 200);
-    assert_eq!(server.seen().len(), 1, "only the good one reached the server");
+    assert_eq!(server.requests().len(), 1, "only the good one reached the server");
 }
 
 /// 503 and 504 prove that nothing ran only with the mark; without it a keyed request must end as failed.
@@ -92,7 +92,7 @@
         });
         let node = Node::start(&[("s-1", &server, "active")]);
         assert_eq!(ask(&node, &post("book", "k", "", "x")).status, 502);
-        let seen = server.seen();
+        let seen = server.requests();
         assert!((1..=3).contains(&seen.len()), "{} attempts", seen.len());
         assert!(seen.iter().all(|s| s.header("idempotency-key").as_deref() == Some("k")));
     }
@@ -123,7 +123,7 @@
     assert!(began.elapsed() < Duration::from_secs(1), "{:?} of 3 s", began.elapsed());
     assert_eq!(answer.status, 429);
     assert_eq!(answer.header("retry-after").as_deref(), Some("1.500"));
-    assert!(server.seen().is_empty());
+    assert!(server.requests().is_empty());
 }
 
 /// A limiter that was killed starts again under its address at once.
@@ -158,8 +158,8 @@
         Node::with(&[("s-1", &server, "active")], |c| c.replace(r#""MostTries":3"#, r#""MostTries":1"#));
     for n in 1..=5 {
         assert_eq!(ask(&node, &post("book", &format!("k{n}"), "", "x")).status, 200);
-        assert_eq!(server.seen().len(), n, "each request came once");
-        wait_for("the server to close", || server.closed_by_peer() == n);
+        assert_eq!(server.requests().len(), n, "each request came once");
+        wait_for("the server to close", || server.closed_connections() == n);
     }
 }
 
@@ -175,7 +175,7 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(server.connections(), 1, "one connection carries requests one after another");
-    wait_for("the idle connection to be dropped", || server.closed_by_peer() == 1);
+    wait_for("the idle connection to be dropped", || server.closed_connections() == 1);
     assert_eq!(ask(&node, &get("look", "")).status, 200);
     assert_eq!(server.connections(), 2);
 }
@@ -194,8 +194,8 @@
     let answer = ask(&node, &post("book", "k", "", "x").replace("X-Time-Left: 3.0", "X-Time-Left: 0.6"));
     assert_eq!(answer.status, 502, "it may have run");
     assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
-    wait_for("the attempts to be closed", || server.closed_by_peer() == server.connections());
-    assert!(server.most_open() == 1, "never two attempts at once");
+    wait_for("the attempts to be closed", || server.closed_connections() == server.connections());
+    assert!(server.max_open_connections() == 1, "never two attempts at once");
 }
 
 /// A late answer to a request whose client has left must not reach the next one on the connection.
@@ -211,7 +211,7 @@
     let node = Node::start(&[("s-1", &server, "active")]);
     let mut leaver = TcpStream::connect(node.addr).expect("connect");
     leaver.write_all(post("book", "k1", "", "slow").as_bytes()).expect("write");
-    wait_for("the request to arrive", || server.seen().len() == 1);
+    wait_for("the request to arrive", || server.requests().len() == 1);
     drop(leaver);
     for n in 0..10 {
         let body = format!("fast{n}");
@@ -238,7 +238,7 @@
             if kept { Node::proxied(&servers, |t| t, "[final_answers]\n") } else { Node::start(&servers) };
         let mut client = TcpStream::connect(node.addr).expect("connect");
         client.write_all(post("book", "k1", "", "lot=7").as_bytes()).expect("write");
-        wait_for("the request at the server", || !server.seen().is_empty());
+        wait_for("the request at the server", || !server.requests().is_empty());
         drop(client);
         heard.recv_timeout(Duration::from_secs(5)).expect("the server answers");
         // The answer is on its way through the limiter now.
@@ -250,7 +250,7 @@
         let again = ask(&node, &named("c-again", "k1", "lot=7"));
         let first = if kept { "booked for c-k1" } else { "booked for c-again" };
         assert_eq!((again.status, again.body.as_str()), (200, first));
-        assert_eq!(server.seen().len(), if kept { 1 } else { 2 });
+        assert_eq!(server.requests().len(), if kept { 1 } else { 2 });
         if kept {
             // Another firm, and other content under the key, are asked of a server.
             let firm = named("c-firm", "k1", "lot=7").replace("00000000b4d65521", "00000000b4d65522");
@@ -277,7 +277,7 @@
         let node = Node::start(&[("s-1", &server, "active")]);
         let mut client = TcpStream::connect(node.addr).expect("connect");
         client.write_all(request.as_bytes()).expect("write");
-        wait_for("the request at the server", || !server.seen().is_empty());
+        wait_for("the request at the server", || !server.requests().is_empty());
         drop(client);
         assert_eq!(heard.recv_timeout(Duration::from_secs(5)), Ok(ends), "{request}");
     }
@@ -288,10 +288,10 @@
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let node = Node::start(&[]);
     assert_eq!(ready(&node), 503);
-    node.discovery.push(&line(2, false, &[("s-1", server.addr, "active")]));
+    node.discovery.push(&update_line(2, false, &[("s-1", server.addr, "active")]));
     wait_for("readiness", || ready(&node) == 200);
     assert_eq!(ask(&node, &get("look", "")).status, 200);
-    node.discovery.push(&line(3, false, &[("s-1", server.addr, "leaving")]));
+    node.discovery.push(&update_line(3, false, &[("s-1", server.addr, "leaving")]));
     wait_for("unreadiness", || ready(&node) == 503);
 }
 
@@ -302,16 +302,16 @@
     let two = Stub::new(|_, stream| write_ok(stream, "two"));
     let node = Node::start(&[("s-1", &one, "active"), ("s-2", &two, "active")]);
     for state in ["leaving", "left"] {
-        node.discovery.push(&line(2, false, &[("s-1", one.addr, state)]));
+        node.discovery.push(&update_line(2, false, &[("s-1", one.addr, state)]));
         node.wait_log(if state == "left" { "Gone" } else { "Draining" });
-        let before = one.seen().len();
+        let before = one.requests().len();
         for _ in 0..20 {
             assert_eq!(ask(&node, &get("look", "")).body, "two");
         }
-        assert_eq!(one.seen().len(), before, "{state}");
+        assert_eq!(one.requests().len(), before, "{state}");
     }
     let moved = Stub::new(|_, stream| write_ok(stream, "moved"));
-    node.discovery.push(&line(4, false, &[("s-2", moved.addr, "active")]));
+    node.discovery.push(&update_line(4, false, &[("s-2", moved.addr, "active")]));
     node.wait_log(&moved.addr.to_string());
     assert_eq!(ask(&node, &get("look", "")).body, "moved");
 }
@@ -323,10 +323,10 @@
     let node = Node::start(&[("s-1", &one, "active")]);
     let ids: Vec<String> = (0..10_050).map(|n| format!("d-{n}")).collect();
     let entries: Vec<_> = ids.iter().map(|id| (id.as_str(), one.addr, "leaving")).collect();
-    node.discovery.push(&line(2, false, &entries));
+    node.discovery.push(&update_line(2, false, &entries));
     node.wait_log("51 servers beyond 10000 were passed over");
     let long = "n".repeat(300);
-    node.discovery.push(&line(3, false, &[(&long, one.addr, "active")]));
+    node.discovery.push(&update_line(3, false, &[(&long, one.addr, "active")]));
     node.wait_log("its id has 300 bytes, 256 at most");
     assert_eq!(ask(&node, &get("look", "")).body, "one");
 }
@@ -337,7 +337,7 @@
 fn discovery_survives_half_lines_and_bad_ones() {
     let one = Stub::new(|_, stream| write_ok(stream, "one"));
     let node = Node::start(&[]);
-    let news = line(7, false, &[("s-1", one.addr, "active")]);
+    let news = update_line(7, false, &[("s-1", one.addr, "active")]);
     let (first, second) = news.split_at(30);
     node.discovery.push(first);
     std::thread::sleep(Duration::from_millis(50));
@@ -347,7 +347,7 @@
     node.discovery.push("{\"version\":8,\n");
     wait_for("a new watch", || node.discovery.watches().len() == 2);
     assert!(node.discovery.watches()[1].contains("after=7"), "{:?}", node.discovery.watches());
-    node.discovery.end();
+    node.discovery.close_watches();
     wait_for("another watch", || node.discovery.watches().len() == 3);
     let bad = r#"{"version":9,"full":false,"servers":[{"id":"s-3","addr":"nowhere"},{"id":"s-1","addr":"ADDR","state":"left"}]}"#;
     node.discovery.push(&format!("{}\n", bad.replace("ADDR", &one.addr.to_string())));
@@ -358,7 +358,7 @@
 #[test]
 fn a_silent_watch_is_begun_anew() {
     let node = Node::start(&[]);
-    node.discovery.mute();
+    node.discovery.stop_heartbeats();
     wait_for("a new watch", || node.discovery.watches().len() >= 2);
 }
 
@@ -375,15 +375,15 @@
     wait_for("the new watch", || other.watches().len() == 1);
     assert!(!other.watches()[0].contains("after="), "{:?}", other.watches());
     assert_eq!(ask(&node, &get("look", "")).body, "one", "the old list stands");
-    node.discovery.push(&line(7, false, &[("s-1", one.addr, "leaving"), ("s-2", two.addr, "active")]));
+    node.discovery.push(&update_line(7, false, &[("s-1", one.addr, "leaving"), ("s-2", two.addr, "active")]));
     wait_for("the old watch's news", || ask(&node, &get("look", "")).body == "two");
-    other.push(&line(3, true, &[("s-1", one.addr, "active")]));
+    other.push(&update_line(3, true, &[("s-1", one.addr, "active")]));
     node.wait_log("server s-1 at");
     wait_for("the new list", || ask(&node, &get("look", "")).body == "one");
-    node.discovery.push(&line(8, true, &[("s-2", two.addr, "active")]));
+    node.discovery.push(&update_line(8, true, &[("s-2", two.addr, "active")]));
     node.wait_log("another source speaks");
     assert_eq!(ask(&node, &get("look", "")).body, "one");
-    other.end();
+    other.close_watches();
     wait_for("the watch begun anew", || other.watches().len() == 2);
     assert!(other.watches()[1].contains("after=3"), "{:?}", other.watches());
 }
@@ -396,7 +396,7 @@
     node.reload(|c| c.replacen('{', "", 1));
     node.wait_log("the old configuration stands");
     assert_eq!(ask(&node, &get("look", "")).status, 200);
-    node.discovery.push(&line(2, false, &[("s-1", server.addr, "leaving")]));
+    node.discovery.push(&update_line(2, false, &[("s-1", server.addr, "leaving")]));
     wait_for("the old watch's news", || ready(&node) == 503);
 }
 
@@ -413,7 +413,7 @@
     assert_eq!(exchange(&mut idle, &get("look", "")).status, 200);
     let mut slow = TcpStream::connect(node.addr).expect("connect");
     slow.write_all(post("book", "k1", "", "slow").as_bytes()).expect("write");
-    wait_for("the slow request to arrive", || server.seen().len() == 2);
+    wait_for("the slow request to arrive", || server.requests().len() == 2);
     node.signal("TERM");
     node.wait_log("finishing");
     assert_eq!(ask(&node, &get("look", "")).status, 200, "new connections are still served");
@@ -464,7 +464,7 @@
     });
     let mut slow = TcpStream::connect(node.addr).expect("connect");
     slow.write_all(post("book", "k", "", "x").as_bytes()).expect("write");
-    wait_for("the request to arrive", || server.seen().len() == 1);
+    wait_for("the request to arrive", || server.requests().len() == 1);
     node.signal("TERM");
     assert_eq!(read_answer(&mut slow).body, "done");
     assert_eq!(node.exit_code(), Some(0));
@@ -627,7 +627,7 @@
         let refused = text.is_empty() || text.starts_with("HTTP/1.1 4") || text.starts_with("HTTP/1.1 501");
         assert!(refused || (both && text.matches("HTTP/1.1 200").count() == 1), "{framing}: {text}");
     }
-    let seen = server.seen();
+    let seen = server.requests();
     assert!(seen.iter().all(|s| !s.head.contains("c-hidden") && s.body.is_empty()), "{seen:?}");
 }
 
@@ -657,7 +657,7 @@
     ] {
         assert_eq!(ask(&node, &request).status, 400, "{request}");
     }
-    assert!(server.seen().is_empty());
+    assert!(server.requests().is_empty());
     for n in 0..4 {
         assert_eq!(ask(&node, &good).status, 200, "unit {n} of the customer's 4");
     }
@@ -672,7 +672,7 @@
     let node = Node::start(&[("s-1", &server, "active")]);
     let mut client = TcpStream::connect(node.addr).expect("connect");
     client.write_all(get("look", "").as_bytes()).expect("write");
-    wait_for("the request to arrive", || server.seen().len() == 1);
+    wait_for("the request to arrive", || server.requests().len() == 1);
     (server, node, client)
 }
 
@@ -682,7 +682,7 @@
     let (server, node, mut first) = with_one_open();
     assert_eq!(ask(&node, &get("look", "").replace("d65521", "d65522")).status, 409);
     assert_eq!(read_answer(&mut first).status, 200);
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(server.requests().len(), 1);
     assert_eq!(ask(&node, &get("look", "")).status, 200, "free again once it is answered");
 }
 
@@ -714,11 +714,11 @@
 fn a_new_server_does_not_inherit_connections() {
     let (server, node, mut first) = with_one_open();
     let now = [("s-1", server.addr, "left"), ("s-2", server.addr, "active")];
-    node.discovery.push(&line(2, false, &now));
+    node.discovery.push(&update_line(2, false, &now));
     node.wait_log("Gone");
     assert_eq!(read_answer(&mut first).status, 200);
     std::thread::sleep(Duration::from_millis(50));
     assert_eq!(ask(&node, &get("look", "")).status, 200);
     assert_eq!(server.connections(), 2);
-    wait_for("the old one's connection to be closed", || server.closed_by_peer() == 1);
+    wait_for("the old one's connection to be closed", || server.closed_connections() == 1);
 }
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -9,9 +9,9 @@
 use std::sync::{Arc, Mutex, OnceLock};
 
 pub use marldeal_soak::shim::{FailingCalls, Shim};
-pub use marldeal_standin::discovery::{line, Discovery};
+pub use marldeal_standin::discovery::{update_line, Discovery};
 pub use marldeal_standin::message::{exchange, read_answer, write_ok, Message};
-pub use marldeal_standin::node::Node as Stub;
+pub use marldeal_standin::server::Server as Stub;
 pub use marldeal_standin::wait_for;
 
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
@@ -96,7 +96,7 @@
     /// The answer to bytes of an operator.
     pub fn operator(&self, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.listens("management on ")).expect("connect");
-        stream.set_read_timeout(Some(marldeal_standin::PATIENCE)).expect("time-out");
+        stream.set_read_timeout(Some(marldeal_standin::TIMEOUT)).expect("time-out");
         stream.write_all(bytes).expect("write");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer and its end");
@@ -260,7 +260,7 @@
         variables: &dyn Fn(&Path) -> Vec<(String, String)>,
     ) -> Node {
         let entries: Vec<_> = servers.iter().map(|(id, stub, state)| (*id, stub.addr, *state)).collect();
-        let discovery = Discovery::new(line(1, true, &entries));
+        let discovery = Discovery::new(update_line(1, true, &entries));
         let config = write_config(&alter(self::config(discovery.addr)));
         // At the start the variable stands above the file; a reload goes by the file.
         let told = discovery.addr.to_string();
--- a/marldeal/tests/upgrade.rs
+++ b/marldeal/tests/upgrade.rs
@@ -14,8 +14,8 @@
 
 use command_fds::{CommandFdExt, FdMapping};
 use marldeal::upgrade::frame::{Frame, VERSION};
-use marldeal_standin::discovery::{line, Discovery};
-use marldeal_standin::PATIENCE;
+use marldeal_standin::discovery::{update_line, Discovery};
+use marldeal_standin::TIMEOUT;
 use stubs::{config, exchange, get, held, post, read_answer, wait_for, write_ok, Process, Stub};
 
 /// What the platform holds: the listening socket, the directory that is left, discovery.
@@ -35,7 +35,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
         let entries: Vec<_> = servers.iter().map(|(id, stub, state)| (*id, stub.addr, *state)).collect();
-        let discovery = Discovery::shared(line(1, true, &entries));
+        let discovery = Discovery::shared(update_line(1, true, &entries));
         std::fs::write(dir.join("config.json"), config(discovery.addr)).expect("written");
         Place { listener, addr, dir, discovery }
     }
@@ -77,7 +77,7 @@
 
     fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.addr).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("time-out");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("time-out");
         stream
     }
 }
@@ -156,7 +156,7 @@
     let served: usize = clients.into_iter().map(|c| c.join().expect("no client met an error")).sum();
     kept.iter_mut().for_each(|stream| assert_eq!(exchange(stream, &get("look", "")).status, 200));
     drop(silent);
-    let seen = server.seen();
+    let seen = server.requests();
     assert_eq!(seen.len(), served + 40, "each ran once");
     assert_eq!(new.operator(b"status\n"), "SUCCESS serving\n");
 }
@@ -170,7 +170,7 @@
     let began = Instant::now();
     let mut slow = place.connect();
     slow.write_all(post("book", "a", "", "slow").as_bytes()).expect("write");
-    wait_for("the slow one", || server.seen().len() == 1);
+    wait_for("the slow one", || server.requests().len() == 1);
     let before = ask_ten(&mut place.connect());
     assert!(before >= 2, "the slow one has one unit, two are left: {before}");
     wait_yes(&new);
@@ -290,14 +290,14 @@
     wait_for("the reload", || old.figure("sighup_applied") == 1);
     wait_for("both watches", || place.discovery.watches().len() >= 2);
     let list = [("s-1", leaving.addr, "leaving"), ("s-2", staying.addr, "active")];
-    place.discovery.announce(&line(2, true, &list));
+    place.discovery.announce(&update_line(2, true, &list));
     wait_for("the notice at both", || [&old, &new].iter().all(|p| p.log().contains("Draining")));
     old.signal("TERM");
     assert_eq!(old.exit_code(), Some(0));
     for n in 0..20 {
         assert_eq!(place.ask(&get("look", "").replace("c-1", &format!("d-{n}"))).status, 200);
     }
-    assert_eq!((leaving.seen().len(), staying.seen().len()), (0, 20));
+    assert_eq!((leaving.requests().len(), staying.requests().len()), (0, 20));
 }
 
 /// Plays a predecessor that says these bytes and goes on as the closure says; the new process serves in the end.
