--- a/crates/firms/src/debts.rs
+++ b/crates/firms/src/deficits.rs
@@ -12,23 +12,23 @@
 /// again, without a pass. (A count-min sketch, Cormode and Muthukrishnan 2005, of maxima in place of sums; the moment
 /// is the theoretical arrival time of the generic cell rate algorithm, ITU-T I.371.)
 #[derive(Clone)]
-pub struct Debts {
+pub struct DeficitSketch {
     seed: u64,
     hash: Keyed,
     bits: u32,
     cells: Vec<Millis>,
 }
 
-impl Debts {
+impl DeficitSketch {
     /// A sketch of `cells` cells a row, rounded down to a power of two; 32 bytes for each.
-    pub fn new(cells: usize, seed: u64) -> Debts {
+    pub fn new(cells: usize, seed: u64) -> DeficitSketch {
         let bits = cells.clamp(16, 1 << 24).ilog2();
         // Zeroed pages are not resident until a debt touches them.
-        Debts { seed, hash: Keyed::new(seed, 0xdeb7), bits, cells: vec![0.0; ROWS << bits] }
+        DeficitSketch { seed, hash: Keyed::new(seed, 0xdeb7), bits, cells: vec![0.0; ROWS << bits] }
     }
 
     /// Notes that a name owes until a moment. An earlier moment changes nothing.
-    pub fn owe<K: Hash>(&mut self, key: &K, until: Millis) {
+    pub fn record<K: Hash>(&mut self, key: &K, until: Millis) {
         for place in places(self.hash.hash(key), ROWS, self.bits) {
             if self.cells[place] < until {
                 self.cells[place] = until;
@@ -37,20 +37,20 @@
     }
 
     /// Until when a name owes, as far as is known: never earlier than what was told, perhaps later. 0 if nothing was.
-    pub fn owed_until<K: Hash>(&self, key: &K) -> Millis {
+    pub fn deficit_until<K: Hash>(&self, key: &K) -> Millis {
         let cells = places(self.hash.hash(key), ROWS, self.bits).map(|place| self.cells[place]);
         cells.fold(f64::INFINITY, f64::min)
     }
 
     /// All that is owed after `now`: the seed of its places, and how much longer each cell in use owes.
-    pub fn owing(&self, now: Millis) -> (u64, Vec<(u32, Millis)>) {
+    pub fn remaining(&self, now: Millis) -> (u64, Vec<(u32, Millis)>) {
         let used = self.cells.iter().enumerate().filter(|(_, until)| **until > now);
         (self.seed, used.map(|(at, until)| (at as u32, until - now)).collect())
     }
 
-    /// Takes over what another sketch of the same size told with [`Debts::owing`], in place of all that is here. False,
+    /// Takes over what another sketch of the same size told with [`DeficitSketch::remaining`], in place of all that is here. False,
     /// and nothing changes, if its cells do not fit.
-    pub fn take_over(&mut self, now: Millis, (seed, owing): &(u64, Vec<(u32, Millis)>)) -> bool {
+    pub fn restore(&mut self, now: Millis, (seed, owing): &(u64, Vec<(u32, Millis)>)) -> bool {
         let fits = owing.iter().all(|(at, ms)| (*at as usize) < self.cells.len() && *ms > 0.0);
         if fits {
             (self.seed, self.hash) = (*seed, Keyed::new(*seed, 0xdeb7));
@@ -66,7 +66,7 @@
     }
 }
 
-impl Debug for Debts {
+impl Debug for DeficitSketch {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.debug_struct("Debts").field("bytes", &self.bytes()).finish_non_exhaustive()
     }
@@ -83,52 +83,52 @@
             told in proptest::collection::vec((0u64..500, 1.0f64..1e6), 1..400),
             seed in any::<u64>(),
         ) {
-            let mut debts = Debts::new(16, seed);
+            let mut debts = DeficitSketch::new(16, seed);
             let mut truth = std::collections::BTreeMap::new();
             for (name, until) in told {
-                debts.owe(&name, until);
+                debts.record(&name, until);
                 let longest = truth.entry(name).or_insert(0.0f64);
                 *longest = longest.max(until);
             }
             for (name, until) in truth {
-                prop_assert!(debts.owed_until(&name) >= until);
+                prop_assert!(debts.deficit_until(&name) >= until);
             }
         }
     }
 
     #[test]
     fn debts_taken_over_are_as_long() {
-        let mut debts = Debts::new(64, 7);
-        (0..50u64).for_each(|name| debts.owe(&name, 100.0 + name as f64));
-        let mut other = Debts::new(64, 8);
-        other.owe(&99u64, 1e9);
-        assert!(other.take_over(1020.0, &debts.owing(20.0)));
+        let mut debts = DeficitSketch::new(64, 7);
+        (0..50u64).for_each(|name| debts.record(&name, 100.0 + name as f64));
+        let mut other = DeficitSketch::new(64, 8);
+        other.record(&99u64, 1e9);
+        assert!(other.restore(1020.0, &debts.remaining(20.0)));
         for name in 0..100u64 {
-            let (was, is) = (debts.owed_until(&name), other.owed_until(&name));
+            let (was, is) = (debts.deficit_until(&name), other.deficit_until(&name));
             assert!(
                 if was > 20.0 { (is - was - 1000.0).abs() < 1e-6 } else { is == 0.0 },
                 "{name}: {was} {is}"
             );
         }
-        assert!(!Debts::new(16, 1).take_over(0.0, &(7, vec![(64, 1.0)])));
+        assert!(!DeficitSketch::new(16, 1).restore(0.0, &(7, vec![(64, 1.0)])));
     }
 
     /// A name that owes nothing is taken for a debtor by chance alone: with half as many debts as cells a row,
     /// (1 - e^-0.5)^4 = 2.4% of the time.
     #[test]
     fn few_names_are_taken_for_others() {
-        let mut debts = Debts::new(4096, 7);
-        (0..2048u64).for_each(|name| debts.owe(&name, 1.0));
-        let wrong = (10_000..20_000u64).filter(|name| debts.owed_until(name) > 0.0).count();
+        let mut debts = DeficitSketch::new(4096, 7);
+        (0..2048u64).for_each(|name| debts.record(&name, 1.0));
+        let wrong = (10_000..20_000u64).filter(|name| debts.deficit_until(name) > 0.0).count();
         assert!((100..400).contains(&wrong), "{wrong} of 10000");
     }
 
     /// Names that fall into one cell of an unkeyed table, such as multiples of its size, are spread by the seed.
     #[test]
     fn chosen_names_do_not_share_cells() {
-        let mut debts = Debts::new(4096, 7);
-        (0..64u64).for_each(|n| debts.owe(&(n << 32), 1.0));
-        let wrong = (64..1064u64).filter(|n| debts.owed_until(&(n << 32)) > 0.0).count();
+        let mut debts = DeficitSketch::new(4096, 7);
+        (0..64u64).for_each(|n| debts.record(&(n << 32), 1.0));
+        let wrong = (64..1064u64).filter(|n| debts.deficit_until(&(n << 32)) > 0.0).count();
         assert!(wrong < 5, "{wrong} of 1000");
     }
 }
--- a/crates/firms/src/lib.rs
+++ b/crates/firms/src/lib.rs
@@ -1,42 +1,42 @@
-//! State kept by name, in fixed memory: a [`Table`] of the names in use, a [`Debts`] sketch of what the forgotten
-//! ones still owe, and a filter of the names seen [`Lately`].
+//! State kept by name, in fixed memory: a [`Table`] of the names in use, a [`DeficitSketch`] sketch of what the forgotten
+//! ones still owe, and a filter of the names seen [`RecentKeys`].
 //!
 //! All take any flood of names in constant time and memory. They do *not* decide what a record means, whether it may
 //! go or what its debt is: the caller says so when asked, and brings the time with each call. They read no clock and
 //! draw no random numbers: the same seed and calls give the same records in the same order.
 //!
 //! ```
-//! use marldeal_firms::{Debts, Fate, Table};
+//! use marldeal_firms::{DeficitSketch, Evictability, Table};
 //!
 //! // Two names at most. What a name spent fills again within its debt's milliseconds.
 //! let mut table = Table::new(2, 42);
-//! let mut debts = Debts::new(1024, 42);
+//! let mut debts = DeficitSketch::new(1024, 42);
 //! for name in [1u64, 2, 3] {
-//!     if let Some((gone, full_at, _)) = table.make_room(|_, _| Fate::Owes) {
-//!         debts.owe(&gone, full_at);
+//!     if let Some((gone, full_at, _)) = table.evict_if_full(|_, _| Evictability::WithDeficit) {
+//!         debts.record(&gone, full_at);
 //!     }
 //!     table.insert(0.0, name, 500.0).expect("room was made");
 //! }
 //! assert_eq!(table.len(), 2);
 //! // The first one was forgotten, what it owes was not.
 //! assert!(table.get(&1u64).is_none());
-//! assert!(debts.owed_until(&1u64) >= 500.0);
+//! assert!(debts.deficit_until(&1u64) >= 500.0);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod debts;
+mod deficits;
 mod frequency;
-mod lately;
+mod recent;
 mod table;
 
 use std::hash::{Hash, Hasher};
 
 use siphasher::sip::SipHasher13;
 
-pub use debts::Debts;
-pub use lately::Lately;
-pub use table::{Fate, Table};
+pub use deficits::DeficitSketch;
+pub use recent::RecentKeys;
+pub use table::{Evictability, Table};
 
 /// A moment in milliseconds of the caller's clock.
 pub type Millis = f64;
--- a/crates/firms/src/lately.rs
+++ b/crates/firms/src/recent.rs
@@ -9,7 +9,7 @@
 
 /// Two Bloom filters (Bloom 1970) that take turns: a name counts as seen for one to two turns. Clearing one is the only
 /// pass it makes: 64 KiB for each half a million cells.
-pub struct Lately {
+pub struct RecentKeys {
     hash: Keyed,
     bits: u32,
     turn_ms: Millis,
@@ -18,18 +18,18 @@
     old: Vec<u64>,
 }
 
-impl Lately {
+impl RecentKeys {
     /// Remembers some `names` in each turn of `turn_ms`, mistaking another for one of them 2% of the time; a byte for
     /// each name, twice.
-    pub fn new(names: usize, turn_ms: Millis, seed: u64) -> Lately {
+    pub fn new(names: usize, turn_ms: Millis, seed: u64) -> RecentKeys {
         let bits = (names.clamp(64, 1 << 24) * 8 / ROWS).next_power_of_two().trailing_zeros();
         let words = (ROWS << bits) / 64;
         let hash = Keyed::new(seed, 0x1a7e);
-        Lately { hash, bits, turn_ms, turned: 0.0, new: vec![0; words], old: vec![0; words] }
+        RecentKeys { hash, bits, turn_ms, turned: 0.0, new: vec![0; words], old: vec![0; words] }
     }
 
     /// Whether a name was seen within the last turn; from now on it was.
-    pub fn seen<K: Hash>(&mut self, now: Millis, key: &K) -> bool {
+    pub fn check_and_insert<K: Hash>(&mut self, now: Millis, key: &K) -> bool {
         if now - self.turned >= self.turn_ms {
             let long = now - self.turned >= 2.0 * self.turn_ms;
             std::mem::swap(&mut self.new, &mut self.old);
@@ -55,7 +55,7 @@
     }
 }
 
-impl Debug for Lately {
+impl Debug for RecentKeys {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.debug_struct("Lately").field("bytes", &self.bytes()).finish_non_exhaustive()
     }
@@ -67,17 +67,17 @@
 
     #[test]
     fn a_name_is_known_for_a_turn_and_forgotten_after_two() {
-        let mut lately = Lately::new(1000, 100.0, 5);
-        assert!(!lately.seen(1000.0, &7u64));
-        assert!(lately.seen(1001.0, &7u64));
-        assert!(lately.seen(1100.0, &7u64));
-        assert!(!lately.seen(1310.0, &7u64));
+        let mut lately = RecentKeys::new(1000, 100.0, 5);
+        assert!(!lately.check_and_insert(1000.0, &7u64));
+        assert!(lately.check_and_insert(1001.0, &7u64));
+        assert!(lately.check_and_insert(1100.0, &7u64));
+        assert!(!lately.check_and_insert(1310.0, &7u64));
     }
 
     #[test]
     fn few_are_mistaken_at_its_size() {
-        let mut lately = Lately::new(10_000, 100.0, 5);
-        let wrong = (0..10_000u64).filter(|name| lately.seen(0.0, name)).count();
+        let mut lately = RecentKeys::new(10_000, 100.0, 5);
+        let wrong = (0..10_000u64).filter(|name| lately.check_and_insert(0.0, name)).count();
         assert!(wrong < 400, "{wrong} of 10000");
     }
 }
--- a/crates/firms/src/table.rs
+++ b/crates/firms/src/table.rs
@@ -17,11 +17,11 @@
 
 /// What becomes of a record that is to go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum Evictability {
     /// Nothing is lost by forgetting it.
-    Full,
+    Lossless,
     /// It owes something, which must be carried on elsewhere.
-    Owes,
+    WithDeficit,
     /// It must stay.
     Pinned,
 }
@@ -55,7 +55,7 @@
 /// once touched, and the records that it does hold, in pieces of 1,024.
 pub struct Table<K, V> {
     hash: Keyed,
-    most: usize,
+    capacity: usize,
     buckets: Vec<u32>,
     chunks: Vec<Vec<Slot<K, V>>>,
     len: usize,
@@ -72,19 +72,19 @@
 
 impl<K: Copy + Eq + Hash, V> Table<K, V> {
     /// A table of `most` records that keeps the names in use.
-    pub fn new(most: usize, seed: u64) -> Self {
-        Table { seen: Some(Frequency::new(most)), ..Table::queue(most, seed) }
+    pub fn new(capacity: usize, seed: u64) -> Self {
+        Table { seen: Some(Frequency::new(capacity)), ..Table::fifo(capacity, seed) }
     }
 
     /// A table of `most` records that are never seen again, such as names in the order in which they came.
-    pub fn queue(most: usize, seed: u64) -> Self {
-        let most = most.clamp(1, 1 << 30);
+    pub fn fifo(capacity: usize, seed: u64) -> Self {
+        let capacity = capacity.clamp(1, 1 << 30);
         Table {
             hash: Keyed::new(seed, 0x7ab1),
-            most,
+            capacity,
             // Zeroed: the system gives these pages as they are touched. A bucket holds a slot's number and one.
             // One or two records to a bucket when full.
-            buckets: vec![0; (most.next_power_of_two() / 2).max(1)],
+            buckets: vec![0; (capacity.next_power_of_two() / 2).max(1)],
             chunks: Vec::new(),
             len: 0,
             lists: [List { oldest: NONE, youngest: NONE, len: 0 }; 2],
@@ -103,14 +103,14 @@
     }
 
     /// Most records held.
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn capacity(&self) -> usize {
+        self.capacity
     }
 
     /// Bytes held at most by the whole table when full.
-    pub fn most_bytes(&self) -> usize {
+    pub fn max_bytes(&self) -> usize {
         let fixed = self.buckets.len() * 4 + self.seen.as_ref().map_or(0, Frequency::bytes);
-        fixed + self.most.next_multiple_of(CHUNK) * std::mem::size_of::<Slot<K, V>>()
+        fixed + self.capacity.next_multiple_of(CHUNK) * std::mem::size_of::<Slot<K, V>>()
     }
 
     /// Bytes of the pieces that hold records at present.
@@ -170,7 +170,7 @@
     /// longest makes room if it is seen less.
     fn protects(&mut self, hash: u64) -> bool {
         let list = self.lists[1];
-        if (list.len as f64) < self.most as f64 * PROTECTED {
+        if (list.len as f64) < self.capacity as f64 * PROTECTED {
             return true;
         }
         let Some(seen) = &self.seen else { return false };
@@ -190,7 +190,7 @@
     /// The value, if the table is full or holds the name.
     pub fn insert(&mut self, now: Millis, key: K, value: V) -> Result<&mut V, V> {
         let hash = self.hash.hash(&key);
-        if self.len >= self.most || self.find(hash, &key).is_some() {
+        if self.len >= self.capacity || self.find(hash, &key).is_some() {
             return Err(value);
         }
         let (bucket, at) = (self.bucket(hash), self.len as u32);
@@ -217,8 +217,8 @@
     /// Where the table is full, forgets one record and gives it back with its fate, for its debt to be carried on:
     /// among the oldest on probation, then among the oldest of all, the first that is full again, else the oldest that
     /// may go. Nothing if there is room, or if all that was looked at must stay.
-    pub fn make_room(&mut self, weigh: impl Fn(&K, &V) -> Fate) -> Option<(K, V, Fate)> {
-        if self.len < self.most {
+    pub fn evict_if_full(&mut self, weigh: impl Fn(&K, &V) -> Evictability) -> Option<(K, V, Evictability)> {
+        if self.len < self.capacity {
             return None;
         }
         for list in 0..2 {
@@ -226,18 +226,18 @@
             while at != NONE && looks < LOOKS {
                 let slot = self.slot(at);
                 match weigh(&slot.key, &slot.value) {
-                    Fate::Full => {
+                    Evictability::Lossless => {
                         let (key, value) = self.take(at);
-                        return Some((key, value, Fate::Full));
+                        return Some((key, value, Evictability::Lossless));
                     }
-                    Fate::Owes => owes = owes.or(Some(at)),
-                    Fate::Pinned => {}
+                    Evictability::WithDeficit => owes = owes.or(Some(at)),
+                    Evictability::Pinned => {}
                 }
                 (at, looks) = (self.slot(at).younger, looks + 1);
             }
             if let Some(at) = owes {
                 let (key, value) = self.take(at);
-                return Some((key, value, Fate::Owes));
+                return Some((key, value, Evictability::WithDeficit));
             }
             // What must stay goes to the young end, so that the next call sees others.
             for _ in 0..looks {
@@ -266,7 +266,7 @@
         now: Millis,
         before: Millis,
         at_most: usize,
-        weigh: impl Fn(&K, &V) -> Fate,
+        weigh: impl Fn(&K, &V) -> Evictability,
     ) -> usize {
         let mut looked = 0;
         for list in 0..2 {
@@ -277,7 +277,7 @@
                 }
                 looked += 1;
                 let slot = self.slot(at);
-                if weigh(&slot.key, &slot.value) == Fate::Full {
+                if weigh(&slot.key, &slot.value) == Evictability::Lossless {
                     self.take(at);
                 } else {
                     self.unlink(at);
@@ -403,9 +403,9 @@
             calls in proptest::collection::vec((0u8..6, 0u64..60), 1..400),
         ) {
             let fate = |key: &u64, _: &u64| match key {
-                key if key % 5 == 0 => Fate::Pinned,
-                key if key % 3 == 0 => Fate::Owes,
-                _ => Fate::Full,
+                key if key % 5 == 0 => Evictability::Pinned,
+                key if key % 3 == 0 => Evictability::WithDeficit,
+                _ => Evictability::Lossless,
             };
             let (mut table, mut model) = (Table::new(most, seed), BTreeMap::new());
             for (n, (call, key)) in calls.into_iter().enumerate() {
@@ -413,9 +413,9 @@
                 match call {
                     0 | 1 => {
                         let had = model.contains_key(&key);
-                        if let Some((gone, value, how)) = (!had).then(|| table.make_room(fate)).flatten() {
+                        if let Some((gone, value, how)) = (!had).then(|| table.evict_if_full(fate)).flatten() {
                             prop_assert_eq!(fate(&gone, &value), how);
-                            prop_assert!(how != Fate::Pinned);
+                            prop_assert!(how != Evictability::Pinned);
                             prop_assert_eq!(model.remove(&gone), Some(value));
                         }
                         let done = table.insert(now, key, now as u64).is_ok();
@@ -429,7 +429,7 @@
                         let looked = table.expire(now, now - 20.0, 3, fate);
                         prop_assert!(looked <= 3);
                         let kept: BTreeMap<u64, u64> = table.iter().map(|(k, v)| (*k, *v)).collect();
-                        prop_assert!(model.iter().all(|(k, v)| kept.contains_key(k) || fate(k, v) == Fate::Full));
+                        prop_assert!(model.iter().all(|(k, v)| kept.contains_key(k) || fate(k, v) == Evictability::Lossless));
                         model = kept;
                     }
                     _ => {
@@ -453,7 +453,7 @@
             let mut add = |table: &mut Table<u64, ()>, key: u64| {
                 now += 1.0;
                 if table.touch(now, &key).is_none() {
-                    table.make_room(|_, _| Fate::Full);
+                    table.evict_if_full(|_, _| Evictability::Lossless);
                     assert!(table.insert(now, key, ()).is_ok());
                 }
             };
@@ -473,10 +473,10 @@
 
     #[test]
     fn pieces_are_given_back() {
-        let mut table = Table::queue(100_000, 1);
+        let mut table = Table::fifo(100_000, 1);
         (0..100_000u64).for_each(|key| assert!(table.insert(0.0, key, [0u64; 4]).is_ok()));
         let full = table.record_bytes();
-        assert!(full <= table.most_bytes());
+        assert!(full <= table.max_bytes());
         (0..100_000u64)
             .rev()
             .filter(|key| key % 100 != 0)
@@ -492,7 +492,13 @@
             for key in 0..500u64 {
                 let name = key * key % 97;
                 if table.touch(key as f64, &name).is_none() {
-                    table.make_room(|k, _| if k % 7 == 0 { Fate::Pinned } else { Fate::Owes });
+                    table.evict_if_full(|k, _| {
+                        if k % 7 == 0 {
+                            Evictability::Pinned
+                        } else {
+                            Evictability::WithDeficit
+                        }
+                    });
                     let _ = table.insert(key as f64, name, key);
                 }
             }
--- a/crates/lifecycle/src/worth.rs
+++ b/crates/lifecycle/src/eviction.rs
@@ -4,22 +4,22 @@
 
 /// What a connection is at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Doing {
+pub enum Activity {
     /// A request of it is taken in or answered.
-    Open,
+    RequestOpen,
     /// It has been answered and asks nothing.
     Idle,
     /// A request has begun on it, or is owed by one that has just connected.
-    Half,
+    PartialRequest,
 }
 
 /// One connection.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Standing {
+pub struct Candidate {
     /// What it is at.
-    pub doing: Doing,
+    pub activity: Activity,
     /// For how long no byte has come or gone, in milliseconds.
-    pub still: Millis,
+    pub inactive_ms: Millis,
 }
 
 /// An idle connection may be asked on again at any moment: within this time it is worth more than one that has begun a
@@ -28,21 +28,21 @@
 /// A slow client writes piece by piece: one that has written nothing for so long is rather one that never will.
 const HALF: [Millis; 2] = [500.0, 100.0];
 
-impl Standing {
+impl Candidate {
     /// How soon it makes way: the greatest first; nothing for one that must stay.
     fn rank(self) -> Option<(u8, Millis)> {
-        let after = |rank: u8, from: Millis| (self.still >= from).then_some((rank, self.still));
-        match self.doing {
-            Doing::Open => None,
-            Doing::Idle => after(3, IDLE[0]).or(after(1, IDLE[1])),
-            Doing::Half => after(2, HALF[0]).or(after(0, HALF[1])),
+        let after = |rank: u8, from: Millis| (self.inactive_ms >= from).then_some((rank, self.inactive_ms));
+        match self.activity {
+            Activity::RequestOpen => None,
+            Activity::Idle => after(3, IDLE[0]).or(after(1, IDLE[1])),
+            Activity::PartialRequest => after(2, HALF[0]).or(after(0, HALF[1])),
         }
     }
 }
 
-/// The place of the one that makes way first: idle for long, then half a request that stands still, then the others, the
+/// The place of the one that makes way first: idle for long, then half a request that stands inactive_ms, then the others, the
 /// longest still first. One with an open request never does, nor one that has only just done something.
-pub fn least_worthy(all: impl Iterator<Item = Standing>) -> Option<usize> {
+pub fn select_candidate(all: impl Iterator<Item = Candidate>) -> Option<usize> {
     let ranked = all.enumerate().filter_map(|(at, standing)| Some((at, standing.rank()?)));
     let most = ranked.max_by(|(_, a), (_, b)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     most.map(|(at, _)| at)
@@ -52,24 +52,40 @@
 mod tests {
     use super::*;
 
-    fn first(all: &[(Doing, Millis)]) -> Option<usize> {
-        least_worthy(all.iter().map(|(doing, still)| Standing { doing: *doing, still: *still }))
+    fn first(all: &[(Activity, Millis)]) -> Option<usize> {
+        select_candidate(
+            all.iter()
+                .map(|(activity, inactive_ms)| Candidate { activity: *activity, inactive_ms: *inactive_ms }),
+        )
     }
 
     /// Guards against a crowd that asked once and stayed, for which slow but honest clients made way.
     #[test]
     fn a_slow_request_stays_while_idle_ones_can_go() {
-        assert_eq!(first(&[(Doing::Half, 300.0), (Doing::Idle, 1200.0), (Doing::Idle, 5000.0)]), Some(2));
-        assert_eq!(first(&[(Doing::Half, 2000.0), (Doing::Idle, 1200.0)]), Some(1));
+        assert_eq!(
+            first(&[(Activity::PartialRequest, 300.0), (Activity::Idle, 1200.0), (Activity::Idle, 5000.0)]),
+            Some(2)
+        );
+        assert_eq!(first(&[(Activity::PartialRequest, 2000.0), (Activity::Idle, 1200.0)]), Some(1));
         // One that stands still goes before one that was asked on a moment ago.
-        assert_eq!(first(&[(Doing::Idle, 400.0), (Doing::Half, 600.0), (Doing::Half, 200.0)]), Some(1));
-        assert_eq!(first(&[(Doing::Half, 400.0), (Doing::Idle, 150.0)]), Some(1));
-        assert_eq!(first(&[(Doing::Half, 200.0), (Doing::Half, 300.0)]), Some(1));
+        assert_eq!(
+            first(&[
+                (Activity::Idle, 400.0),
+                (Activity::PartialRequest, 600.0),
+                (Activity::PartialRequest, 200.0)
+            ]),
+            Some(1)
+        );
+        assert_eq!(first(&[(Activity::PartialRequest, 400.0), (Activity::Idle, 150.0)]), Some(1));
+        assert_eq!(first(&[(Activity::PartialRequest, 200.0), (Activity::PartialRequest, 300.0)]), Some(1));
     }
 
     #[test]
     fn an_open_request_never_makes_way_nor_one_that_just_moved() {
-        assert_eq!(first(&[(Doing::Open, 1e9), (Doing::Idle, 99.0), (Doing::Half, 99.0)]), None);
+        assert_eq!(
+            first(&[(Activity::RequestOpen, 1e9), (Activity::Idle, 99.0), (Activity::PartialRequest, 99.0)]),
+            None
+        );
         assert_eq!(first(&[]), None);
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -6,26 +6,26 @@
 //! | warming | no | no: the predecessor does | yes | no |
 //! | starting | no | yes | yes | no |
 //! | serving | yes | yes | yes | no |
-//! | standby | no | yes | no | after [`Times::standby_idle_ms`] |
-//! | stopping | no | for [`Times::front_ms`] | for [`Times::serve_ms`] | after that |
-//! | handing over | no | no: the successor does | no | after [`Times::serve_ms`] |
+//! | standby | no | yes | no | after [`Timings::standby_idle_ms`] |
+//! | stopping | no | for [`Timings::readiness_lag_ms`] | for [`Timings::drain_ms`] | after that |
+//! | handing over | no | no: the successor does | no | after [`Timings::drain_ms`] |
 //!
 //! ```
-//! use marldeal_lifecycle::{Command, Lifecycle, Phase, Times};
+//! use marldeal_lifecycle::{Command, Lifecycle, Phase, Timings};
 //!
-//! let mut life = Lifecycle::new(Times::default());
-//! life.able(0.0, true);
+//! let mut life = Lifecycle::new(Timings::default());
+//! life.set_can_serve(0.0, true);
 //! assert_eq!(life.handle(10.0, Command::Standby), Ok(Phase::Standby));
-//! assert!(!life.ready() && life.accepts(10.0) && !life.keeps_alive(10.0) && !life.closes_idle(10.0));
+//! assert!(!life.is_ready() && life.accepts_connections(10.0) && !life.keeps_alive(10.0) && !life.closes_idle(10.0));
 //! assert!(life.closes_idle(1010.0));
 //! assert_eq!(life.handle(2000.0, Command::Active), Ok(Phase::Serving));
-//! assert!(life.ready());
+//! assert!(life.is_ready());
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod pauses;
-pub mod worth;
+pub mod eviction;
+pub mod stalls;
 
 use std::fmt;
 
@@ -79,9 +79,9 @@
 
 /// Why a command changes nothing: the process ends, and nothing brings it back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ending(pub Phase);
+pub struct AlreadyEnding(pub Phase);
 
-impl fmt::Display for Ending {
+impl fmt::Display for AlreadyEnding {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "this process is {} and takes no clients any more", self.0)
     }
@@ -89,28 +89,28 @@
 
 /// How long each step lasts, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Times {
+pub struct Timings {
     /// Clients come for so long after the first word that this limiter is not ready.
-    pub front_ms: Millis,
+    pub readiness_lag_ms: Millis,
     /// In standby idle connections are closed after this time.
     pub standby_idle_ms: Millis,
     /// After a stop requests are taken for so long, since each can still be answered then.
-    pub serve_ms: Millis,
+    pub drain_ms: Millis,
     /// After a stop nothing is waited for any longer.
-    pub most_ms: Millis,
+    pub max_stop_ms: Millis,
     /// The platform ends the process so long after a stop at the earliest, less what an answer needs to be written; infinite
     /// where the settings do not tell.
-    pub killed_ms: Millis,
+    pub kill_after_ms: Millis,
 }
 
-impl Default for Times {
-    fn default() -> Times {
-        Times {
-            front_ms: 600.0,
+impl Default for Timings {
+    fn default() -> Timings {
+        Timings {
+            readiness_lag_ms: 600.0,
             standby_idle_ms: 1000.0,
-            serve_ms: 600.0,
-            most_ms: 20_000.0,
-            killed_ms: f64::INFINITY,
+            drain_ms: 600.0,
+            max_stop_ms: 20_000.0,
+            kill_after_ms: f64::INFINITY,
         }
     }
 }
@@ -118,7 +118,7 @@
 /// A limiter's life.
 #[derive(Debug, Clone)]
 pub struct Lifecycle {
-    times: Times,
+    times: Timings,
     phase: Phase,
     since: Millis,
     /// The word to end may have come then already, while the process stood still.
@@ -130,12 +130,12 @@
 
 impl Lifecycle {
     /// A limiter that starts.
-    pub fn new(times: Times) -> Lifecycle {
+    pub fn new(times: Timings) -> Lifecycle {
         Lifecycle { times, phase: Phase::Starting, since: 0.0, told: 0.0, away: None, able: false }
     }
 
     /// A limiter that starts beside one that serves in the same place.
-    pub fn beside_predecessor(times: Times) -> Lifecycle {
+    pub fn beside_predecessor(times: Timings) -> Lifecycle {
         Lifecycle { phase: Phase::Warming, ..Lifecycle::new(times) }
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Whether a request could be served now; the first yes ends the start.
-    pub fn able(&mut self, now: Millis, able: bool) {
+    pub fn set_can_serve(&mut self, now: Millis, able: bool) {
         self.able = able;
         if able && self.phase == Phase::Starting {
             (self.phase, self.since) = (Phase::Serving, now);
@@ -157,13 +157,13 @@
     ///
     /// # Errors
     /// The process is ending.
-    pub fn handle(&mut self, now: Millis, command: Command) -> Result<Phase, Ending> {
+    pub fn handle(&mut self, now: Millis, command: Command) -> Result<Phase, AlreadyEnding> {
         let next = match (self.phase, command) {
             (Phase::Stopping, Command::Stop) | (Phase::HandingOver, Command::Stop | Command::HandOver) => {
                 self.phase
             }
             (Phase::Stopping, Command::HandOver) => Phase::HandingOver,
-            (Phase::Stopping | Phase::HandingOver, _) => return Err(Ending(self.phase)),
+            (Phase::Stopping | Phase::HandingOver, _) => return Err(AlreadyEnding(self.phase)),
             (Phase::Warming, Command::TakeOver) if self.able => Phase::Serving,
             (Phase::Warming, Command::TakeOver) => Phase::Starting,
             (phase, Command::TakeOver) => phase,
@@ -189,21 +189,21 @@
     }
 
     /// The command that began the present phase may have come so long before it was read: whoever sent it counts from then.
-    pub fn lay_unread(&mut self, waited_ms: Millis) {
+    pub fn backdate_command(&mut self, waited_ms: Millis) {
         self.told = self.since - waited_ms.max(0.0);
     }
 
     /// Clients may come.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.phase == Phase::Serving && self.able
     }
 
     /// New connections are accepted. After a stop only while the front may not know of it: those that come later are not
     /// its clients', and would take the place of the connections that these go on using.
-    pub fn accepts(&self, now: Millis) -> bool {
+    pub fn accepts_connections(&self, now: Millis) -> bool {
         match self.phase {
             Phase::Starting | Phase::Serving | Phase::Standby => true,
-            Phase::Stopping => !self.over(now) && now - self.since < self.times.front_ms,
+            Phase::Stopping => !self.over(now) && now - self.since < self.times.readiness_lag_ms,
             Phase::Warming | Phase::HandingOver => false,
         }
     }
@@ -211,15 +211,15 @@
     /// New connections are turned away: what they ask is refused at once, so that no request in the queue of connections ends
     /// in a reset, and they take no place for longer than that. One that only warmed up leaves them to its predecessor, whose
     /// queue it is.
-    pub fn turns_away(&self, now: Millis) -> bool {
+    pub fn rejects_connections(&self, now: Millis) -> bool {
         let warmed_up = self.away == Some(f64::NEG_INFINITY);
-        self.phase == Phase::Stopping && !warmed_up && !self.accepts(now)
+        self.phase == Phase::Stopping && !warmed_up && !self.accepts_connections(now)
     }
 
     /// How long an answer may still take before the process may be ended from outside; infinite while it is not to end.
-    pub fn left_ms(&self, now: Millis) -> Millis {
+    pub fn remaining_ms(&self, now: Millis) -> Millis {
         match self.phase {
-            Phase::Stopping => (self.told + self.times.killed_ms - now).max(0.0),
+            Phase::Stopping => (self.told + self.times.kill_after_ms - now).max(0.0),
             _ => f64::INFINITY,
         }
     }
@@ -244,19 +244,19 @@
 
     /// The process may end: no more requests can come, and what was taken is answered or not waited for any longer. One
     /// that hands over need not wait once it holds no connection any more.
-    pub fn ends(&self, now: Millis, owes: bool, holds: bool) -> bool {
+    pub fn may_exit(&self, now: Millis, owes: bool, holds: bool) -> bool {
         let over = match self.phase {
             Phase::Stopping => self.over(now),
             Phase::HandingOver => self.over(now) || !holds,
             _ => return false,
         };
-        over && (!owes || now - self.since >= self.times.most_ms)
+        over && (!owes || now - self.since >= self.times.max_stop_ms)
     }
 
     /// The time in which an ending process takes requests has passed.
     fn over(&self, now: Millis) -> bool {
-        let front_knows = self.away.is_some_and(|at| now - at >= self.times.front_ms);
-        now - self.since >= self.times.serve_ms || (self.phase == Phase::Stopping && front_knows)
+        let front_knows = self.away.is_some_and(|at| now - at >= self.times.readiness_lag_ms);
+        now - self.since >= self.times.drain_ms || (self.phase == Phase::Stopping && front_knows)
     }
 }
 
@@ -266,8 +266,8 @@
     use proptest::prelude::*;
 
     fn serving() -> Lifecycle {
-        let mut life = Lifecycle::new(Times::default());
-        life.able(0.0, true);
+        let mut life = Lifecycle::new(Timings::default());
+        life.set_can_serve(0.0, true);
         life
     }
 
@@ -281,9 +281,13 @@
         assert!(life.closes_idle(1002.0));
         assert_eq!(life.handle(1500.0, Command::Stop), Ok(Phase::Stopping));
         // The front knows: nothing is waited for.
-        assert!(!life.accepts(1500.0) && life.ends(1500.0, false, true) && !life.ends(1500.0, true, true));
-        assert_eq!(life.handle(1600.0, Command::Active), Err(Ending(Phase::Stopping)));
-        assert_eq!(life.handle(1600.0, Command::Standby), Err(Ending(Phase::Stopping)));
+        assert!(
+            !life.accepts_connections(1500.0)
+                && life.may_exit(1500.0, false, true)
+                && !life.may_exit(1500.0, true, true)
+        );
+        assert_eq!(life.handle(1600.0, Command::Active), Err(AlreadyEnding(Phase::Stopping)));
+        assert_eq!(life.handle(1600.0, Command::Standby), Err(AlreadyEnding(Phase::Stopping)));
         assert_eq!(life.handle(1600.0, Command::Stop), Ok(Phase::Stopping));
     }
 
@@ -292,47 +296,57 @@
         let mut life = serving();
         assert_eq!(life.handle(0.0, Command::Stop), Ok(Phase::Stopping));
         assert!(
-            !life.ready()
-                && life.accepts(599.0)
+            !life.is_ready()
+                && life.accepts_connections(599.0)
                 && life.keeps_alive(599.0)
-                && !life.ends(599.0, false, false)
+                && !life.may_exit(599.0, false, false)
         );
-        assert!(!life.accepts(600.0) && !life.keeps_alive(600.0) && life.closes_idle(600.0));
+        assert!(!life.accepts_connections(600.0) && !life.keeps_alive(600.0) && life.closes_idle(600.0));
         assert!(
-            life.ends(600.0, false, true) && !life.ends(600.0, true, true) && life.ends(20_000.0, true, true)
+            life.may_exit(600.0, false, true)
+                && !life.may_exit(600.0, true, true)
+                && life.may_exit(20_000.0, true, true)
         );
     }
 
     /// Guards against crowds that take the places of kept connections while a limiter stops.
     #[test]
     fn a_stop_keeps_connections_longer_than_it_accepts_new_ones() {
-        let mut life = Lifecycle::new(Times { serve_ms: 2400.0, ..Times::default() });
-        life.able(0.0, true);
+        let mut life = Lifecycle::new(Timings { drain_ms: 2400.0, ..Timings::default() });
+        life.set_can_serve(0.0, true);
         assert_eq!(life.handle(0.0, Command::Stop), Ok(Phase::Stopping));
-        assert!(life.accepts(599.0) && !life.accepts(600.0));
+        assert!(life.accepts_connections(599.0) && !life.accepts_connections(600.0));
         assert!(life.keeps_alive(2399.0) && !life.closes_idle(2399.0) && life.closes_idle(2400.0));
     }
 
     /// Guards against what lies in the queue of connections being reset, and against an answer that would come after the end.
     #[test]
     fn a_stop_turns_late_connections_away_and_leaves_each_answer_its_time() {
-        let mut life = Lifecycle::new(Times { serve_ms: 900.0, killed_ms: 3400.0, ..Times::default() });
-        life.able(0.0, true);
-        assert!(!life.turns_away(0.0) && life.left_ms(5.0) == f64::INFINITY);
+        let mut life =
+            Lifecycle::new(Timings { drain_ms: 900.0, kill_after_ms: 3400.0, ..Timings::default() });
+        life.set_can_serve(0.0, true);
+        assert!(!life.rejects_connections(0.0) && life.remaining_ms(5.0) == f64::INFINITY);
         assert_eq!(life.handle(100.0, Command::Stop), Ok(Phase::Stopping));
-        assert!(!life.turns_away(699.0) && life.turns_away(700.0) && life.turns_away(5000.0));
-        assert_eq!((life.left_ms(100.0), life.left_ms(3400.0), life.left_ms(4000.0)), (3400.0, 100.0, 0.0));
+        assert!(
+            !life.rejects_connections(699.0)
+                && life.rejects_connections(700.0)
+                && life.rejects_connections(5000.0)
+        );
+        assert_eq!(
+            (life.remaining_ms(100.0), life.remaining_ms(3400.0), life.remaining_ms(4000.0)),
+            (3400.0, 100.0, 0.0)
+        );
     }
 
     /// Guards against answers after SIGKILL where SIGTERM came while the process stood still.
     #[test]
     fn a_stop_that_lay_unread_leaves_less_time() {
-        let mut life = Lifecycle::new(Times { killed_ms: 3400.0, ..Times::default() });
-        life.able(0.0, true);
+        let mut life = Lifecycle::new(Timings { kill_after_ms: 3400.0, ..Timings::default() });
+        life.set_can_serve(0.0, true);
         assert_eq!(life.handle(2000.0, Command::Stop), Ok(Phase::Stopping));
-        life.lay_unread(1500.0);
-        assert_eq!(life.left_ms(2000.0), 1900.0);
-        assert!(life.accepts(2599.0), "clients come as long as ever");
+        life.backdate_command(1500.0);
+        assert_eq!(life.remaining_ms(2000.0), 1900.0);
+        assert!(life.accepts_connections(2599.0), "clients come as long as ever");
     }
 
     #[test]
@@ -340,39 +354,47 @@
         let mut life = serving();
         assert_eq!(life.handle(0.0, Command::HandOver), Ok(Phase::HandingOver));
         assert!(
-            !life.accepts(0.0)
+            !life.accepts_connections(0.0)
                 && !life.keeps_alive(0.0)
                 && !life.closes_idle(599.0)
                 && life.closes_idle(600.0)
         );
-        assert!(life.ends(1.0, false, false) && !life.ends(1.0, false, true) && !life.ends(1.0, true, true));
+        assert!(
+            life.may_exit(1.0, false, false)
+                && !life.may_exit(1.0, false, true)
+                && !life.may_exit(1.0, true, true)
+        );
         assert_eq!(life.handle(5.0, Command::Stop), Ok(Phase::HandingOver));
         assert!(life.handle(5.0, Command::Active).is_err());
     }
 
     #[test]
     fn beside_a_predecessor_nothing_is_accepted_until_its_place_is_taken() {
-        let mut life = Lifecycle::beside_predecessor(Times::default());
-        life.able(0.0, true);
-        assert!(!life.ready() && !life.accepts(0.0));
+        let mut life = Lifecycle::beside_predecessor(Timings::default());
+        life.set_can_serve(0.0, true);
+        assert!(!life.is_ready() && !life.accepts_connections(0.0));
         assert_eq!(life.handle(1.0, Command::Standby), Ok(Phase::Warming));
         assert_eq!(life.handle(2.0, Command::TakeOver), Ok(Phase::Serving));
-        assert!(life.ready() && life.accepts(2.0));
+        assert!(life.is_ready() && life.accepts_connections(2.0));
         assert_eq!(life.handle(3.0, Command::TakeOver), Ok(Phase::Serving));
-        let mut stopped = Lifecycle::beside_predecessor(Times::default());
+        let mut stopped = Lifecycle::beside_predecessor(Timings::default());
         assert_eq!(stopped.handle(0.0, Command::Stop), Ok(Phase::Stopping));
-        assert!(!stopped.accepts(0.0) && !stopped.turns_away(0.0) && stopped.ends(0.0, false, true));
+        assert!(
+            !stopped.accepts_connections(0.0)
+                && !stopped.rejects_connections(0.0)
+                && stopped.may_exit(0.0, false, true)
+        );
         assert!(stopped.handle(1.0, Command::TakeOver).is_err());
     }
 
     #[test]
     fn standby_before_the_first_yes_stays_and_active_returns_to_the_start() {
-        let mut life = Lifecycle::new(Times::default());
+        let mut life = Lifecycle::new(Timings::default());
         assert_eq!(life.handle(0.0, Command::Standby), Ok(Phase::Standby));
-        life.able(1.0, false);
+        life.set_can_serve(1.0, false);
         assert_eq!(life.handle(2.0, Command::Active), Ok(Phase::Starting));
-        life.able(3.0, true);
-        assert!(life.ready());
+        life.set_can_serve(3.0, true);
+        assert!(life.is_ready());
     }
 
     proptest! {
@@ -380,11 +402,11 @@
         /// connection is closed within a second of standby and stays closed until `active`.
         #[test]
         fn no_order_of_commands_breaks_it(steps in prop::collection::vec((0u8..5, 0.0..700.0f64, any::<bool>()), 1..40)) {
-            let mut life = Lifecycle::new(Times::default());
+            let mut life = Lifecycle::new(Timings::default());
             let (mut now, mut ended, mut away): (f64, bool, Option<f64>) = (0.0, false, None);
             for (what, wait, able) in steps {
                 now += wait;
-                life.able(now, able);
+                life.set_can_serve(now, able);
                 let command = [Command::Standby, Command::Active, Command::HandOver, Command::Stop].get(usize::from(what));
                 let said = command.map(|c| life.handle(now, *c));
                 ended |= matches!(life.phase(), Phase::Stopping | Phase::HandingOver);
@@ -392,11 +414,11 @@
                 if said == Some(Ok(Phase::Standby)) { away = away.or(Some(now)); }
                 if !ended && life.phase() != Phase::Standby { away = None; }
                 if let Some(from) = away {
-                    prop_assert!(!life.ready() && !life.keeps_alive(now));
+                    prop_assert!(!life.is_ready() && !life.keeps_alive(now));
                     prop_assert!(ended || life.closes_idle(now) == (now - from >= 1000.0));
                 }
-                prop_assert!(!life.ready() || (life.accepts(now) && life.keeps_alive(now) && !life.closes_idle(now)));
-                prop_assert!(!life.ends(now, true, false) || ended);
+                prop_assert!(!life.is_ready() || (life.accepts_connections(now) && life.keeps_alive(now) && !life.closes_idle(now)));
+                prop_assert!(!life.may_exit(now, true, false) || ended);
             }
         }
     }
--- a/crates/permit/src/accepting.rs
+++ b/crates/permit/src/accepting.rs
@@ -8,22 +8,22 @@
 
 /// How far a start has come.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Start {
+pub struct StartupState {
     /// Discovery has told its list to this process.
-    pub list_told: bool,
+    pub list_received: bool,
     /// The list has to be asked for at a registry: what that has counts once it has told it.
-    pub asks_registry: bool,
+    pub uses_registry: bool,
     /// Since the process began.
-    pub since_ms: Millis,
+    pub elapsed_ms: Millis,
     /// The shortest time in which a class wants its answer; infinite without classes.
-    pub shortest_aim_ms: Millis,
+    pub min_target_latency_ms: Millis,
 }
 
 /// Whether connections may be accepted: what an agent has counts as told from the first moment, so that a request served
 /// before its first word might go to a server that drains.
-pub fn may_accept(start: &Start) -> bool {
-    let most_ms = MOST_WAIT_MS.min(start.shortest_aim_ms * AIM_PART);
-    start.list_told || start.asks_registry || start.since_ms > most_ms
+pub fn may_accept(start: &StartupState) -> bool {
+    let most_ms = MOST_WAIT_MS.min(start.min_target_latency_ms * AIM_PART);
+    start.list_received || start.uses_registry || start.elapsed_ms > most_ms
 }
 
 #[cfg(test)]
@@ -32,13 +32,25 @@
 
     #[test]
     fn the_agents_first_word_is_waited_for_a_part_of_the_shortest_aim() {
-        let start =
-            Start { list_told: false, asks_registry: false, since_ms: 200.0, shortest_aim_ms: 1000.0 };
+        let start = StartupState {
+            list_received: false,
+            uses_registry: false,
+            elapsed_ms: 200.0,
+            min_target_latency_ms: 1000.0,
+        };
         assert!(!may_accept(&start));
-        assert!(may_accept(&Start { since_ms: 251.0, ..start }));
-        assert!(may_accept(&Start { list_told: true, ..start }));
-        assert!(may_accept(&Start { asks_registry: true, ..start }));
-        assert!(!may_accept(&Start { since_ms: 1999.0, shortest_aim_ms: f64::INFINITY, ..start }));
-        assert!(may_accept(&Start { since_ms: 2001.0, shortest_aim_ms: f64::INFINITY, ..start }));
+        assert!(may_accept(&StartupState { elapsed_ms: 251.0, ..start }));
+        assert!(may_accept(&StartupState { list_received: true, ..start }));
+        assert!(may_accept(&StartupState { uses_registry: true, ..start }));
+        assert!(!may_accept(&StartupState {
+            elapsed_ms: 1999.0,
+            min_target_latency_ms: f64::INFINITY,
+            ..start
+        }));
+        assert!(may_accept(&StartupState {
+            elapsed_ms: 2001.0,
+            min_target_latency_ms: f64::INFINITY,
+            ..start
+        }));
     }
 }
--- a/crates/permit/src/closing.rs
+++ b/crates/permit/src/closing.rs
@@ -2,7 +2,7 @@
 
 /// Why a connection is to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Closing {
+pub enum CloseReason {
     /// Nothing has been asked on it for long, or the process ends.
     Idle,
     /// It makes way for another one.
@@ -19,16 +19,16 @@
     /// Bytes that it has sent lie unread.
     pub unread: bool,
     /// It was kept for that before, and has been read since.
-    pub reread: bool,
+    pub already_deferred: bool,
 }
 
 /// Why it stays open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kept {
+pub enum KeepReason {
     /// An answer is owed on it.
-    AnswerOwed,
+    AnswerPending,
     /// What lies unread may be a request: it has to be read first, and the close would reset it.
-    Unread,
+    UnreadData,
 }
 
 /// Whether a connection may be closed now. What lies unread is read first: while the process stood still the rest of a request
@@ -36,13 +36,15 @@
 ///
 /// # Errors
 /// Why not.
-pub fn may_close(connection: Connection, why: Closing) -> Result<(), Kept> {
+pub fn may_close(connection: Connection, why: CloseReason) -> Result<(), KeepReason> {
     match why {
-        _ if connection.request_open => Err(Kept::AnswerOwed),
-        Closing::Stalled if connection.unread && !connection.reread => Err(Kept::Unread),
-        Closing::Stalled => Ok(()),
-        Closing::Idle | Closing::MakesWay if connection.unread => Err(Kept::Unread),
-        Closing::Idle | Closing::MakesWay => Ok(()),
+        _ if connection.request_open => Err(KeepReason::AnswerPending),
+        CloseReason::Stalled if connection.unread && !connection.already_deferred => {
+            Err(KeepReason::UnreadData)
+        }
+        CloseReason::Stalled => Ok(()),
+        CloseReason::Idle | CloseReason::MakesWay if connection.unread => Err(KeepReason::UnreadData),
+        CloseReason::Idle | CloseReason::MakesWay => Ok(()),
     }
 }
 
@@ -52,14 +54,17 @@
 
     #[test]
     fn what_is_owed_or_unread_keeps_a_connection_open() {
-        let of = |request_open, unread| Connection { request_open, unread, reread: false };
-        for why in [Closing::Idle, Closing::MakesWay, Closing::Stalled] {
-            assert_eq!(may_close(of(true, false), why), Err(Kept::AnswerOwed));
+        let of = |request_open, unread| Connection { request_open, unread, already_deferred: false };
+        for why in [CloseReason::Idle, CloseReason::MakesWay, CloseReason::Stalled] {
+            assert_eq!(may_close(of(true, false), why), Err(KeepReason::AnswerPending));
             assert_eq!(may_close(of(false, false), why), Ok(()));
         }
-        assert_eq!(may_close(of(false, true), Closing::Idle), Err(Kept::Unread));
-        assert_eq!(may_close(of(false, true), Closing::MakesWay), Err(Kept::Unread));
-        assert_eq!(may_close(of(false, true), Closing::Stalled), Err(Kept::Unread));
-        assert_eq!(may_close(Connection { reread: true, ..of(false, true) }, Closing::Stalled), Ok(()));
+        assert_eq!(may_close(of(false, true), CloseReason::Idle), Err(KeepReason::UnreadData));
+        assert_eq!(may_close(of(false, true), CloseReason::MakesWay), Err(KeepReason::UnreadData));
+        assert_eq!(may_close(of(false, true), CloseReason::Stalled), Err(KeepReason::UnreadData));
+        assert_eq!(
+            may_close(Connection { already_deferred: true, ..of(false, true) }, CloseReason::Stalled),
+            Ok(())
+        );
     }
 }
--- a/crates/permit/src/lib.rs
+++ b/crates/permit/src/lib.rs
@@ -6,22 +6,22 @@
 //! [`violation`] holds what has happened against the same rules, by other facts than those that the decision was made by.
 //!
 //! ```
-//! use marldeal_permit::{may_send, Attempt, Check, Client, Denied, Effect, Verdict};
+//! use marldeal_permit::{may_send, Attempt, Check, ClientState, Denied, Effect, Verdict};
 //!
 //! let attempt = Attempt {
 //!     now: 1000.0,
-//!     client: Client::Connected { seen: 990.0 },
-//!     endpoint_accepts: true,
-//!     list_is_read: true,
+//!     client: ClientState::Connected { checked_at: 990.0 },
+//!     server_accepts: true,
+//!     server_list_current: true,
 //!     deadline: 4000.0,
 //!     effect: Effect::Keyed { window_ms: 8000.0 },
 //!     may_have_run: None,
-//!     another_out: false,
+//!     another_outstanding: false,
 //! };
 //! assert_eq!(may_send(&attempt), Verdict::Allowed);
 //! let later = Attempt { now: 1500.0, ..attempt };
-//! assert_eq!(may_send(&later), Verdict::First(Check::Client));
-//! let left = Attempt { client: Client::Disconnected, ..later };
+//! assert_eq!(may_send(&later), Verdict::CheckFirst(Check::Client));
+//! let left = Attempt { client: ClientState::Disconnected, ..later };
 //! assert_eq!(may_send(&left), Verdict::Denied(Denied::ClientDisconnected));
 //! ```
 #![forbid(unsafe_code)]
@@ -32,11 +32,11 @@
 mod sending;
 pub mod violation;
 
-pub use accepting::{may_accept, Start};
-pub use closing::{may_close, Closing, Connection, Kept};
+pub use accepting::{may_accept, StartupState};
+pub use closing::{may_close, CloseReason, Connection, KeepReason};
 pub use sending::{
-    may_repeat, may_send, usable_window_ms, Attempt, Check, Client, Denied, Effect, Verdict, CLIENT_SEEN_MS,
-    HELD_UP_MS,
+    may_retry, may_send, usable_window_ms, Attempt, Check, ClientState, Denied, Effect, Verdict,
+    MAX_CLIENT_CHECK_AGE_MS, MAX_STALL_MS,
 };
 
 /// A moment or a length of time in milliseconds.
--- a/crates/permit/src/sending.rs
+++ b/crates/permit/src/sending.rs
@@ -6,11 +6,11 @@
 
 /// A client that was connected so long ago may have left: an attempt that begins more than 100 ms after its close is a break,
 /// and word of the close may lie unread behind a full turn of the event loop.
-pub const CLIENT_SEEN_MS: Millis = 50.0;
+pub const MAX_CLIENT_CHECK_AGE_MS: Millis = 50.0;
 /// A process may be held up for so long between reading its clock and writing.
-pub const HELD_UP_MS: Millis = 150.0;
+pub const MAX_STALL_MS: Millis = 150.0;
 /// Share of the window in which servers drop repeats that being held up may cost at most, where the window is short.
-const HELD_UP_PART: f64 = 0.25;
+const MAX_STALL_FRACTION: f64 = 0.25;
 
 /// What a second execution of a request would do.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -28,11 +28,11 @@
 
 /// The client that waits for the answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Client {
+pub enum ClientState {
     /// Its connection was open when it was last looked at.
     Connected {
         /// When that was.
-        seen: Millis,
+        checked_at: Millis,
     },
     /// It has closed or reset its connection, or has its answer.
     Disconnected,
@@ -44,11 +44,11 @@
     /// The time.
     pub now: Millis,
     /// Who waits for it.
-    pub client: Client,
+    pub client: ClientState,
     /// The server is in the list, where it was, and takes new work.
-    pub endpoint_accepts: bool,
+    pub server_accepts: bool,
     /// All that discovery has told by now has been read.
-    pub list_is_read: bool,
+    pub server_list_current: bool,
     /// When its client gives up.
     pub deadline: Millis,
     /// What a second execution would do.
@@ -56,7 +56,7 @@
     /// When the first attempt that may have run went out.
     pub may_have_run: Option<Millis>,
     /// Another attempt of the same request is out.
-    pub another_out: bool,
+    pub another_outstanding: bool,
 }
 
 /// What has to be looked at before the question can be answered.
@@ -65,7 +65,7 @@
     /// Whether the client is still there.
     Client,
     /// What discovery has told and nobody has read.
-    List,
+    ServerList,
 }
 
 /// Why an attempt may not go out.
@@ -76,11 +76,11 @@
     /// Its client's time is over.
     DeadlinePassed,
     /// The server drains, is gone, or is elsewhere.
-    EndpointLeaves,
+    ServerUnavailable,
     /// Two would be out at once.
-    AnotherOut,
+    AnotherOutstanding,
     /// Servers may have forgotten its key by the time it arrives.
-    WindowOver,
+    KeyExpired,
     /// An earlier attempt may have run, and a second execution would do harm.
     MayHaveRun,
 }
@@ -90,9 +90,9 @@
         f.write_str(match self {
             Denied::ClientDisconnected => "its client has disconnected",
             Denied::DeadlinePassed => "its deadline has passed",
-            Denied::EndpointLeaves => "the server takes nothing new",
-            Denied::AnotherOut => "another attempt is out",
-            Denied::WindowOver => "servers may have forgotten its key",
+            Denied::ServerUnavailable => "the server takes nothing new",
+            Denied::AnotherOutstanding => "another attempt is out",
+            Denied::KeyExpired => "servers may have forgotten its key",
             Denied::MayHaveRun => "an earlier attempt may have run",
         })
     }
@@ -104,53 +104,53 @@
     /// It may go out, if the bytes do so at once.
     Allowed,
     /// Something has to be looked at; then to be asked again.
-    First(Check),
+    CheckFirst(Check),
     /// It may not.
     Denied(Denied),
 }
 
 /// How much of a window in which servers drop repeats can be used: a process that is held up writes later than it decides.
 pub fn usable_window_ms(window_ms: Millis) -> Millis {
-    window_ms - HELD_UP_MS.min(window_ms * HELD_UP_PART)
+    window_ms - MAX_STALL_MS.min(window_ms * MAX_STALL_FRACTION)
 }
 
 /// Whether a further attempt may be made at all, `since` when the first one that may have run went out.
 ///
 /// # Errors
 /// Why not.
-pub fn may_repeat(now: Millis, effect: Effect, since: Option<Millis>) -> Result<(), Denied> {
+pub fn may_retry(now: Millis, effect: Effect, since: Option<Millis>) -> Result<(), Denied> {
     match (effect, since) {
         (_, None) | (Effect::Safe, _) => Ok(()),
         (Effect::Unsafe, Some(_)) => Err(Denied::MayHaveRun),
         (Effect::Keyed { window_ms }, Some(since)) if now - since < usable_window_ms(window_ms) => Ok(()),
-        (Effect::Keyed { .. }, Some(_)) => Err(Denied::WindowOver),
+        (Effect::Keyed { .. }, Some(_)) => Err(Denied::KeyExpired),
     }
 }
 
 /// Whether an attempt may go out now. What rules it out for good comes before what has to be looked at.
 pub fn may_send(attempt: &Attempt) -> Verdict {
     let Attempt { now, effect, may_have_run, .. } = *attempt;
-    if attempt.another_out {
-        return Verdict::Denied(Denied::AnotherOut);
+    if attempt.another_outstanding {
+        return Verdict::Denied(Denied::AnotherOutstanding);
     }
     if now >= attempt.deadline {
         return Verdict::Denied(Denied::DeadlinePassed);
     }
-    if let Err(why) = may_repeat(now, effect, may_have_run) {
+    if let Err(why) = may_retry(now, effect, may_have_run) {
         return Verdict::Denied(why);
     }
-    let seen = match attempt.client {
-        Client::Disconnected => return Verdict::Denied(Denied::ClientDisconnected),
-        Client::Connected { seen } => seen,
+    let checked_at = match attempt.client {
+        ClientState::Disconnected => return Verdict::Denied(Denied::ClientDisconnected),
+        ClientState::Connected { checked_at } => checked_at,
     };
-    if !attempt.endpoint_accepts {
-        return Verdict::Denied(Denied::EndpointLeaves);
+    if !attempt.server_accepts {
+        return Verdict::Denied(Denied::ServerUnavailable);
     }
-    if !attempt.list_is_read {
-        return Verdict::First(Check::List);
+    if !attempt.server_list_current {
+        return Verdict::CheckFirst(Check::ServerList);
     }
-    if now - seen > CLIENT_SEEN_MS {
-        return Verdict::First(Check::Client);
+    if now - checked_at > MAX_CLIENT_CHECK_AGE_MS {
+        return Verdict::CheckFirst(Check::Client);
     }
     Verdict::Allowed
 }
@@ -164,13 +164,13 @@
     fn good() -> Attempt {
         Attempt {
             now: 1000.0,
-            client: Client::Connected { seen: 1000.0 },
-            endpoint_accepts: true,
-            list_is_read: true,
+            client: ClientState::Connected { checked_at: 1000.0 },
+            server_accepts: true,
+            server_list_current: true,
             deadline: 2000.0,
             effect: Effect::Unsafe,
             may_have_run: None,
-            another_out: false,
+            another_outstanding: false,
         }
     }
 
@@ -179,19 +179,25 @@
         let keyed = Effect::Keyed { window_ms: 1000.0 };
         let cases = [
             (good(), Verdict::Allowed),
-            (Attempt { another_out: true, ..good() }, Verdict::Denied(Denied::AnotherOut)),
+            (Attempt { another_outstanding: true, ..good() }, Verdict::Denied(Denied::AnotherOutstanding)),
             (Attempt { now: 2000.0, ..good() }, Verdict::Denied(Denied::DeadlinePassed)),
-            (Attempt { client: Client::Disconnected, ..good() }, Verdict::Denied(Denied::ClientDisconnected)),
-            (Attempt { endpoint_accepts: false, ..good() }, Verdict::Denied(Denied::EndpointLeaves)),
+            (
+                Attempt { client: ClientState::Disconnected, ..good() },
+                Verdict::Denied(Denied::ClientDisconnected),
+            ),
+            (Attempt { server_accepts: false, ..good() }, Verdict::Denied(Denied::ServerUnavailable)),
             (Attempt { may_have_run: Some(999.0), ..good() }, Verdict::Denied(Denied::MayHaveRun)),
             (
                 Attempt { effect: keyed, may_have_run: Some(149.0), ..good() },
-                Verdict::Denied(Denied::WindowOver),
+                Verdict::Denied(Denied::KeyExpired),
             ),
             (Attempt { effect: keyed, may_have_run: Some(151.0), ..good() }, Verdict::Allowed),
             (Attempt { effect: Effect::Safe, may_have_run: Some(0.0), ..good() }, Verdict::Allowed),
-            (Attempt { list_is_read: false, ..good() }, Verdict::First(Check::List)),
-            (Attempt { client: Client::Connected { seen: 949.0 }, ..good() }, Verdict::First(Check::Client)),
+            (Attempt { server_list_current: false, ..good() }, Verdict::CheckFirst(Check::ServerList)),
+            (
+                Attempt { client: ClientState::Connected { checked_at: 949.0 }, ..good() },
+                Verdict::CheckFirst(Check::Client),
+            ),
         ];
         for (attempt, verdict) in cases {
             assert_eq!(may_send(&attempt), verdict, "{attempt:?}");
@@ -208,18 +214,18 @@
         /// Whatever is known, what is allowed keeps every rule, also if it is written as late as a process may be held up.
         #[test]
         fn what_is_allowed_keeps_every_rule(
-            now in 0.0..5000.0f64, seen in 0.0..5000.0f64, connected in any::<bool>(), accepts in any::<bool>(),
+            now in 0.0..5000.0f64, checked_at in 0.0..5000.0f64, connected in any::<bool>(), accepts in any::<bool>(),
             read in any::<bool>(), deadline in 0.0..5000.0f64, window_ms in 1.0..9000.0f64, kind in 0u8..3,
-            ran in prop::option::of(0.0..5000.0f64), another_out in any::<bool>(),
+            ran in prop::option::of(0.0..5000.0f64), another_outstanding in any::<bool>(),
         ) {
-            let client = if connected { Client::Connected { seen } } else { Client::Disconnected };
+            let client = if connected { ClientState::Connected { checked_at } } else { ClientState::Disconnected };
             let effect = [Effect::Safe, Effect::Keyed { window_ms }, Effect::Unsafe][usize::from(kind)];
-            let attempt = Attempt { now, client, endpoint_accepts: accepts, list_is_read: read, deadline, effect, may_have_run: ran, another_out };
+            let attempt = Attempt { now, client, server_accepts: accepts, server_list_current: read, deadline, effect, may_have_run: ran, another_outstanding };
             if may_send(&attempt) == Verdict::Allowed {
-                prop_assert!(connected && now - seen <= CLIENT_SEEN_MS);
-                prop_assert!(accepts && read && !another_out && now < deadline);
+                prop_assert!(connected && now - checked_at <= MAX_CLIENT_CHECK_AGE_MS);
+                prop_assert!(accepts && read && !another_outstanding && now < deadline);
                 if let (Effect::Keyed { window_ms }, Some(ran)) = (effect, ran) {
-                    prop_assert!(now + HELD_UP_MS.min(window_ms / 4.0) - ran <= window_ms + 1e-9);
+                    prop_assert!(now + MAX_STALL_MS.min(window_ms / 4.0) - ran <= window_ms + 1e-9);
                 }
                 prop_assert!(effect != Effect::Unsafe || ran.is_none());
             }
--- a/crates/permit/src/violation.rs
+++ b/crates/permit/src/violation.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::sending::HELD_UP_MS;
+use crate::sending::MAX_STALL_MS;
 use crate::Millis;
 
 /// A rule that was broken.
@@ -13,7 +13,7 @@
     /// An attempt was written after its client's time, by more than a process may be held up.
     SentAfterDeadline,
     /// An attempt was written while another one was out.
-    SentBesideAnother,
+    SentWhileOutstanding,
     /// A request had no answer at its deadline and was given one by the backstop.
     AnsweredByBackstop,
 }
@@ -23,7 +23,7 @@
     pub const ALL: [Violation; 4] = [
         Violation::SentAfterEnd,
         Violation::SentAfterDeadline,
-        Violation::SentBesideAnother,
+        Violation::SentWhileOutstanding,
         Violation::AnsweredByBackstop,
     ];
 
@@ -32,7 +32,7 @@
         match self {
             Violation::SentAfterEnd => "sent_after_end",
             Violation::SentAfterDeadline => "sent_after_deadline",
-            Violation::SentBesideAnother => "sent_beside_another",
+            Violation::SentWhileOutstanding => "sent_beside_another",
             Violation::AnsweredByBackstop => "answered_by_backstop",
         }
     }
@@ -46,42 +46,42 @@
 
 /// An attempt whose last byte has been written.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Written {
+pub struct WrittenAttempt {
     /// The time.
     pub now: Millis,
     /// Its request has no final answer yet, and its client has not left as far as is known.
     pub request_open: bool,
     /// Attempts of its request that are out, itself among them.
-    pub out: usize,
+    pub outstanding: usize,
     /// When its client gives up; infinite while a body is on its way.
     pub deadline: Millis,
 }
 
-impl Written {
+impl WrittenAttempt {
     /// The rule that it breaks, if it breaks one.
-    pub fn breaks(&self) -> Option<Violation> {
-        if self.out > 1 {
-            return Some(Violation::SentBesideAnother);
+    pub fn violation(&self) -> Option<Violation> {
+        if self.outstanding > 1 {
+            return Some(Violation::SentWhileOutstanding);
         }
         if !self.request_open {
             return Some(Violation::SentAfterEnd);
         }
-        (self.now > self.deadline + HELD_UP_MS).then_some(Violation::SentAfterDeadline)
+        (self.now > self.deadline + MAX_STALL_MS).then_some(Violation::SentAfterDeadline)
     }
 }
 
 /// How often each rule was broken.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Violations([u64; Violation::ALL.len()]);
+pub struct ViolationCounts([u64; Violation::ALL.len()]);
 
-impl Violations {
+impl ViolationCounts {
     /// One more.
-    pub fn add(&mut self, violation: Violation) {
+    pub fn record(&mut self, violation: Violation) {
         self.0[violation as usize] += 1;
     }
 
     /// How often this one.
-    pub fn of(&self, violation: Violation) -> u64 {
+    pub fn count(&self, violation: Violation) -> u64 {
         self.0[violation as usize]
     }
 
@@ -97,20 +97,20 @@
 
     #[test]
     fn each_broken_rule_is_named_and_counted() {
-        let good = Written { now: 1000.0, request_open: true, out: 1, deadline: 1000.0 };
-        assert_eq!(good.breaks(), None);
-        assert_eq!(Written { now: 1150.0, ..good }.breaks(), None, "held up as long as it may be");
+        let good = WrittenAttempt { now: 1000.0, request_open: true, outstanding: 1, deadline: 1000.0 };
+        assert_eq!(good.violation(), None);
+        assert_eq!(WrittenAttempt { now: 1150.0, ..good }.violation(), None, "held up as long as it may be");
         let cases = [
-            (Written { out: 2, ..good }, Violation::SentBesideAnother),
-            (Written { request_open: false, ..good }, Violation::SentAfterEnd),
-            (Written { now: 1151.0, ..good }, Violation::SentAfterDeadline),
+            (WrittenAttempt { outstanding: 2, ..good }, Violation::SentWhileOutstanding),
+            (WrittenAttempt { request_open: false, ..good }, Violation::SentAfterEnd),
+            (WrittenAttempt { now: 1151.0, ..good }, Violation::SentAfterDeadline),
         ];
-        let mut counts = Violations::default();
+        let mut counts = ViolationCounts::default();
         for (written, violation) in cases {
-            assert_eq!(written.breaks(), Some(violation));
-            counts.add(violation);
-            assert_eq!(counts.of(violation), 1);
+            assert_eq!(written.violation(), Some(violation));
+            counts.record(violation);
+            assert_eq!(counts.count(violation), 1);
         }
-        assert_eq!((counts.total(), counts.of(Violation::AnsweredByBackstop)), (3, 0));
+        assert_eq!((counts.total(), counts.count(Violation::AnsweredByBackstop)), (3, 0));
     }
 }
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -17,10 +17,10 @@
 use marldeal_engine::ledger::Ledger;
 use marldeal_engine::{Engine, Input, Output};
 use marldeal_external as external;
-use marldeal_lifecycle::pauses::Pauses;
-use marldeal_lifecycle::{Command, Ending, Lifecycle, Phase};
+use marldeal_lifecycle::stalls::StallDetector;
+use marldeal_lifecycle::{AlreadyEnding, Command, Lifecycle, Phase};
 use marldeal_outcomes::{AnswerCache, KeyedRequest, Lookup};
-use marldeal_permit::violation::Violations;
+use marldeal_permit::violation::ViolationCounts;
 use marldeal_snapshot::{Assessment, Snapshot, SnapshotKind};
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot, watch, Notify};
@@ -184,11 +184,11 @@
     watches: RefCell<BTreeMap<u32, Shared>>,
     /// All that discovery had told by then has been read, also what came while the process stood still.
     list_read: Cell<f64>,
-    violations: Cell<Violations>,
+    violations: Cell<ViolationCounts>,
     denied: Cell<u64>,
     life: RefCell<Lifecycle>,
     /// Whether the process stood still of late.
-    pauses: RefCell<Pauses>,
+    pauses: RefCell<StallDetector>,
     /// A command has changed the phase.
     pub phase_changed: Notify,
     reloads: Cell<Reloads>,
@@ -283,7 +283,7 @@
         // Beside a predecessor its accounts are still to come, as full as they are: nothing has to fill here first.
         let follows = self.follows.get() && self.phase() == Phase::Warming && engine.has_servers();
         let able = told && (follows || engine.ready(now));
-        self.life.borrow_mut().able(now, able);
+        self.life.borrow_mut().set_can_serve(now, able);
         able
     }
 
@@ -293,7 +293,7 @@
 
     /// Clients may come.
     pub fn ready(&self) -> bool {
-        self.able() && self.life.borrow().ready()
+        self.able() && self.life.borrow().is_ready()
     }
 
     /// What this limiter is at.
@@ -310,14 +310,14 @@
     ///
     /// # Errors
     /// The process is ending.
-    pub fn command(&self, command: Command) -> Result<Phase, Ending> {
+    pub fn command(&self, command: Command) -> Result<Phase, AlreadyEnding> {
         self.able();
         let before = self.phase();
         let now = self.now();
         let said = self.life.borrow_mut().handle(now, command);
         if self.phase() != before {
-            let waited_ms = self.pauses.borrow_mut().waited_ms(now);
-            self.life.borrow_mut().lay_unread(waited_ms);
+            let waited_ms = self.pauses.borrow_mut().max_queued_ms(now);
+            self.life.borrow_mut().backdate_command(waited_ms);
             let phase = self.phase();
             info!(event = "phase", from = %before, to = %phase, "{before} until now, {phase} from now on");
             self.phase_changed.notify_waiters();
@@ -522,10 +522,10 @@
         // Its client counts from when it was sent: while this process stood still, it may have lain here. The clock of
         // one whose body is still to come has not begun.
         if !matches!(content.body, Payload::Piped(_)) {
-            request.budget_ms -= self.pauses.borrow_mut().waited_ms(self.now());
+            request.budget_ms -= self.pauses.borrow_mut().max_queued_ms(self.now());
         }
         // Past that nobody is left to answer.
-        request.budget_ms = request.budget_ms.min(self.life(Lifecycle::left_ms));
+        request.budget_ms = request.budget_ms.min(self.life(Lifecycle::remaining_ms));
         let mut state = self.state.borrow_mut();
         let name = content.correlation.as_bytes().into();
         let id = self.input(&mut state, Input::Request { name, request })?;
@@ -708,7 +708,7 @@
                 self.give(&mut state, external::Input::Due);
                 // Armed here already: what is due next is no news to this loop.
                 state.rearm();
-                self.pauses.borrow_mut().beat(self.now(), state.armed);
+                self.pauses.borrow_mut().heartbeat(self.now(), state.armed);
                 self.perform(&mut state, None);
                 state.armed.map(|at| self.clock.instant(at))
             };
--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -5,8 +5,8 @@
 
 use fawnhill::planted::{self, Fault};
 use fawnhill::{Effect, Outcome, Request, RequestId};
-use marldeal_permit::violation::{Violations, Written};
-use marldeal_permit::{may_accept, may_send, Attempt, Check, Client, Denied, Start, Verdict};
+use marldeal_permit::violation::{ViolationCounts, WrittenAttempt};
+use marldeal_permit::{may_accept, may_send, Attempt, Check, ClientState, Denied, StartupState, Verdict};
 use tokio::time::Instant;
 use tracing::{info, warn};
 
@@ -39,11 +39,11 @@
     pub fn informed(&self) -> bool {
         let settings = &self.config.settings;
         let aims = settings.classes.iter().map(|class| class.aim_ms);
-        may_accept(&Start {
-            list_told: self.told.get(),
-            asks_registry: settings.must_subscribe,
-            since_ms: self.since_start_ms(),
-            shortest_aim_ms: aims.fold(f64::INFINITY, f64::min),
+        may_accept(&StartupState {
+            list_received: self.told.get(),
+            uses_registry: settings.must_subscribe,
+            elapsed_ms: self.since_start_ms(),
+            min_target_latency_ms: aims.fold(f64::INFINITY, f64::min),
         })
     }
 
@@ -65,8 +65,8 @@
         loop {
             match self.verdict(job) {
                 Verdict::Allowed => return Ok(()),
-                Verdict::First(Check::Client) => self.look_at_client(job.id),
-                Verdict::First(Check::List) => self.read_list().await,
+                Verdict::CheckFirst(Check::Client) => self.look_at_client(job.id),
+                Verdict::CheckFirst(Check::ServerList) => self.read_list().await,
                 Verdict::Denied(why) => {
                     self.denied.set(self.denied.get() + 1);
                     let (request, attempt, server) = (job.id, job.attempt, &job.server);
@@ -81,18 +81,18 @@
         let now = self.now();
         let state = self.state.borrow();
         let client = match state.direct.get(&job.id) {
-            Some(direct) => Client::Connected { seen: direct.seen.get() },
-            None => Client::Disconnected,
+            Some(direct) => ClientState::Connected { checked_at: direct.seen.get() },
+            None => ClientState::Disconnected,
         };
         may_send(&Attempt {
             now,
             client,
-            endpoint_accepts: state.addresses.contains_key(&job.server) && state.engine.takes(&job.server),
-            list_is_read: self.list_is_read(now),
+            server_accepts: state.addresses.contains_key(&job.server) && state.engine.takes(&job.server),
+            server_list_current: self.list_is_read(now),
             deadline: job.end,
             effect: job.content.effect,
             may_have_run: job.content.may_have_run.get(),
-            another_out: earlier_out(&state, job.id, job.attempt),
+            another_outstanding: earlier_out(&state, job.id, job.attempt),
         })
     }
 
@@ -111,7 +111,7 @@
 
     /// A list that was told while the process stood still may lie unread behind the requests that came meanwhile.
     fn list_is_read(&self, now: f64) -> bool {
-        let woke = self.pauses.borrow_mut().woke(now);
+        let woke = self.pauses.borrow_mut().last_stall_end(now);
         self.config.settings.must_subscribe || woke.is_none_or(|woke| woke <= self.list_read.get())
     }
 
@@ -143,22 +143,22 @@
     }
 
     /// How often each rule was broken.
-    pub fn violations(&self) -> Violations {
+    pub fn violations(&self) -> ViolationCounts {
         self.violations.get()
     }
 
     /// Holds an attempt that was written whole against the rules.
     pub(super) fn check_written(&self, state: &State, request: RequestId, attempt: u32) {
         let Some(out) = state.out.get(&(request, attempt)) else { return };
-        let written = Written {
+        let written = WrittenAttempt {
             now: self.now(),
             request_open: state.direct.contains_key(&request),
-            out: 1 + usize::from(earlier_out(state, request, attempt)),
+            outstanding: 1 + usize::from(earlier_out(state, request, attempt)),
             deadline: out.end,
         };
-        if let Some(rule) = written.breaks() {
+        if let Some(rule) = written.violation() {
             let mut counts = self.violations.get();
-            counts.add(rule);
+            counts.record(rule);
             self.violations.set(counts);
             warn!(event = "violation", %rule, request, attempt, "request {request}, attempt {attempt}: {rule}");
         }
--- a/marldeal/src/front/clients.rs
+++ b/marldeal/src/front/clients.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use marldeal_lifecycle::worth::{self, Doing, Standing};
+use marldeal_lifecycle::eviction::{self, Activity, Candidate};
 use marldeal_lifecycle::{Command, Lifecycle, Phase};
-use marldeal_permit::Closing;
+use marldeal_permit::CloseReason;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::Instant;
@@ -68,7 +68,7 @@
                 if client.answering.get() {
                     // Its reader stands still.
                     if client.used.get().elapsed() > STILL {
-                        client.end(Closing::Stalled);
+                        client.end(CloseReason::Stalled);
                     }
                     continue;
                 }
@@ -77,9 +77,9 @@
                 let part = client.begun.get().is_some_and(|at| at.elapsed() > most);
                 let says_nothing = client.begun.get().is_none() || !client.spoke.get();
                 if part {
-                    client.end(Closing::Stalled);
+                    client.end(CloseReason::Stalled);
                 } else if says_nothing && client.used.get().elapsed() >= idle {
-                    client.end(Closing::Idle);
+                    client.end(CloseReason::Idle);
                 }
             }
         }
@@ -105,18 +105,18 @@
     /// place of the clients that ask.
     fn evict(&self) {
         let all = self.all.borrow();
-        let standing = all.values().map(|c| Standing {
-            doing: match () {
-                () if c.answering.get() || c.leaving.get() => Doing::Open,
-                () if c.begun.get().is_some() => Doing::Half,
-                () => Doing::Idle,
+        let standing = all.values().map(|c| Candidate {
+            activity: match () {
+                () if c.answering.get() || c.leaving.get() => Activity::RequestOpen,
+                () if c.begun.get().is_some() => Activity::PartialRequest,
+                () => Activity::Idle,
             },
-            still: c.used.get().elapsed().as_secs_f64() * 1000.0,
+            inactive_ms: c.used.get().elapsed().as_secs_f64() * 1000.0,
         });
-        if let Some(client) = worth::least_worthy(standing).and_then(|at| all.values().nth(at)) {
+        if let Some(client) = eviction::select_candidate(standing).and_then(|at| all.values().nth(at)) {
             // It is gone once its task has run: until then it is not chosen again.
             client.leaving.set(true);
-            client.end(Closing::MakesWay);
+            client.end(CloseReason::MakesWay);
         }
     }
 }
@@ -150,8 +150,8 @@
     let (mut stopped, mut closing) = (false, false);
     let (mut away, mut last, mut shut_out) = (false, None, false);
     loop {
-        let (phase, accepts) = (driver.phase(), driver.life(Lifecycle::accepts));
-        let turns_away = driver.life(Lifecycle::turns_away);
+        let (phase, accepts) = (driver.phase(), driver.life(Lifecycle::accepts_connections));
+        let turns_away = driver.life(Lifecycle::rejects_connections);
         if turns_away && !std::mem::replace(&mut away, true) {
             info!("new connections are turned away from now on");
         }
@@ -177,7 +177,7 @@
             clients.all.borrow().values().for_each(|c| c.close.notify_one());
         }
         closing = closes;
-        if driver.life(|life, now| life.ends(now, clients.owe(), !clients.all.borrow().is_empty())) {
+        if driver.life(|life, now| life.may_exit(now, clients.owe(), !clients.all.borrow().is_empty())) {
             let since = last.get_or_insert_with(Instant::now).elapsed();
             let Some(queue) = &listener else { return };
             if since >= LAST_TIME {
@@ -262,7 +262,7 @@
 
 fn open(driver: &Rc<Driver>, clients: &Rc<Clients>, number: u64, stream: TcpStream, before: Before) {
     let _ = stream.set_nodelay(true);
-    let late = driver.life(Lifecycle::turns_away);
+    let late = driver.life(Lifecycle::rejects_connections);
     let client = Rc::new(Client::new(clients.layout.clone(), clients.heir.clone(), late));
     let mut read = Bytes::new();
     client.waited.set(before.waited);
--- a/marldeal/src/front/connection.rs
+++ b/marldeal/src/front/connection.rs
@@ -15,7 +15,7 @@
 use hyper::StatusCode;
 use hyper_util::rt::TokioIo;
 use marldeal_lifecycle::Lifecycle;
-use marldeal_permit::{may_close, Closing, Connection, Kept};
+use marldeal_permit::{may_close, CloseReason, Connection, KeepReason};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -71,7 +71,7 @@
     pub(super) close: Notify,
     /// Close at once, and why.
     pub(super) cut: Notify,
-    pub(super) closing: Cell<Closing>,
+    pub(super) closing: Cell<CloseReason>,
     /// It stalled, and was kept since bytes lay unread.
     pub(super) reread: Cell<bool>,
     /// The last read brought nothing: the HTTP server has used up what came, and hears when the client closes. Bytes that
@@ -99,7 +99,7 @@
             leaving: Cell::new(false),
             close: Notify::new(),
             cut: Notify::new(),
-            closing: Cell::new(Closing::Idle),
+            closing: Cell::new(CloseReason::Idle),
             reread: Cell::new(false),
             drained: Cell::new(false),
         }
@@ -127,16 +127,17 @@
     }
 
     /// Whether its connection may be closed at this moment.
-    pub(super) fn may_close(&self, socket: &Shared, why: Closing) -> bool {
+    pub(super) fn may_close(&self, socket: &Shared, why: CloseReason) -> bool {
         let unread = socket.unread() == Unread::Bytes;
-        let connection = Connection { request_open: self.busy.get(), unread, reread: self.reread.get() };
+        let connection =
+            Connection { request_open: self.busy.get(), unread, already_deferred: self.reread.get() };
         let kept = may_close(connection, why).err();
-        self.reread.set(kept == Some(Kept::Unread));
+        self.reread.set(kept == Some(KeepReason::UnreadData));
         kept.is_none()
     }
 
     /// Is told to end, and why.
-    pub(super) fn end(&self, why: Closing) {
+    pub(super) fn end(&self, why: CloseReason) {
         self.closing.set(why);
         self.cut.notify_one();
     }
@@ -226,7 +227,7 @@
             biased;
             // An error here is the client's: it left, or sent what is no HTTP.
             ended = &mut serving => return match ended {
-                Ok(()) if closing => Closed::ByUs(Closing::Idle),
+                Ok(()) if closing => Closed::ByUs(CloseReason::Idle),
                 Ok(()) => Closed::ByClient,
                 Err(_) => Closed::Broken,
             },
@@ -251,7 +252,7 @@
             }
             () = client.close.notified(), if !closing => {
                 // What lies unread may be a request: it is read before the connection is closed under it.
-                let asks = !client.busy.get() && !client.answering.get() && !client.may_close(&socket, Closing::Idle);
+                let asks = !client.busy.get() && !client.answering.get() && !client.may_close(&socket, CloseReason::Idle);
                 if asks && postponed < MOST_POSTPONED {
                     postponed += 1;
                     tokio::task::yield_now().await;
@@ -275,5 +276,5 @@
     /// Another process goes on with it.
     PassedOn,
     /// This process ended it.
-    ByUs(Closing),
+    ByUs(CloseReason),
 }
--- a/marldeal/src/management/mod.rs
+++ b/marldeal/src/management/mod.rs
@@ -86,7 +86,7 @@
 }
 
 fn perform(driver: &Driver, call: Call) -> String {
-    let told = |said: Result<_, marldeal_lifecycle::Ending>| match said {
+    let told = |said: Result<_, marldeal_lifecycle::AlreadyEnding>| match said {
         Ok(phase) => line::success(&format!("{phase}"), None),
         Err(ending) => line::failure(&ending.to_string()),
     };
--- a/marldeal/src/settings/config.rs
+++ b/marldeal/src/settings/config.rs
@@ -4,7 +4,7 @@
 
 use fawnhill::Settings;
 use fawnhill_wirehost::wire::{self, Names, Setup};
-use marldeal_lifecycle::Times;
+use marldeal_lifecycle::Timings;
 use serde::Deserialize;
 
 use crate::settings::mistakes::{self, Mistake};
@@ -74,7 +74,7 @@
     /// Nothing new goes to a server for longer after the agent has been told that it drains, in milliseconds.
     pub drain_grace_ms: f64,
     /// How long the steps of a drain and of an end last.
-    pub times: Times,
+    pub times: Timings,
     /// Most units that one request may ask for.
     pub most_units: f64,
     /// The module's settings.
@@ -233,10 +233,10 @@
         if !drain_grace_ms.is_finite() || drain_grace_ms < 0.0 {
             found.push(wrong("settings.Obligations.DrainGraceMs", format!("{drain_grace_ms} is not a time")));
         }
-        let times = Times {
-            serve_ms: drain_ms(&file.settings),
-            killed_ms: killed_ms(&file.settings),
-            ..Times::default()
+        let times = Timings {
+            drain_ms: drain_ms(&file.settings),
+            kill_after_ms: killed_ms(&file.settings),
+            ..Timings::default()
         };
         let most_units = file.settings.domain.units_top.unwrap_or(MOST_UNITS);
         let (memory_mb, sockets) = (file.limits.memory_mb, file.limits.sockets);
--- a/marldeal/tests/faults.rs
+++ b/marldeal/tests/faults.rs
@@ -44,7 +44,7 @@
     })
 }
 
-/// The second did, without `lifecycle::pauses`, send on up to 1.9 s after the client's time.
+/// The second did, without `lifecycle::stalls`, send on up to 1.9 s after the client's time.
 #[test]
 fn half_are_stopped_and_woken_in_one_instant_and_what_lay_unread_is_not_sent_on_too_late() {
     let [woken, _, twice] = side_by_side(["woken-together", "stopped-past-deadlines", "twice-and-late"]);
--- a/src/accounts.rs
+++ b/src/accounts.rs
@@ -1,7 +1,7 @@
 //! The arithmetic of stores, rates and debts in the records of customers. What follows from it is decided in
 //! `firms.rs` and `policy.rs`.
 
-use marldeal_firms::Fate;
+use marldeal_firms::Evictability;
 
 use crate::interface::*;
 use crate::state::*;
@@ -132,9 +132,9 @@
 }
 
 impl Firms {
-    pub(crate) fn forgot(&mut self, fate: Fate) {
+    pub(crate) fn forgot(&mut self, fate: Evictability) {
         match fate {
-            Fate::Full => self.forgotten_full += 1,
+            Evictability::Lossless => self.forgotten_full += 1,
             _ => self.forgotten_owing += 1,
         }
     }
@@ -155,7 +155,7 @@
 
 #[cfg(test)]
 mod tests {
-    use marldeal_firms::{Debts, Table};
+    use marldeal_firms::{DeficitSketch, Table};
 
     use super::*;
 
@@ -179,9 +179,9 @@
     #[test]
     fn a_customer_takes_no_more_than_is_stated() {
         for firms in [20_971, 65_536, 65_537, 100_000, 1_048_576, 1_048_577] {
-            let tables = Table::<CustomerId, Customer>::new(firms, 1).most_bytes()
-                + Table::<CustomerId, Account>::new(firms, 1).most_bytes();
-            let bytes = tables + 3 * Debts::new(firms / FIRMS_A_CELL, 1).bytes();
+            let tables = Table::<CustomerId, Customer>::new(firms, 1).max_bytes()
+                + Table::<CustomerId, Account>::new(firms, 1).max_bytes();
+            let bytes = tables + 3 * DeficitSketch::new(firms / FIRMS_A_CELL, 1).bytes();
             let each = bytes as f64 / firms as f64;
             assert!(each <= Settings::BYTES_A_FIRM as f64, "{each} bytes each of {firms}");
         }
--- a/src/firms.rs
+++ b/src/firms.rs
@@ -4,7 +4,7 @@
 //! moment leaves it in a sketch that never tells an earlier one, so that whoever returns finds its store, and
 //! its part of a ceiling, no fuller than it left them.
 
-use marldeal_firms::Fate;
+use marldeal_firms::Evictability;
 
 use crate::accounts::{even, owed_s, part, share, FIRMS_A_CELL, GRANT_MS, KEEPERS};
 use crate::interface::*;
@@ -52,12 +52,12 @@
 
 impl Account {
     /// One with units out stays: they come back to it.
-    fn fate(&self, now: Millis, settings: &Settings, born: Millis) -> Fate {
+    fn fate(&self, now: Millis, settings: &Settings, born: Millis) -> Evictability {
         let (store, ceiling) = self.full_at(&settings.plans[usize::from(self.plan)], born);
         match self.lent > 0.0 || self.open > 0 {
-            true => Fate::Pinned,
-            false if store.max(ceiling) > now => Fate::Owes,
-            false => Fate::Full,
+            true => Evictability::Pinned,
+            false if store.max(ceiling) > now => Evictability::WithDeficit,
+            false => Evictability::Lossless,
         }
     }
 }
@@ -79,7 +79,7 @@
         let known = self.customers.touch(now, &id).is_some();
         if !known {
             self.strangers.add(now, 1.0);
-            if self.flooded() && !self.lately.seen(now, &id) {
+            if self.flooded() && !self.lately.check_and_insert(now, &id) {
                 self.counts.strangers += 1;
                 return None;
             }
@@ -88,13 +88,13 @@
             let fate = |_: &CustomerId, c: &Customer| {
                 let told = now - c.told_at > TOLD_MS || c.told <= 1.0;
                 if told && c.full_at(settings) <= now {
-                    Fate::Full
+                    Evictability::Lossless
                 } else {
-                    Fate::Owes
+                    Evictability::WithDeficit
                 }
             };
-            if let Some((gone, c, fate)) = customers.make_room(fate) {
-                owed.evens.owe(&(gone, c.plan), c.full_at(settings));
+            if let Some((gone, c, fate)) = customers.evict_if_full(fate) {
+                owed.evens.record(&(gone, c.plan), c.full_at(settings));
                 counts.forgot(fate);
             }
             let _ = customers.insert(now, id, fresh);
@@ -108,7 +108,7 @@
     /// so that a flood held back by refusals does not pass for its end.
     fn flooded(&self) -> bool {
         let within = if self.press == Press::Flooded { 2.0 * TURNOVER_MS } else { TURNOVER_MS };
-        let most = self.customers.most();
+        let most = self.customers.capacity();
         let held = self.customers.len() as f64 >= most as f64 * FILLED;
         held && self.strangers.rate(self.now) * within / 1000.0 > most as f64
     }
@@ -116,7 +116,7 @@
     fn fresh_customer(&self, request: &Request) -> Customer {
         let plan = &self.settings.plans[request.plan];
         let (rate, most) = even(plan, request.spread);
-        let owed_s = owed_s(self.owed.evens.owed_until(&(request.customer, request.plan as u8)), self.now);
+        let owed_s = owed_s(self.owed.evens.deficit_until(&(request.customer, request.plan as u8)), self.now);
         let rate = if rate > 0.0 { rate } else { f64::INFINITY };
         // Of a ceiling as if spent at the start: an earlier start of this limiter may have spent it.
         let whole = match plan.ceiling_rate > 0.0 {
@@ -151,7 +151,7 @@
         let (most, lowest) = (plan.ceiling_burst * part, -plan.ceiling_slack * part);
         let filled_s = (self.now - self.ceilings_from() - GRANT_MS).max(0.0) / 1000.0;
         let filled = (lowest + plan.ceiling_rate * part * filled_s).min(most);
-        let owed = |debts: &marldeal_firms::Debts| owed_s(debts.owed_until(&key), self.now);
+        let owed = |debts: &marldeal_firms::DeficitSketch| owed_s(debts.deficit_until(&key), self.now);
         let ceiling = most - plan.ceiling_rate * part * owed(&self.owed.ceilings);
         let store = plan.burst * share - plan.rate * share * owed(&self.owed.stores);
         Account {
@@ -172,7 +172,7 @@
         }
         let fresh = self.fresh_account(ask, rank);
         let settings = &self.settings;
-        if let Some((gone, a, fate)) = self.accounts.make_room(|_, a| a.fate(now, settings, born)) {
+        if let Some((gone, a, fate)) = self.accounts.evict_if_full(|_, a| a.fate(now, settings, born)) {
             self.counts.forgot(fate);
             self.carry_on(gone, &a);
         }
@@ -185,8 +185,8 @@
         if cfg!(feature = "forgotten-means-full") {
             return;
         }
-        self.owed.stores.owe(&(customer, a.plan), store);
-        self.owed.ceilings.owe(&(customer, a.plan), ceiling);
+        self.owed.stores.record(&(customer, a.plan), store);
+        self.owed.ceilings.record(&(customer, a.plan), ceiling);
     }
 
     /// Forgets customers not seen for long, and what was granted long ago, a bounded number in one go.
@@ -214,14 +214,15 @@
             }
             opened.pop_front();
         }
-        let any = |_: &GrantKey, g: &Grant| if g.open { Fate::Pinned } else { Fate::Full };
+        let any =
+            |_: &GrantKey, g: &Grant| if g.open { Evictability::Pinned } else { Evictability::Lossless };
         let mut work = STEP_WORK;
         work -= grants.expire(now, now - GRANT_KEPT_MS.max(longest), work, any);
         let full = |_: &CustomerId, c: &Customer| {
             if c.full_at(settings) > now {
-                Fate::Owes
+                Evictability::WithDeficit
             } else {
-                Fate::Full
+                Evictability::Lossless
             }
         };
         work -= customers.expire(now, now - IDLE_MS, work, full);
@@ -231,7 +232,7 @@
     /// A line for the staff when the bound on customers is first reached, when names flood in, and when
     /// either is over.
     pub(crate) fn watch_firms(&mut self) -> Option<String> {
-        let (held, most) = (self.customers.len().max(self.accounts.len()), self.customers.most());
+        let (held, most) = (self.customers.len().max(self.accounts.len()), self.customers.capacity());
         let press = match self.press {
             _ if self.flooded() => Press::Flooded,
             Press::Calm if held < most => Press::Calm,
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -159,21 +159,21 @@
     /// All that it knows at `now`. Customers beyond a bound are told by what they owe alone.
     pub fn knowledge(&self, now: Millis) -> Knowledge {
         let ago = |at: Millis| now - at;
-        let mut owed = [&self.owed.evens, &self.owed.stores, &self.owed.ceilings].map(|d| d.owing(now));
+        let mut owed = [&self.owed.evens, &self.owed.stores, &self.owed.ceilings].map(|d| d.remaining(now));
         let (customers, rest): (Vec<_>, Vec<_>) =
             self.customers.iter().enumerate().partition(|(n, _)| *n < MOST_RECORDS);
         let (accounts, more): (Vec<_>, Vec<_>) =
             self.accounts.iter().enumerate().partition(|(n, _)| *n < MOST_RECORDS);
         if !rest.is_empty() || !more.is_empty() {
             let mut all = self.owed.clone();
-            rest.iter().for_each(|(_, (id, c))| all.evens.owe(&(**id, c.plan), c.full_at(&self.settings)));
+            rest.iter().for_each(|(_, (id, c))| all.evens.record(&(**id, c.plan), c.full_at(&self.settings)));
             for (_, (id, a)) in more {
                 let (store, ceiling) =
                     a.full_at(&self.settings.plans[usize::from(a.plan)], self.ceilings_from());
-                all.stores.owe(&(*id, a.plan), store);
-                all.ceilings.owe(&(*id, a.plan), ceiling);
+                all.stores.record(&(*id, a.plan), store);
+                all.ceilings.record(&(*id, a.plan), ceiling);
             }
-            owed = [&all.evens, &all.stores, &all.ceilings].map(|d| d.owing(now));
+            owed = [&all.evens, &all.stores, &all.ceilings].map(|d| d.remaining(now));
         }
         let means = [&self.own, &self.latency, &self.full];
         let rates = [&self.done, &self.aims, &self.hold_rate, &self.admit_rate, &self.ghosts, &self.wanted];
@@ -231,9 +231,9 @@
             self.lent.hear(known.lent.iter().map(|(ago, customer, units)| (at(*ago), *customer, *units)));
             self.opened = known.out.iter().map(|(ago, key)| (at(*ago), *key)).collect();
             let [evens, stores, ceilings] = &known.owed;
-            self.owed.evens.take_over(now, evens);
-            self.owed.stores.take_over(now, stores);
-            self.owed.ceilings.take_over(now, ceilings);
+            self.owed.evens.restore(now, evens);
+            self.owed.stores.restore(now, stores);
+            self.owed.ceilings.restore(now, ceilings);
         }
         for (id, c) in &known.customers {
             // Whoever told it may go on spending its part of a ceiling.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -2,8 +2,8 @@
 //!
 //! The ordinary path is CASA's (`docs/design.md`): a quota gate, then cost-scaled slots under a moving limit.
 
-use marldeal_firms::Fate;
-use marldeal_permit::may_repeat;
+use marldeal_firms::Evictability;
+use marldeal_permit::may_retry;
 
 use crate::accounts::{even, part, GRANT_MS};
 use crate::firms::{keeper, most, MOST_TERMS, TOLD_MS};
@@ -313,7 +313,7 @@
         // A wake-up comes up to one round late.
         let at = self.now + self.settings.round_ms;
         let since = request.may_have_run.map(|(sent, ..)| sent);
-        planted::is(Fault::Effect) || may_repeat(at, repeated(class), since).is_ok()
+        planted::is(Fault::Effect) || may_retry(at, repeated(class), since).is_ok()
     }
 
     /// Gives the final answer: a refusal where nothing can have run, else a failure that promises nothing.
@@ -722,8 +722,9 @@
         // Its end must be heard of, and its repeat be known.
         let open = granted && !ask.spent && plan.open > 0;
         if recorded && (granted || from != me) {
-            let any = |_: &GrantKey, g: &Grant| if g.open { Fate::Pinned } else { Fate::Full };
-            grants.make_room(any);
+            let any =
+                |_: &GrantKey, g: &Grant| if g.open { Evictability::Pinned } else { Evictability::Lossless };
+            grants.evict_if_full(any);
             let grant = Grant { customer, units, granted, open, done: !granted };
             granted &= grants.insert(now, key, grant).is_ok() || !open;
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use marldeal_firms::{Debts, Lately, Table};
+use marldeal_firms::{DeficitSketch, RecentKeys, Table};
 
 use crate::interface::*;
 use crate::message::Line;
@@ -93,7 +93,7 @@
     pub(crate) owed: Owed,
     /// New customers a second, and those seen of late without a record.
     pub(crate) strangers: Fading,
-    pub(crate) lately: Lately,
+    pub(crate) lately: RecentKeys,
     pub(crate) press: Press,
     pub(crate) counts: Firms,
     pub(crate) grants: Table<GrantKey, Grant>,
@@ -155,16 +155,16 @@
         most: &Most,
     ) -> Self {
         let fading = Fading::new(now, smooth);
-        let debts = |n: u64| Debts::new(most.cells, seed ^ n);
+        let debts = |n: u64| DeficitSketch::new(most.cells, seed ^ n);
         Limiter {
             customers: Table::new(most.firms, seed),
             accounts: Table::new(most.firms, seed ^ 1),
             owed: Owed { evens: debts(2), stores: debts(3), ceilings: debts(4) },
             strangers: Fading::new(now, most.pace_ms),
-            lately: Lately::new(most.lately, most.lately_ms, seed ^ 5),
+            lately: RecentKeys::new(most.lately, most.lately_ms, seed ^ 5),
             press: Press::Calm,
             counts: Firms::default(),
-            grants: Table::queue(most.grants, seed ^ 6),
+            grants: Table::fifo(most.grants, seed ^ 6),
             lent: Lent::default(),
             opened: VecDeque::new(),
             allowance: BTreeMap::new(),
@@ -246,9 +246,9 @@
 /// Until when forgotten customers owe, by customer and plan.
 #[derive(Debug, Clone)]
 pub struct Owed {
-    pub evens: Debts,
-    pub stores: Debts,
-    pub ceilings: Debts,
+    pub evens: DeficitSketch,
+    pub stores: DeficitSketch,
+    pub ceilings: DeficitSketch,
 }
 
 /// How far the bound on customers is felt.
