--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/world.rs
@@ -74,15 +74,15 @@
             spread: 1,
             first: 0,
         };
-        let name = self.name.to_be_bytes().as_slice().into();
-        let id = self.engine.handle(self.now, Input::Request { name, request }, &mut self.out);
+        let correlation_id = self.name.to_be_bytes().as_slice().into();
+        let id = self.engine.handle(self.now, Input::Request { correlation_id, request }, &mut self.out);
         let id = id.expect("a new name");
         if self.out.iter().any(|o| matches!(o, Output::Send { .. })) {
-            self.engine.handle(self.now, Input::ended(id, 0, Outcome::Ok), &mut self.out);
+            self.engine.handle(self.now, Input::attempt_ended(id, 0, Outcome::Ok), &mut self.out);
         }
         self.out.clear();
         if self.engine.next_due().is_some_and(|due| due <= self.now) {
-            self.engine.handle(self.now, Input::Due, &mut self.out);
+            self.engine.handle(self.now, Input::TimerExpired, &mut self.out);
             self.out.clear();
         }
     }
@@ -95,7 +95,7 @@
         while let Some(due) = self.engine.next_due().filter(|due| *due <= end) {
             self.now = self.now.max(due);
             let began = std::time::Instant::now();
-            self.engine.handle(self.now, Input::Due, &mut self.out);
+            self.engine.handle(self.now, Input::TimerExpired, &mut self.out);
             took.push(began.elapsed().as_secs_f64() * 1e6);
             self.out.clear();
         }
--- a/crates/engine/src/ledger.rs
+++ b/crates/engine/src/counters.rs
@@ -2,7 +2,7 @@
 
 /// How a request ended, as its client saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// With a server's answer.
     Succeeded,
     /// Not served; trying again is harmless.
@@ -18,52 +18,52 @@
     ends: [u64; 3],
 }
 
-/// The ledger: every request that is taken ends in exactly one count.
+/// The counters: every request that is taken ends in exactly one count.
 #[derive(Debug, Clone, Default)]
-pub struct Ledger {
+pub struct RequestCounters {
     classes: Vec<Class>,
     forwards: u64,
 }
 
-impl Ledger {
+impl RequestCounters {
     /// Nothing counted, for so many classes.
-    pub fn new(classes: usize) -> Ledger {
-        Ledger { classes: vec![Class::default(); classes], ..Ledger::default() }
+    pub fn new(classes: usize) -> RequestCounters {
+        RequestCounters { classes: vec![Class::default(); classes], ..RequestCounters::default() }
     }
 
     /// A request of a class has come whole.
-    pub fn taken(&mut self, class: usize) {
+    pub fn record_received(&mut self, class: usize) {
         if let Some(c) = self.classes.get_mut(class) {
             c.taken += 1;
         }
     }
 
     /// A request that was taken has ended.
-    pub fn ended(&mut self, class: usize, how: End) {
+    pub fn record_finished(&mut self, class: usize, outcome: RequestOutcome) {
         if let Some(c) = self.classes.get_mut(class) {
-            c.ends[how as usize] += 1;
+            c.ends[outcome as usize] += 1;
         }
     }
 
     /// An attempt has been written whole to a server.
-    pub fn forwarded(&mut self) {
+    pub fn record_forwarded(&mut self) {
         self.forwards += 1;
     }
 
     /// A front has ended a request itself: the engine never saw it.
-    pub fn passed(&mut self, class: usize, how: End) {
-        self.taken(class);
-        self.ended(class, how);
+    pub fn record_answered_locally(&mut self, class: usize, outcome: RequestOutcome) {
+        self.record_received(class);
+        self.record_finished(class, outcome);
     }
 
     /// Attempts written whole to servers.
-    pub fn forwards(&self) -> u64 {
+    pub fn forwarded(&self) -> u64 {
         self.forwards
     }
 
     /// How many requests of a class ended so.
-    pub fn ends(&self, class: usize, how: End) -> u64 {
-        self.classes.get(class).map_or(0, |c| c.ends[how as usize])
+    pub fn finished(&self, class: usize, outcome: RequestOutcome) -> u64 {
+        self.classes.get(class).map_or(0, |c| c.ends[outcome as usize])
     }
 
     /// Requests taken and not ended.
@@ -78,15 +78,21 @@
 
     #[test]
     fn what_is_taken_is_outstanding_until_its_one_end() {
-        let mut ledger = Ledger::new(2);
-        for (class, how) in [(0, End::Succeeded), (0, End::Declined), (1, End::Aborted)] {
-            ledger.taken(class);
-            assert_eq!(ledger.outstanding(), 1);
-            ledger.ended(class, how);
+        let mut counters = RequestCounters::new(2);
+        for (class, outcome) in
+            [(0, RequestOutcome::Succeeded), (0, RequestOutcome::Declined), (1, RequestOutcome::Aborted)]
+        {
+            counters.record_received(class);
+            assert_eq!(counters.outstanding(), 1);
+            counters.record_finished(class, outcome);
         }
-        ledger.passed(1, End::Aborted);
+        counters.record_answered_locally(1, RequestOutcome::Aborted);
         assert_eq!(
-            (ledger.outstanding(), ledger.ends(1, End::Aborted), ledger.ends(0, End::Succeeded)),
+            (
+                counters.outstanding(),
+                counters.finished(1, RequestOutcome::Aborted),
+                counters.finished(0, RequestOutcome::Succeeded)
+            ),
             (0, 2, 1)
         );
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -32,19 +32,19 @@
 //! let request = Request {
 //!     id: 0, class: 0, plan: 0, customer: 7, budget_ms: 3000.0, units: 1.0, spread: 1, first: 0,
 //! };
-//! let id = engine.handle(5.0, Input::Request { name: (*b"c-1").into(), request }, &mut out).expect("a new name");
+//! let id = engine.handle(5.0, Input::Request { correlation_id: (*b"c-1").into(), request }, &mut out).expect("a new name");
 //! assert!(matches!(out.last(), Some(Output::Send { attempt: 0, .. })));
 //!
 //! out.clear();
-//! engine.handle(90.0, Input::ended(id, 0, Outcome::Ok), &mut out);
+//! engine.handle(90.0, Input::attempt_ended(id, 0, Outcome::Ok), &mut out);
 //! assert_eq!(out, [Output::Answer { id, answer: Answer::Served }]);
-//! assert_eq!(engine.open(), 0);
+//! assert_eq!(engine.open_requests(), 0);
 //! # Ok::<(), String>(())
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod ledger;
+pub mod counters;
 pub mod outcomes;
 mod tampered;
 pub mod timers;
@@ -52,18 +52,18 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 
+use counters::{RequestCounters, RequestOutcome};
 use fawnhill::planted::{self, Fault};
 pub use fawnhill::Millis;
 use fawnhill::{
     Action, Condition, Event, Firms, Limiter, Load, Outcome, Request, RequestId, ServerEntry, ServerId,
     Settings,
 };
-use ledger::{End, Ledger};
 use marldeal_snapshot::{Assessment, Snapshot, SnapshotKind};
 use timers::Timers;
 
 /// What tells one client's request from another while it is open, such as the value of `X-Correlation-Id`.
-pub type Name = Arc<[u8]>;
+pub type CorrelationId = Arc<[u8]>;
 
 /// What has happened outside.
 #[derive(Debug, Clone, PartialEq)]
@@ -76,17 +76,17 @@
         entries: Arc<[ServerEntry]>,
     },
     /// The roster could not be asked for.
-    ListFailed,
+    ServerListFailed,
     /// A request has come whole. Its `id` is not looked at: the engine gives it one. One without any time left is refused
     /// at once, and the module never hears of it.
     Request {
         /// Its name; a second request of that name is not taken while the first is open.
-        name: Name,
+        correlation_id: CorrelationId,
         /// What it asks.
         request: Request,
     },
     /// An attempt has ended: nothing more of it can reach a server.
-    Ended {
+    AttemptEnded {
         /// Which request.
         id: RequestId,
         /// Which of its attempts, from 0.
@@ -119,25 +119,25 @@
         attempt: u32,
     },
     /// The client has left: nothing is owed.
-    Gone {
+    ClientDisconnected {
         /// Which request.
         id: RequestId,
     },
     /// A peer has told something.
-    Heard {
+    MessageReceived {
         /// The sender's position.
         from: u32,
         /// What it told.
         body: Vec<u8>,
     },
-    /// The moment that [`Engine::next_due`] named has come.
-    Due,
+    /// The moment that [`Engine::next_due`] open_correlation_ids has come.
+    TimerExpired,
 }
 
 impl Input {
     /// The end of an attempt that told neither units nor load.
-    pub fn ended(id: RequestId, attempt: u32, outcome: Outcome) -> Input {
-        Input::Ended { id, attempt, outcome, units: None, load: Load::default() }
+    pub fn attempt_ended(id: RequestId, attempt: u32, outcome: Outcome) -> Input {
+        Input::AttemptEnded { id, attempt, outcome, units: None, load: Load::default() }
     }
 }
 
@@ -158,7 +158,7 @@
 /// What is to be done outside.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Start an attempt. [`Input::Ended`] is owed for it.
+    /// Start an attempt. [`Input::AttemptEnded`] is owed for it.
     Send {
         /// Which request.
         id: RequestId,
@@ -167,16 +167,16 @@
         /// Where to.
         server: ServerId,
         /// When it is given up, on the caller's clock.
-        end: Millis,
+        deadline: Millis,
     },
-    /// Call an attempt off; [`Input::Ended`] is still owed, once nothing more of it can reach a server.
+    /// Call an attempt off; [`Input::AttemptEnded`] is still owed, once nothing more of it can reach a server.
     Stop {
         /// Which request.
         id: RequestId,
         /// Which of its attempts.
         attempt: u32,
         /// The outcome to report, unless another came first.
-        how: Outcome,
+        outcome: Outcome,
     },
     /// Give the final answer: the first and only one of its request.
     Answer {
@@ -186,7 +186,7 @@
         answer: Answer,
     },
     /// Tell peers something, 256 bytes at most.
-    Tell {
+    SendMessage {
         /// A position, or none for all peers.
         to: Option<u32>,
         /// What.
@@ -198,9 +198,9 @@
         server: ServerId,
     },
     /// Keep the watch on the roster fresh.
-    Watch,
+    RefreshWatch,
     /// Ask for the whole roster once.
-    FetchList,
+    FetchServerList,
     /// One line for the operator.
     Log(String),
 }
@@ -209,7 +209,7 @@
 const MOST_ID: RequestId = (1 << 31) - 1;
 
 struct Open {
-    name: Name,
+    correlation_id: CorrelationId,
     class: usize,
     deadline: Millis,
     /// Its whole time, which counts from the last byte where the body is still to come.
@@ -228,7 +228,7 @@
     /// Its answer is passed on since then.
     began: Option<Millis>,
     /// It is given up then.
-    end: Millis,
+    deadline: Millis,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -247,13 +247,13 @@
     actions: Vec<Action>,
     timers: Timers<Due>,
     open: HashMap<RequestId, Open>,
-    named: HashSet<Name>,
+    open_correlation_ids: HashSet<CorrelationId>,
     /// Attempts that are out.
     out: HashMap<(RequestId, u32), Out>,
     /// Whether each server of the roster takes new work.
     servers: HashMap<ServerId, bool>,
     next: RequestId,
-    ledger: Ledger,
+    counters: RequestCounters,
     echoes: tampered::Echoes,
 }
 
@@ -261,13 +261,13 @@
     /// An engine whose module has just started at `now`. The error names the setting that cannot be served.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Engine, String> {
         Ok(Engine {
-            ledger: Ledger::new(settings.classes.len()),
+            counters: RequestCounters::new(settings.classes.len()),
             limiter: Limiter::new(settings, seed, now)?,
             events: VecDeque::new(),
             actions: Vec::new(),
             timers: Timers::default(),
             open: HashMap::new(),
-            named: HashSet::new(),
+            open_correlation_ids: HashSet::new(),
             out: HashMap::new(),
             servers: HashMap::new(),
             next: 0,
@@ -295,19 +295,19 @@
             Input::Servers { whole, entries } => {
                 self.roster(whole, entries);
                 if planted::is(Fault::Shout) {
-                    out.push(Output::Tell { to: None, body: Vec::new() });
+                    out.push(Output::SendMessage { to: None, body: Vec::new() });
                 }
             }
-            Input::ListFailed => self.events.push_back(Event::ListFailed),
-            Input::Request { name, request } => {
+            Input::ServerListFailed => self.events.push_back(Event::ListFailed),
+            Input::Request { correlation_id, request } => {
                 let late = request.budget_ms <= 0.0;
-                taken = self.take(now, name, request);
+                taken = self.take(now, correlation_id, request);
                 // Its client's time is over, and nothing of it has gone out: to ask again does no harm.
-                if let Some(id) = taken.filter(|id| late && self.settle(*id, End::Declined)) {
+                if let Some(id) = taken.filter(|id| late && self.settle(*id, RequestOutcome::Declined)) {
                     out.push(Output::Answer { id, answer: Answer::Refused { retry_ms: 0.0 } });
                 }
             }
-            Input::Ended { id, attempt, outcome, units, load } => {
+            Input::AttemptEnded { id, attempt, outcome, units, load } => {
                 self.ended(now, id, attempt, outcome, units, load, out);
             }
             Input::Uploading { id } => {
@@ -320,27 +320,27 @@
             }
             Input::Written { id, attempt } => self.written(now, id, attempt),
             Input::Streaming { id, attempt } => self.streams(now, id, attempt),
-            Input::Gone { id } => {
-                if self.settle(id, End::Aborted) {
+            Input::ClientDisconnected { id } => {
+                if self.settle(id, RequestOutcome::Aborted) {
                     self.events.push_back(Event::ClientGone { id });
                 }
             }
-            Input::Heard { from, body } => {
+            Input::MessageReceived { from, body } => {
                 if planted::is(Fault::Echo) {
                     self.echo(now, from, &body);
                 }
                 self.events.push_back(Event::Heard { from, body });
             }
-            Input::Due => self.fire(now, out),
+            Input::TimerExpired => self.fire(now, out),
         }
         self.work(now, out);
         taken
     }
 
-    /// When [`Input::Due`] is to come, at the latest.
+    /// When [`Input::TimerExpired`] is to come, at the latest.
     pub fn next_due(&mut self) -> Option<Millis> {
         let Engine { timers, limiter, out, open, .. } = self;
-        timers.next(|_, what| match what {
+        timers.next_due(|_, what| match what {
             Due::Wake(token) => limiter.wants(*token),
             Due::Cap(id, attempt) => out.contains_key(&(*id, *attempt)),
             Due::Deadline(id) => open.contains_key(id),
@@ -348,7 +348,7 @@
     }
 
     /// Whether a server of the roster takes new work.
-    pub fn takes(&self, server: &ServerId) -> bool {
+    pub fn accepts_requests(&self, server: &ServerId) -> bool {
         self.servers.get(server).is_some_and(|takes| *takes || planted::is(Fault::Drain))
     }
 
@@ -373,17 +373,17 @@
     }
 
     /// What has been counted of requests and attempts.
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn counters(&self) -> &RequestCounters {
+        &self.counters
     }
 
     /// For what is counted outside: attempts as they are written, requests that a front ended itself.
-    pub fn ledger_mut(&mut self) -> &mut Ledger {
-        &mut self.ledger
+    pub fn counters_mut(&mut self) -> &mut RequestCounters {
+        &mut self.counters
     }
 
     /// Servers of the roster that the module avoids now.
-    pub fn avoided(&self, now: Millis) -> usize {
+    pub fn ejected_servers(&self, now: Millis) -> usize {
         self.limiter.avoided(now)
     }
 
@@ -406,12 +406,12 @@
     }
 
     /// Requests that have no final answer yet.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
     /// Attempts that are out.
-    pub fn attempts_out(&self) -> usize {
+    pub fn outstanding_attempts(&self) -> usize {
         self.out.len()
     }
 
@@ -431,19 +431,24 @@
         self.events.push_back(Event::Servers { whole, entries });
     }
 
-    fn take(&mut self, now: Millis, name: Name, mut request: Request) -> Option<RequestId> {
-        if !self.named.insert(name.clone()) {
+    fn take(
+        &mut self,
+        now: Millis,
+        correlation_id: CorrelationId,
+        mut request: Request,
+    ) -> Option<RequestId> {
+        if !self.open_correlation_ids.insert(correlation_id.clone()) {
             return None;
         }
         let id = self.next;
         self.next = self.next.wrapping_add(1) & MOST_ID;
         request.id = id;
         let deadline = now + request.budget_ms;
-        self.ledger.taken(request.class);
+        self.counters.record_received(request.class);
         self.open.insert(
             id,
             Open {
-                name,
+                correlation_id,
                 class: request.class,
                 deadline,
                 budget_ms: request.budget_ms,
@@ -465,36 +470,36 @@
         if let Some(open) = self.open.get_mut(&id) {
             open.deadline = f64::INFINITY;
             let attempt = open.attempts - 1;
-            self.out.entry((id, attempt)).and_modify(|out| out.end = f64::INFINITY);
+            self.out.entry((id, attempt)).and_modify(|out| out.deadline = f64::INFINITY);
             self.events.push_back(Event::Streaming { id });
         }
     }
 
     fn written(&mut self, now: Millis, id: RequestId, attempt: u32) {
-        self.ledger.forwarded();
+        self.counters.record_forwarded();
         let Some(open) = self.open.get_mut(&id).filter(|open| open.uploading && open.out) else { return };
         open.uploading = false;
         open.deadline = now + open.budget_ms;
         self.timers.push(open.deadline, Due::Deadline(id));
         // How long the client took to send says nothing of the server.
-        let end = open.deadline;
-        self.out.entry((id, attempt)).and_modify(|out| (out.sent, out.end) = (now, end));
+        let deadline = open.deadline;
+        self.out.entry((id, attempt)).and_modify(|out| (out.sent, out.deadline) = (now, deadline));
     }
 
     fn streams(&mut self, now: Millis, id: RequestId, attempt: u32) {
         let Some(out) = self.out.get_mut(&(id, attempt)) else { return };
         let Some(open) = self.open.get_mut(&id) else { return };
-        (out.began, out.end) = (Some(now), f64::INFINITY);
+        (out.began, out.deadline) = (Some(now), f64::INFINITY);
         open.streaming = true;
         open.deadline = f64::INFINITY;
         self.events.push_back(Event::Streaming { id });
     }
 
     /// Takes a request off the open ones and counts its end; false if it was not open.
-    fn settle(&mut self, id: RequestId, end: End) -> bool {
+    fn settle(&mut self, id: RequestId, outcome: RequestOutcome) -> bool {
         let Some(open) = self.open.remove(&id) else { return false };
-        self.named.remove(&open.name);
-        self.ledger.ended(open.class, end);
+        self.open_correlation_ids.remove(&open.correlation_id);
+        self.counters.record_finished(open.class, outcome);
         true
     }
 
@@ -516,7 +521,7 @@
             open.out = false;
             settled = false;
         }
-        if outcome == Outcome::Ok && self.settle(id, End::Succeeded) {
+        if outcome == Outcome::Ok && self.settle(id, RequestOutcome::Succeeded) {
             settled = true;
             out.push(Output::Answer { id, answer: Answer::Served });
         }
@@ -530,7 +535,7 @@
             match what {
                 Due::Wake(token) => self.events.push_back(Event::Wake { token }),
                 Due::Cap(id, attempt) => {
-                    if self.out.get(&(id, attempt)).is_some_and(|out| out.end <= now) {
+                    if self.out.get(&(id, attempt)).is_some_and(|out| out.deadline <= now) {
                         self.stop(id, attempt, Outcome::TimedOut, out);
                     }
                 }
@@ -542,7 +547,7 @@
                     if let Some(open) = self.open.get(&id).filter(|open| open.out) {
                         self.stop(id, open.attempts - 1, Outcome::TimedOut, out);
                     }
-                    if self.settle(id, End::Aborted) {
+                    if self.settle(id, RequestOutcome::Aborted) {
                         out.push(Output::Log(format!("request {id}: failed at its deadline")));
                         out.push(Output::Answer { id, answer: Answer::Failed });
                         self.events.push_back(Event::ClientGone { id });
@@ -572,11 +577,11 @@
             Action::Refuse { id, retry_ms } => self.answer(id, Answer::Refused { retry_ms }, out),
             Action::Fail { id } => self.answer(id, Answer::Failed, out),
             Action::Wake { after_ms, token } => self.timers.push(now + after_ms.max(0.0), Due::Wake(token)),
-            Action::Tell { to, body } => out.push(Output::Tell { to, body }),
+            Action::Tell { to, body } => out.push(Output::SendMessage { to, body }),
             Action::CloseIdle { server } => out.push(Output::CloseIdle { server }),
             // The watch is always on; asking again only freshens it.
-            Action::Subscribe(_) => out.push(Output::Watch),
-            Action::FetchList => out.push(Output::FetchList),
+            Action::Subscribe(_) => out.push(Output::RefreshWatch),
+            Action::FetchList => out.push(Output::FetchServerList),
             Action::Log(line) => out.push(Output::Log(line)),
             // Servers may not be probed here, and limiters talk as peers: the module does neither. Should it,
             // it hears at once that nothing was sent.
@@ -592,7 +597,7 @@
     }
 
     fn send(&mut self, now: Millis, id: RequestId, server: ServerId, cap_ms: Millis, out: &mut Vec<Output>) {
-        let takes = self.takes(&server);
+        let takes = self.accepts_requests(&server);
         let Some(open) = self.open.get_mut(&id) else { return };
         let attempt = open.attempts;
         open.attempts += 1;
@@ -613,19 +618,19 @@
             return;
         }
         open.out = true;
-        let end = if cap_ms > 0.0 { open.deadline.min(now + cap_ms) } else { open.deadline };
+        let deadline = if cap_ms > 0.0 { open.deadline.min(now + cap_ms) } else { open.deadline };
         let uploading = open.uploading;
-        self.out.insert((id, attempt), Out { sent: now, began: None, end });
-        self.timers.push(end, Due::Cap(id, attempt));
-        out.push(Output::Send { id, attempt, server, end });
+        self.out.insert((id, attempt), Out { sent: now, began: None, deadline });
+        self.timers.push(deadline, Due::Cap(id, attempt));
+        out.push(Output::Send { id, attempt, server, deadline });
         if uploading {
             self.upload_begins(id);
         }
     }
 
-    fn stop(&mut self, id: RequestId, attempt: u32, how: Outcome, out: &mut Vec<Output>) {
+    fn stop(&mut self, id: RequestId, attempt: u32, outcome: Outcome, out: &mut Vec<Output>) {
         if self.out.contains_key(&(id, attempt)) {
-            out.push(Output::Stop { id, attempt, how });
+            out.push(Output::Stop { id, attempt, outcome });
         }
     }
 
@@ -633,10 +638,10 @@
         // A client that has a part of an answer can only be cut off: that is no refusal.
         let streaming = self.open.get(&id).is_some_and(|open| open.streaming);
         let end = match answer {
-            _ if streaming => End::Aborted,
-            Answer::Served => End::Succeeded,
-            Answer::Refused { .. } => End::Declined,
-            Answer::Failed => End::Aborted,
+            _ if streaming => RequestOutcome::Aborted,
+            Answer::Served => RequestOutcome::Succeeded,
+            Answer::Refused { .. } => RequestOutcome::Declined,
+            Answer::Failed => RequestOutcome::Aborted,
         };
         if self.settle(id, end) && !(planted::is(Fault::Answer) && id.is_multiple_of(500)) {
             out.push(Output::Answer { id, answer });
--- a/crates/engine/src/outcomes.rs
+++ b/crates/engine/src/outcomes.rs
@@ -3,7 +3,7 @@
 use fawnhill::Outcome;
 
 /// What an answer's status says. `unprocessed` tells that it carried `X-Unprocessed: 1`: turned away unseen.
-pub fn answered(status: u16, unprocessed: bool) -> Outcome {
+pub fn from_response(status: u16, unprocessed: bool) -> Outcome {
     match status {
         200 => Outcome::Ok,
         503 | 504 if unprocessed => Outcome::Full,
@@ -14,7 +14,7 @@
 /// What the flags of a proxy's access log (`%RESPONSE_FLAGS%`, Envoy's "access logging") say of an attempt that got no
 /// answer from its server; nothing if they name no failure of the upstream. Where several are told, the one that
 /// leaves more open counts: an attempt that may have run is never taken for one that has not.
-pub fn flagged(flags: &str) -> Option<Outcome> {
+pub fn from_response_flags(flags: &str) -> Option<Outcome> {
     let told = |names: &[&str]| flags.split(',').any(|flag| names.contains(&flag.trim()));
     if told(&["UC", "UR", "UPE"]) {
         Some(Outcome::Severed)
@@ -32,7 +32,7 @@
 }
 
 /// The same for flags told as a bit field (Envoy's attribute `response.flags`).
-pub fn flag_bits(bits: u64) -> Option<Outcome> {
+pub fn from_response_flag_bits(bits: u64) -> Option<Outcome> {
     const NAMES: [(u64, &str); 8] = [
         (0x2, "UH"),
         (0x4, "UT"),
@@ -44,7 +44,7 @@
         (0x1000, "DC"),
     ];
     let names: Vec<&str> = NAMES.iter().filter(|(bit, _)| bits & bit != 0).map(|(_, name)| *name).collect();
-    flagged(&names.join(","))
+    from_response_flags(&names.join(","))
 }
 
 #[cfg(test)]
@@ -53,24 +53,24 @@
 
     #[test]
     fn only_the_mark_makes_a_refusal_one_that_never_ran() {
-        assert_eq!(answered(503, true), Outcome::Full);
-        assert_eq!(answered(504, true), Outcome::Full);
-        assert_eq!(answered(503, false), Outcome::Error);
-        assert_eq!(answered(500, true), Outcome::Error);
-        assert_eq!(answered(200, false), Outcome::Ok);
+        assert_eq!(from_response(503, true), Outcome::Full);
+        assert_eq!(from_response(504, true), Outcome::Full);
+        assert_eq!(from_response(503, false), Outcome::Error);
+        assert_eq!(from_response(500, true), Outcome::Error);
+        assert_eq!(from_response(200, false), Outcome::Ok);
     }
 
     #[test]
     fn of_several_flags_the_more_doubtful_counts() {
-        assert_eq!(flagged("UF"), Some(Outcome::NoConnection));
-        assert_eq!(flagged("URX,UF"), Some(Outcome::NoConnection));
-        assert_eq!(flagged("UF,UC"), Some(Outcome::Severed));
-        assert_eq!(flagged("UH , UT"), Some(Outcome::TimedOut));
-        assert_eq!(flagged("UO"), Some(Outcome::NotSent));
-        assert_eq!(flagged("-"), None);
-        assert_eq!(flagged(""), None);
-        assert_eq!(flag_bits(0x20), Some(Outcome::NoConnection));
-        assert_eq!(flag_bits(0x60), Some(Outcome::Severed));
-        assert_eq!(flag_bits(0), None);
+        assert_eq!(from_response_flags("UF"), Some(Outcome::NoConnection));
+        assert_eq!(from_response_flags("URX,UF"), Some(Outcome::NoConnection));
+        assert_eq!(from_response_flags("UF,UC"), Some(Outcome::Severed));
+        assert_eq!(from_response_flags("UH , UT"), Some(Outcome::TimedOut));
+        assert_eq!(from_response_flags("UO"), Some(Outcome::NotSent));
+        assert_eq!(from_response_flags("-"), None);
+        assert_eq!(from_response_flags(""), None);
+        assert_eq!(from_response_flag_bits(0x20), Some(Outcome::NoConnection));
+        assert_eq!(from_response_flag_bits(0x60), Some(Outcome::Severed));
+        assert_eq!(from_response_flag_bits(0), None);
     }
 }
--- a/crates/engine/src/tampered.rs
+++ b/crates/engine/src/tampered.rs
@@ -44,10 +44,10 @@
         let server = self.servers.iter().find(|(_, takes)| **takes).map(|(server, _)| server.clone());
         let Some((open, server)) = self.open.get_mut(&id).zip(server) else { return };
         (open.deadline, open.out) = (now + GOES_ON_MS, true);
-        let (attempt, end) = (open.attempts, open.deadline);
+        let (attempt, deadline) = (open.attempts, open.deadline);
         open.attempts += 1;
-        self.out.insert((id, attempt), Out { sent: now, began: None, end });
-        self.timers.push(end, Due::Deadline(id));
-        out.push(Output::Send { id, attempt, server, end });
+        self.out.insert((id, attempt), Out { sent: now, began: None, deadline });
+        self.timers.push(deadline, Due::Deadline(id));
+        out.push(Output::Send { id, attempt, server, deadline });
     }
 }
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -35,12 +35,12 @@
     }
 
     /// Whether a kept moment is this one.
-    pub fn is(kept: u64, at: Millis) -> bool {
-        micros(at) == kept
+    pub fn matches(stored: u64, at: Millis) -> bool {
+        micros(at) == stored
     }
 
     /// When the first thing is due that is still wanted; `wanted` is asked with its moment as kept.
-    pub fn next(&mut self, wanted: impl Fn(u64, &T) -> bool) -> Option<Millis> {
+    pub fn next_due(&mut self, wanted: impl Fn(u64, &T) -> bool) -> Option<Millis> {
         if self.heap.len() >= self.sweep_at {
             self.heap.retain(|Reverse((at, what))| wanted(*at, what));
             self.sweep_at = (self.heap.len() * 2).max(FIRST_SWEEP);
@@ -57,7 +57,7 @@
     /// Takes the first thing that is due by `now`.
     pub fn pop(&mut self, now: Millis) -> Option<T> {
         match self.heap.peek() {
-            // The very figure that `next` gave: a caller who comes at that moment finds it due.
+            // The very figure that `next_due` gave: a caller who comes at that moment finds it due.
             Some(Reverse((at, _))) if *at as f64 / 1000.0 <= now => self.heap.pop().map(|e| e.0 .1),
             _ => None,
         }
@@ -95,7 +95,7 @@
             timers.push(1.7e12 + f64::from(n) * 0.337, n);
             timers.push(f64::from(n) * 0.337, n);
         }
-        while let Some(at) = timers.next(|_, _| true) {
+        while let Some(at) = timers.next_due(|_, _| true) {
             assert!(timers.pop(at).is_some(), "{at}");
         }
     }
@@ -107,7 +107,7 @@
         timers.push(1.0, 0);
         for n in 1..100_000 {
             timers.push(1e6, n);
-            assert_eq!(timers.next(|_, what| *what == 0), Some(1.0));
+            assert_eq!(timers.next_due(|_, what| *what == 0), Some(1.0));
         }
         assert!(timers.len() <= FIRST_SWEEP, "{}", timers.len());
     }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use fawnhill::*;
-use marldeal_engine::ledger::End;
+use marldeal_engine::counters::RequestOutcome;
 use marldeal_engine::{Answer, Engine, Input, Output};
 use proptest::prelude::*;
 
@@ -85,11 +85,11 @@
 #[test]
 fn a_name_that_is_open_is_not_taken_again_and_is_free_afterwards() {
     let (mut engine, mut out) = engine();
-    let name: marldeal_engine::Name = (*b"c-1").into();
-    let arrive = |request| Input::Request { name: name.clone(), request };
+    let name: marldeal_engine::CorrelationId = (*b"c-1").into();
+    let arrive = |request| Input::Request { correlation_id: name.clone(), request };
     let id = engine.handle(1.0, arrive(request(0, 1)), &mut out).expect("free");
     assert_eq!(engine.handle(2.0, arrive(request(0, 1)), &mut out), None);
-    engine.handle(3.0, Input::Gone { id }, &mut out);
+    engine.handle(3.0, Input::ClientDisconnected { id }, &mut out);
     assert!(engine.handle(4.0, arrive(request(0, 1)), &mut out).is_some());
 }
 
@@ -98,14 +98,14 @@
 fn a_request_that_nobody_reports_on_is_answered_before_its_deadline() {
     let (mut engine, mut out) = engine();
     let id = engine
-        .handle(0.0, Input::Request { name: (*b"c").into(), request: request(2, 1) }, &mut out)
+        .handle(0.0, Input::Request { correlation_id: (*b"c").into(), request: request(2, 1) }, &mut out)
         .expect("taken");
     let mut now = 0.0;
     let answer = loop {
         out.clear();
         now =
             engine.next_due().filter(|at| *at <= 3000.0).expect("a due moment before the deadline").max(now);
-        engine.handle(now, Input::Due, &mut out);
+        engine.handle(now, Input::TimerExpired, &mut out);
         if let Some(Output::Answer { id: who, answer }) =
             out.iter().find(|o| matches!(o, Output::Answer { .. }))
         {
@@ -115,10 +115,10 @@
     };
     // An unsafe request that may have run promises nothing.
     assert_eq!(answer, Answer::Failed);
-    assert!(now <= 3000.0 && engine.open() == 0);
-    assert_eq!(engine.attempts_out(), 1, "the attempt is still owed its end");
-    engine.handle(now, Input::ended(id, 0, Outcome::Cancelled), &mut out);
-    assert_eq!(engine.attempts_out(), 0);
+    assert!(now <= 3000.0 && engine.open_requests() == 0);
+    assert_eq!(engine.outstanding_attempts(), 1, "the attempt is still owed its end");
+    engine.handle(now, Input::attempt_ended(id, 0, Outcome::Cancelled), &mut out);
+    assert_eq!(engine.outstanding_attempts(), 0);
 }
 
 /// A server that drains between the module's choice and the send is not sent to: here nothing takes work at all.
@@ -127,9 +127,9 @@
     let (mut engine, mut out) = engine();
     let entries = (1..=3).map(|n| entry(n, Condition::Draining)).collect();
     engine.handle(1.0, Input::Servers { whole: false, entries }, &mut out);
-    assert!(!engine.ready(10_000.0) && !engine.takes(&Arc::from("s-1")));
+    assert!(!engine.ready(10_000.0) && !engine.accepts_requests(&Arc::from("s-1")));
     out.clear();
-    engine.handle(2.0, Input::Request { name: (*b"c").into(), request: request(0, 1) }, &mut out);
+    engine.handle(2.0, Input::Request { correlation_id: (*b"c").into(), request: request(0, 1) }, &mut out);
     assert!(!out.iter().any(|o| matches!(o, Output::Send { .. })), "{out:?}");
 }
 
@@ -181,17 +181,17 @@
     fn look(&mut self, now: f64, outputs: &mut Vec<Output>) {
         for output in outputs.drain(..) {
             match output {
-                Output::Send { id, attempt, end, .. } => {
+                Output::Send { id, attempt, deadline: attempt_deadline, .. } => {
                     assert!(!self.answered.contains(&id), "sent after its final answer");
                     assert!(!self.left.contains(&id), "sent after its client left");
                     assert!(self.out.insert(id, attempt).is_none(), "two attempts out");
                     let (deadline, class) = self.taken[&id];
-                    assert!(now <= deadline && end <= deadline, "sent past its deadline");
+                    assert!(now <= deadline && attempt_deadline <= deadline, "sent past its deadline");
                     assert!(!(class == 2 && self.may_have_run.contains(&id)), "an unsafe one sent again");
                     assert!(attempt < 3);
                 }
-                Output::Stop { id, attempt, how } => {
-                    self.stopped.entry((id, attempt)).or_insert(how);
+                Output::Stop { id, attempt, outcome } => {
+                    self.stopped.entry((id, attempt)).or_insert(outcome);
                 }
                 Output::Answer { id, answer } => {
                     assert!(!self.left.contains(&id) && self.answered.insert(id), "answered twice");
@@ -223,14 +223,14 @@
             if !matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent) {
                 watch.may_have_run.insert(id);
             }
-            engine.handle(now, Input::ended(id, n, outcome), out);
+            engine.handle(now, Input::attempt_ended(id, n, outcome), out);
             watch.look(now, out);
         };
         for step in steps.into_iter().chain([Step::Wait(4000), Step::Obey, Step::Wait(4000)]) {
             match step {
                 Step::Arrive(class, plan, name) => {
                     let request = request(class, plan);
-                    if let Some(id) = engine.handle(now, Input::Request { name: [name].into(), request }, &mut out) {
+                    if let Some(id) = engine.handle(now, Input::Request { correlation_id: [name].into(), request }, &mut out) {
                         watch.taken.insert(id, (now + 3000.0, class));
                     }
                 }
@@ -240,7 +240,7 @@
                     if !open.is_empty() {
                         let id = open[which % open.len()];
                         watch.left.insert(id);
-                        engine.handle(now, Input::Gone { id }, &mut out);
+                        engine.handle(now, Input::ClientDisconnected { id }, &mut out);
                     }
                 }
                 Step::End(which, outcome) => {
@@ -259,7 +259,7 @@
                     let until = now + f64::from(ms);
                     while let Some(due) = engine.next_due().filter(|due| *due <= until) {
                         now = due.max(now);
-                        engine.handle(now, Input::Due, &mut out);
+                        engine.handle(now, Input::TimerExpired, &mut out);
                         watch.look(now, &mut out);
                     }
                     now = until;
@@ -272,8 +272,8 @@
             }
             watch.look(now, &mut out);
         }
-        prop_assert_eq!(engine.open(), 0);
-        prop_assert_eq!(engine.attempts_out(), 0);
+        prop_assert_eq!(engine.open_requests(), 0);
+        prop_assert_eq!(engine.outstanding_attempts(), 0);
         for id in watch.taken.keys() {
             prop_assert!(watch.answered.contains(id) || watch.left.contains(id), "request {} unanswered", id);
         }
@@ -283,7 +283,7 @@
 /// Calls the engine whenever it is due until a moment.
 fn pass(engine: &mut Engine, until: f64, out: &mut Vec<Output>) {
     while let Some(at) = engine.next_due().filter(|at| *at <= until) {
-        engine.handle(at, Input::Due, out);
+        engine.handle(at, Input::TimerExpired, out);
     }
 }
 
@@ -297,19 +297,19 @@
 fn the_clock_of_an_upload_starts_with_its_last_byte() {
     for written in [None, Some(50_000.0)] {
         let (mut engine, mut out) = engine();
-        let taken = Input::Request { name: b"a".as_slice().into(), request: request(1, 1) };
+        let taken = Input::Request { correlation_id: b"a".as_slice().into(), request: request(1, 1) };
         let id = engine.handle(10.0, taken, &mut out).expect("taken");
         engine.handle(10.0, Input::Uploading { id }, &mut out);
         pass(&mut engine, 60_000.0_f64.min(written.unwrap_or(60_000.0)), &mut out);
-        assert_eq!((answers(&out), engine.open()), (vec![], 1));
+        assert_eq!((answers(&out), engine.open_requests()), (vec![], 1));
         let Some(at) = written else { continue };
         engine.handle(at, Input::Written { id, attempt: 0 }, &mut out);
-        assert_eq!(engine.ledger().forwards(), 1);
+        assert_eq!(engine.counters().forwarded(), 1);
         pass(&mut engine, at + 2900.0, &mut out);
         assert_eq!(answers(&out), []);
         pass(&mut engine, at + 3001.0, &mut out);
         assert_eq!(answers(&out), [Answer::Failed]);
-        assert!(out.iter().any(|o| matches!(o, Output::Stop { how: Outcome::TimedOut, .. })));
+        assert!(out.iter().any(|o| matches!(o, Output::Stop { outcome: Outcome::TimedOut, .. })));
     }
 }
 
@@ -318,16 +318,17 @@
 fn a_streamed_answer_has_no_deadline_and_no_second_attempt() {
     for (class, outcome) in [(0, Outcome::Severed), (1, Outcome::Severed), (0, Outcome::Ok)] {
         let (mut engine, mut out) = engine();
-        let taken = Input::Request { name: b"a".as_slice().into(), request: request(class, 1) };
+        let taken = Input::Request { correlation_id: b"a".as_slice().into(), request: request(class, 1) };
         let id = engine.handle(10.0, taken, &mut out).expect("taken");
         engine.handle(100.0, Input::Streaming { id, attempt: 0 }, &mut out);
         pass(&mut engine, 30_000.0, &mut out);
-        assert_eq!((answers(&out).len(), engine.ledger().outstanding()), (0, 1));
+        assert_eq!((answers(&out).len(), engine.counters().outstanding()), (0, 1));
         assert!(!out.iter().any(|o| matches!(o, Output::Stop { .. })));
-        engine.handle(30_000.0, Input::ended(id, 0, outcome), &mut out);
+        engine.handle(30_000.0, Input::attempt_ended(id, 0, outcome), &mut out);
         assert_eq!(out.iter().filter(|o| matches!(o, Output::Send { .. })).count(), 1);
-        let ends = [End::Succeeded, End::Declined, End::Aborted].map(|end| engine.ledger().ends(class, end));
+        let ends = [RequestOutcome::Succeeded, RequestOutcome::Declined, RequestOutcome::Aborted]
+            .map(|end| engine.counters().finished(class, end));
         assert_eq!(ends, if outcome == Outcome::Ok { [1, 0, 0] } else { [0, 0, 1] });
-        assert_eq!(engine.open(), 0);
+        assert_eq!(engine.open_requests(), 0);
     }
 }
--- a/crates/external/src/lib.rs
+++ b/crates/external/src/lib.rs
@@ -4,13 +4,13 @@
 //! A request is known by its name (`X-Correlation-Id`). It may be *presented* several times: by a proxy whose filter
 //! runs once a try, by one that lost its stream, or twice at once. All presentations of its time belong to one
 //! request of the engine, so that units are taken once, effect classes hold, and never two attempts are out. This
-//! crate does *not* speak gRPC, read a clock or choose servers: [`External::handle`] takes what a stream said, or what
+//! crate does *not* speak gRPC, read a clock or choose servers: [`ExternalProcessor::handle`] takes what a stream said, or what
 //! the engine asks, and gives what streams are to be told.
 //!
 //! ```
 //! use fawnhill::{Class, Condition, Effect, KeyGroup, Outcome, Plan, Request, ServerEntry, Settings};
-//! use marldeal_engine::{Engine, Input as Told};
-//! use marldeal_external::{Bounds, External, Input, Out, Presentation, Verdict};
+//! use marldeal_engine::{Engine, Input as EngineInput};
+//! use marldeal_external::{ProcessorConfig, ExternalProcessor, Input, Action, Presentation, Verdict};
 //!
 //! # let look = Class {
 //! #     aim_ms: 1000.0, late_worth: 0.0, effect: Effect::Safe, group: KeyGroup::All, window_ms: 0.0,
@@ -24,25 +24,25 @@
 //! #     may_advise: false, messages_per_s: 0.0, must_subscribe: false, cold_share: 0.2, cold_ms: 10_000.0,
 //! #     fall_multiple: 3.0, fall_ms: 2000.0, firms: 10_000,
 //! # };
-//! let mut external = External::new(Bounds::default(), &settings);
+//! let mut external = ExternalProcessor::new(ProcessorConfig::default(), &settings);
 //! let mut engine = Engine::new(settings, 42, 0.0)?;
 //! let node = ServerEntry {
 //!     server: "node-1".into(), zone: 0, cell: 0, condition: Condition::Serving, weight: 1.0, started: 0.0,
 //! };
-//! engine.handle(0.0, Told::Servers { whole: true, entries: [node].into() }, &mut Vec::new());
+//! engine.handle(0.0, EngineInput::Servers { whole: true, entries: [node].into() }, &mut Vec::new());
 //!
 //! let request = Request {
 //!     id: 0, class: 0, plan: 0, customer: 7, budget_ms: 3000.0, units: 1.0, spread: 1, first: 0,
 //! };
-//! let presentation = Presentation { name: (*b"c-1").into(), key: None, attempt: Some(1), request };
+//! let presentation = Presentation { correlation_id: (*b"c-1").into(), key: None, attempt: Some(1), request };
 //! let mut out = Vec::new();
 //! external.handle(5.0, Input::Presented { stream: 1, presentation }, &mut engine, &mut out);
-//! assert!(matches!(&out[..], [Out::Reply { stream: 1, verdict: Verdict::Go(_) }]));
+//! assert!(matches!(&out[..], [Action::Reply { stream: 1, verdict: Verdict::Admit(_) }]));
 //!
 //! out.clear();
 //! external.handle(90.0, Input::Responded { stream: 1, outcome: Outcome::Ok }, &mut engine, &mut out);
-//! assert_eq!(out, [Out::Reply { stream: 1, verdict: Verdict::Pass }]);
-//! assert_eq!((external.open(), engine.open(), engine.attempts_out()), (0, 0, 0));
+//! assert_eq!(out, [Action::Reply { stream: 1, verdict: Verdict::PassThrough }]);
+//! assert_eq!((external.open_requests(), engine.open_requests(), engine.outstanding_attempts()), (0, 0, 0));
 //! # Ok::<(), String>(())
 //! ```
 #![forbid(unsafe_code)]
@@ -53,52 +53,52 @@
 
 use fawnhill::{Class, Effect, Millis, Outcome, Request, RequestId, ServerId, Settings};
 use marldeal_engine::timers::Timers;
-use marldeal_engine::{Answer, Engine, Input as Told, Name, Output};
+use marldeal_engine::{Answer, CorrelationId, Engine, Input as EngineInput, Output};
 
 /// A stream of a proxy; never used twice.
 pub type StreamId = u64;
 
 /// How a proxy carries out a further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Retries {
+pub enum RetryMode {
     /// It presents the request again, on a new stream: its filter runs once a try.
-    Presented,
+    NewStream,
     /// It goes on at once, on the same stream.
-    Looped,
+    SameStream,
     /// Not at all.
     None,
 }
 
 /// What this part holds at most, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bounds {
+pub struct ProcessorConfig {
     /// Requests without a final answer; further ones are turned away.
-    pub most_open: usize,
+    pub max_open_requests: usize,
     /// Verdicts that stand for later presentations; the oldest make way.
-    pub most_standing: usize,
+    pub max_standing_verdicts: usize,
     /// How long a further attempt that was granted waits for the presentation that carries it out, and a request
     /// whose stream has ended for its next one.
-    pub again_ms: Millis,
+    pub next_presentation_timeout_ms: Millis,
     /// How long a presentation waits for the stream of the attempt before it to end.
-    pub handover_ms: Millis,
+    pub handover_timeout_ms: Millis,
     /// How long an attempt is taken to be out whose end nobody will tell.
-    pub assumed_ms: Millis,
+    pub unreported_attempt_ms: Millis,
     /// How further attempts are made.
-    pub retries: Retries,
+    pub retry_mode: RetryMode,
     /// A final answer that comes while an attempt is out is told at once, unasked.
-    pub push: bool,
+    pub push_final_answers: bool,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            most_open: 4096,
-            most_standing: 8192,
-            again_ms: 1000.0,
-            handover_ms: 100.0,
-            assumed_ms: 250.0,
-            retries: Retries::Presented,
-            push: true,
+impl Default for ProcessorConfig {
+    fn default() -> ProcessorConfig {
+        ProcessorConfig {
+            max_open_requests: 4096,
+            max_standing_verdicts: 8192,
+            next_presentation_timeout_ms: 1000.0,
+            handover_timeout_ms: 100.0,
+            unreported_attempt_ms: 250.0,
+            retry_mode: RetryMode::NewStream,
+            push_final_answers: true,
         }
     }
 }
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Presentation {
     /// What tells it from others.
-    pub name: Name,
+    pub correlation_id: CorrelationId,
     /// Its idempotency key.
     pub key: Option<Arc<[u8]>>,
     /// `x-envoy-attempt-count`, from 1, where the proxy tells it.
@@ -134,7 +134,7 @@
         outcome: Outcome,
     },
     /// Nobody will tell what comes of the attempt that a stream carries: its proxy's protocol cannot. The module
-    /// hears neither of an answer nor of silence; the attempt holds its slots for [`Bounds::assumed_ms`].
+    /// hears neither of an answer nor of silence; the attempt holds its slots for [`ProcessorConfig::unreported_attempt_ms`].
     Unreported {
         /// Which stream.
         stream: StreamId,
@@ -146,8 +146,8 @@
     },
     /// The engine asks for something, after an input that came from elsewhere.
     Engine(Output),
-    /// The moment that [`External::next_due`] named has come.
-    Due,
+    /// The moment that [`ExternalProcessor::next_due`] named has come.
+    TimerExpired,
 }
 
 /// An attempt that a proxy is to make.
@@ -156,7 +156,7 @@
     /// Where to.
     pub server: ServerId,
     /// When it is given up, on the caller's clock.
-    pub end: Millis,
+    pub deadline: Millis,
     /// Which attempt of its request, from 0.
     pub attempt: u32,
 }
@@ -169,18 +169,18 @@
     /// It has been served.
     Served,
     /// A request of that name asks something else.
-    Different,
+    Mismatch,
 }
 
 /// What a stream is told. All but `Go`, and `Retry` where proxies loop, are the last word on it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
     /// Let in: make this attempt.
-    Go(Grant),
+    Admit(Grant),
     /// Answer to an outcome: another attempt.
     Retry(Grant),
     /// Answer to an outcome: the client gets the server's answer.
-    Pass,
+    PassThrough,
     /// Final: trying again is harmless, after so many milliseconds if not 0.
     Refuse {
         /// Advice; 0 for none.
@@ -196,7 +196,7 @@
 
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Out {
+pub enum Action {
     /// Tell a stream.
     Reply {
         /// Which.
@@ -256,7 +256,7 @@
 }
 
 #[derive(Debug)]
-struct Record {
+struct Entry {
     id: RequestId,
     key: Option<Arc<[u8]>>,
     request: Request,
@@ -272,10 +272,10 @@
     parked: Option<(StreamId, Millis)>,
 }
 
-impl Record {
+impl Entry {
     /// A presentation more, by the proxy's own count where it tells one.
-    fn count(&mut self, told: Option<u32>) {
-        self.presented = told.unwrap_or(self.presented.saturating_add(1));
+    fn count(&mut self, req: Option<u32>) {
+        self.presented = req.unwrap_or(self.presented.saturating_add(1));
     }
 
     fn same(&self, other: &Presentation) -> bool {
@@ -287,17 +287,17 @@
 }
 
 /// All requests of proxies at one limiter.
-pub struct External {
-    bounds: Bounds,
+pub struct ExternalProcessor {
+    bounds: ProcessorConfig,
     classes: Vec<Class>,
-    records: HashMap<Name, Record>,
-    ids: HashMap<RequestId, Name>,
+    entries: HashMap<CorrelationId, Entry>,
+    ids: HashMap<RequestId, CorrelationId>,
     /// What each stream presented; the id tells it from a later request of the same name.
-    streams: HashMap<StreamId, (Name, RequestId)>,
+    streams: HashMap<StreamId, (CorrelationId, RequestId)>,
     /// Whose record is to be looked at.
-    timers: Timers<Name>,
+    timers: Timers<CorrelationId>,
     /// Names of standing verdicts, the oldest first; some may have been dropped or renewed since.
-    standing: VecDeque<(Name, RequestId)>,
+    standing: VecDeque<(CorrelationId, RequestId)>,
     /// Attempts whose end nobody will tell, and when they are taken to have ended; the soonest first.
     blind: VecDeque<(Millis, RequestId, u32)>,
     open: usize,
@@ -306,16 +306,16 @@
 }
 
 /// One call's surroundings.
-struct Desk<'a> {
+struct Context<'a> {
     now: Millis,
     engine: &'a mut Engine,
     queue: VecDeque<Output>,
-    out: &'a mut Vec<Out>,
+    out: &'a mut Vec<Action>,
 }
 
-impl Desk<'_> {
+impl Context<'_> {
     /// Gives the engine an input; what it asks is worked off after what it asked before.
-    fn tell(&mut self, input: Told) -> Option<RequestId> {
+    fn tell(&mut self, input: EngineInput) -> Option<RequestId> {
         let mut outputs = Vec::new();
         let id = self.engine.handle(self.now, input, &mut outputs);
         self.queue.extend(outputs);
@@ -323,17 +323,17 @@
     }
 
     fn reply(&mut self, stream: StreamId, verdict: Verdict) {
-        self.out.push(Out::Reply { stream, verdict });
+        self.out.push(Action::Reply { stream, verdict });
     }
 }
 
-impl External {
+impl ExternalProcessor {
     /// Nothing presented yet; `settings` are the engine's.
-    pub fn new(bounds: Bounds, settings: &Settings) -> External {
-        External {
+    pub fn new(bounds: ProcessorConfig, settings: &Settings) -> ExternalProcessor {
+        ExternalProcessor {
             bounds,
             classes: settings.classes.clone(),
-            records: HashMap::new(),
+            entries: HashMap::new(),
             ids: HashMap::new(),
             streams: HashMap::new(),
             timers: Timers::default(),
@@ -346,17 +346,17 @@
     }
 
     /// Requests of proxies that have no final answer yet.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open
     }
 
     /// Verdicts that stand.
-    pub fn standing(&self) -> usize {
+    pub fn standing_verdicts(&self) -> usize {
         self.over
     }
 
     /// Streams that are owed a word or carry an attempt.
-    pub fn streams(&self) -> usize {
+    pub fn open_streams(&self) -> usize {
         self.streams.len()
     }
 
@@ -365,7 +365,7 @@
         self.counts
     }
 
-    /// Whether the engine's output concerns a request of a proxy, and so is to be given to [`External::handle`].
+    /// Whether the engine's output concerns a request of a proxy, and so is to be given to [`ExternalProcessor::handle`].
     pub fn owns(&self, output: &Output) -> bool {
         match output {
             Output::Send { id, .. } | Output::Stop { id, .. } | Output::Answer { id, .. } => {
@@ -375,88 +375,90 @@
         }
     }
 
-    /// When [`Input::Due`] is to come, at the latest.
+    /// When [`Input::TimerExpired`] is to come, at the latest.
     pub fn next_due(&mut self) -> Option<Millis> {
-        let records = &self.records;
-        let next = self.timers.next(|at, name| {
-            records.get(name).is_some_and(|r| {
-                let parked = r.parked.is_some_and(|(_, until)| Timers::<Name>::is(at, until));
-                parked || Timers::<Name>::is(at, r.until)
+        let entries = &self.entries;
+        let next = self.timers.next_due(|at, name| {
+            entries.get(name).is_some_and(|r| {
+                let parked = r.parked.is_some_and(|(_, until)| Timers::<CorrelationId>::matches(at, until));
+                parked || Timers::<CorrelationId>::matches(at, r.until)
             })
         });
         next.into_iter().chain(self.blind.front().map(|b| b.0)).min_by(f64::total_cmp)
     }
 
     /// Takes in what has happened and adds to `out` what is to be done, in this order. `now` never goes back.
-    pub fn handle(&mut self, now: Millis, input: Input, engine: &mut Engine, out: &mut Vec<Out>) {
-        let mut desk = Desk { now, engine, queue: VecDeque::new(), out };
+    pub fn handle(&mut self, now: Millis, input: Input, engine: &mut Engine, out: &mut Vec<Action>) {
+        let mut cx = Context { now, engine, queue: VecDeque::new(), out };
         match input {
-            Input::Presented { stream, presentation } => self.presented(stream, presentation, &mut desk),
-            Input::Responded { stream, outcome } => self.responded(stream, outcome, &mut desk),
-            Input::Unreported { stream } => self.unreported(stream, &mut desk),
-            Input::Closed { stream } => self.closed(stream, &mut desk),
-            Input::Engine(output) => desk.queue.push_back(output),
-            Input::Due => self.due(&mut desk),
+            Input::Presented { stream, presentation } => self.presented(stream, presentation, &mut cx),
+            Input::Responded { stream, outcome } => self.responded(stream, outcome, &mut cx),
+            Input::Unreported { stream } => self.unreported(stream, &mut cx),
+            Input::Closed { stream } => self.closed(stream, &mut cx),
+            Input::Engine(output) => cx.queue.push_back(output),
+            Input::TimerExpired => self.due(&mut cx),
         }
-        self.work(&mut desk);
+        self.work(&mut cx);
     }
 
-    fn presented(&mut self, stream: StreamId, told: Presentation, desk: &mut Desk) {
+    fn presented(&mut self, stream: StreamId, req: Presentation, cx: &mut Context) {
         self.counts.presented += 1;
-        let Some(record) = self.records.get_mut(&told.name) else { return self.first(stream, told, desk) };
-        if !record.same(&told) {
-            return self.conflict(stream, Conflict::Different, desk);
+        let Some(entry) = self.entries.get_mut(&req.correlation_id) else { return self.add(stream, req, cx) };
+        if !entry.same(&req) {
+            return self.conflict(stream, Conflict::Mismatch, cx);
         }
-        let next = told.attempt.is_some_and(|n| n.checked_sub(1) == Some(record.presented));
-        match record.state {
-            State::Over(Answer::Refused { retry_ms }) => desk.reply(stream, Verdict::Refuse { retry_ms }),
-            State::Over(Answer::Failed) => desk.reply(stream, Verdict::Fail),
-            State::Over(Answer::Served) => self.conflict(stream, Conflict::Served, desk),
+        let next = req.attempt.is_some_and(|n| n.checked_sub(1) == Some(entry.presented));
+        match entry.state {
+            State::Over(Answer::Refused { retry_ms }) => cx.reply(stream, Verdict::Refuse { retry_ms }),
+            State::Over(Answer::Failed) => cx.reply(stream, Verdict::Fail),
+            State::Over(Answer::Served) => self.conflict(stream, Conflict::Served, cx),
             State::Held(None) => {
-                record.count(told.attempt);
-                record.until = f64::INFINITY;
-                record.state = State::Held(Some((stream, Asked::Presented)));
-                self.streams.insert(stream, (told.name, record.id));
+                entry.count(req.attempt);
+                entry.until = f64::INFINITY;
+                entry.state = State::Held(Some((stream, Asked::Presented)));
+                self.streams.insert(stream, (req.correlation_id, entry.id));
             }
             State::Offered(_) => {
-                record.count(told.attempt);
-                let name = told.name;
-                self.take_up(&name, stream, desk);
+                entry.count(req.attempt);
+                let name = req.correlation_id;
+                self.take_up(&name, stream, cx);
             }
             // The stream of the attempt before may only seem to be there still: its end can come a little later,
             // on another connection.
-            State::Out(..) | State::Held(Some(_)) if next && record.parked.is_none() => {
-                let until = desk.now + self.bounds.handover_ms;
-                record.parked = Some((stream, until));
-                self.timers.push(until, told.name.clone());
-                self.streams.insert(stream, (told.name, record.id));
+            State::Out(..) | State::Held(Some(_)) if next && entry.parked.is_none() => {
+                let until = cx.now + self.bounds.handover_timeout_ms;
+                entry.parked = Some((stream, until));
+                self.timers.push(until, req.correlation_id.clone());
+                self.streams.insert(stream, (req.correlation_id, entry.id));
             }
-            State::Out(..) | State::Held(Some(_)) => self.conflict(stream, Conflict::Open, desk),
+            State::Out(..) | State::Held(Some(_)) => self.conflict(stream, Conflict::Open, cx),
         }
     }
 
     /// A presentation of a name that is not known here.
-    fn first(&mut self, stream: StreamId, told: Presentation, desk: &mut Desk) {
-        let Presentation { name, key, attempt, request } = told;
+    fn add(&mut self, stream: StreamId, req: Presentation, cx: &mut Context) {
+        let Presentation { correlation_id, key, attempt, request } = req;
         let effect = self.classes.get(request.class).map_or(Effect::Unsafe, |c| c.effect);
         // An earlier attempt may have run, when nobody here knows: only what may run any number of times goes on.
         if attempt.is_some_and(|n| n > 1) && effect != Effect::Safe {
             self.counts.strangers += 1;
-            return desk.reply(stream, Verdict::Fail);
+            return cx.reply(stream, Verdict::Fail);
         }
-        if self.open >= self.bounds.most_open {
+        if self.open >= self.bounds.max_open_requests {
             self.counts.busy += 1;
-            return desk.reply(stream, Verdict::Busy);
+            return cx.reply(stream, Verdict::Busy);
         }
-        let deadline = desk.now + request.budget_ms;
-        let Some(id) = desk.tell(Told::Request { name: name.clone(), request: request.clone() }) else {
-            return self.conflict(stream, Conflict::Open, desk);
+        let deadline = cx.now + request.budget_ms;
+        let Some(id) = cx
+            .tell(EngineInput::Request { correlation_id: correlation_id.clone(), request: request.clone() })
+        else {
+            return self.conflict(stream, Conflict::Open, cx);
         };
         self.counts.taken += 1;
         self.open += 1;
-        self.ids.insert(id, name.clone());
-        self.streams.insert(stream, (name.clone(), id));
-        let record = Record {
+        self.ids.insert(id, correlation_id.clone());
+        self.streams.insert(stream, (correlation_id.clone(), id));
+        let entry = Entry {
             id,
             key,
             request,
@@ -467,195 +469,198 @@
             until: f64::INFINITY,
             parked: None,
         };
-        self.records.insert(name, record);
+        self.entries.insert(correlation_id, entry);
     }
 
-    fn conflict(&mut self, stream: StreamId, why: Conflict, desk: &mut Desk) {
+    fn conflict(&mut self, stream: StreamId, why: Conflict, cx: &mut Context) {
         self.counts.conflicts += 1;
-        desk.reply(stream, Verdict::Conflict(why));
+        cx.reply(stream, Verdict::Conflict(why));
     }
 
     /// A stream takes up the attempt that is on offer, unless its server takes nothing new by now.
-    fn take_up(&mut self, name: &Name, stream: StreamId, desk: &mut Desk) {
-        let Some(record) = self.records.get_mut(name) else { return };
-        let State::Offered(grant) = &record.state else { return };
+    fn take_up(&mut self, name: &CorrelationId, stream: StreamId, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(name) else { return };
+        let State::Offered(grant) = &entry.state else { return };
         let grant = grant.clone();
-        record.until = f64::INFINITY;
-        self.streams.insert(stream, (name.clone(), record.id));
-        if desk.engine.takes(&grant.server) {
-            record.state = State::Out(stream, grant.attempt);
-            desk.reply(stream, Verdict::Go(grant));
+        entry.until = f64::INFINITY;
+        self.streams.insert(stream, (name.clone(), entry.id));
+        if cx.engine.accepts_requests(&grant.server) {
+            entry.state = State::Out(stream, grant.attempt);
+            cx.reply(stream, Verdict::Admit(grant));
         } else {
-            record.state = State::Held(Some((stream, Asked::Presented)));
-            desk.tell(Told::ended(record.id, grant.attempt, Outcome::NotSent));
+            entry.state = State::Held(Some((stream, Asked::Presented)));
+            cx.tell(EngineInput::attempt_ended(entry.id, grant.attempt, Outcome::NotSent));
         }
     }
 
-    fn responded(&mut self, stream: StreamId, outcome: Outcome, desk: &mut Desk) {
+    fn responded(&mut self, stream: StreamId, outcome: Outcome, cx: &mut Context) {
         let Some((name, id)) = self.streams.get(&stream).cloned() else { return };
-        match self.records.get_mut(&name).filter(|r| r.id == id) {
-            Some(record) => match record.state {
+        match self.entries.get_mut(&name).filter(|r| r.id == id) {
+            Some(entry) => match entry.state {
                 State::Out(carrier, attempt) if carrier == stream => {
-                    record.state = State::Held(Some((stream, Asked::Responded)));
-                    desk.tell(Told::ended(record.id, attempt, outcome));
+                    entry.state = State::Held(Some((stream, Asked::Responded)));
+                    cx.tell(EngineInput::attempt_ended(entry.id, attempt, outcome));
                 }
                 // Its attempt's time was up; the verdict to come is told in answer to this.
                 State::Held(Some((holder, Asked::Nothing))) if holder == stream => {
-                    record.state = State::Held(Some((stream, Asked::Responded)));
+                    entry.state = State::Held(Some((stream, Asked::Responded)));
                 }
                 // The module has given the request up meanwhile: its verdict stands, whatever came later.
                 State::Over(answer) => {
                     self.streams.remove(&stream);
-                    desk.reply(stream, verdict(answer));
+                    cx.reply(stream, verdict(answer));
                 }
                 _ => {}
             },
             // Its verdict stands no more, and its name may be another's: what came late is promised nothing.
             None => {
                 self.streams.remove(&stream);
-                desk.reply(stream, Verdict::Fail);
+                cx.reply(stream, Verdict::Fail);
             }
         }
     }
 
-    fn unreported(&mut self, stream: StreamId, desk: &mut Desk) {
+    fn unreported(&mut self, stream: StreamId, cx: &mut Context) {
         let Some((name, id)) = self.streams.get(&stream).cloned() else { return };
-        let Some(record) = self.records.get(&name).filter(|r| r.id == id) else { return };
-        let State::Out(carrier, attempt) = record.state else { return };
+        let Some(entry) = self.entries.get(&name).filter(|r| r.id == id) else { return };
+        let State::Out(carrier, attempt) = entry.state else { return };
         if carrier != stream {
             return;
         }
         self.streams.remove(&stream);
         self.counts.unreported += 1;
-        self.blind.push_back((desk.now + self.bounds.assumed_ms, id, attempt));
-        desk.tell(Told::Gone { id });
-        self.over(&name, Answer::Served, desk.now);
+        self.blind.push_back((cx.now + self.bounds.unreported_attempt_ms, id, attempt));
+        cx.tell(EngineInput::ClientDisconnected { id });
+        self.over(&name, Answer::Served, cx.now);
     }
 
-    fn closed(&mut self, stream: StreamId, desk: &mut Desk) {
+    fn closed(&mut self, stream: StreamId, cx: &mut Context) {
         let Some((name, id)) = self.streams.remove(&stream) else { return };
-        let Some(record) = self.records.get_mut(&name).filter(|r| r.id == id) else { return };
-        if record.parked.is_some_and(|(parked, _)| parked == stream) {
-            record.parked = None;
+        let Some(entry) = self.entries.get_mut(&name).filter(|r| r.id == id) else { return };
+        if entry.parked.is_some_and(|(parked, _)| parked == stream) {
+            entry.parked = None;
             return;
         }
-        match record.state {
+        match entry.state {
             // Nothing has gone out: nothing remains, unless the next presentation is here already.
             State::Held(Some((holder, _)))
-                if holder == stream && record.first_go.is_none() && record.parked.is_none() =>
+                if holder == stream && entry.first_go.is_none() && entry.parked.is_none() =>
             {
-                let id = record.id;
-                desk.tell(Told::Gone { id });
+                let id = entry.id;
+                cx.tell(EngineInput::ClientDisconnected { id });
                 self.forget(&name);
             }
-            State::Held(Some((holder, _))) if holder == stream => self.orphan(&name, desk),
+            State::Held(Some((holder, _))) if holder == stream => self.orphan(&name, cx),
             State::Out(carrier, attempt) if carrier == stream => {
                 self.counts.unreported += 1;
-                let id = record.id;
-                self.orphan(&name, desk);
+                let id = entry.id;
+                self.orphan(&name, cx);
                 // It may have run. Most often the client has left, which says nothing against the server.
-                desk.tell(Told::ended(id, attempt, Outcome::Cancelled));
+                cx.tell(EngineInput::attempt_ended(id, attempt, Outcome::Cancelled));
             }
             _ => {}
         }
     }
 
     /// The stream of a request has ended after an attempt: the next presentation may be on its way.
-    fn orphan(&mut self, name: &Name, desk: &mut Desk) {
-        let Some(record) = self.records.get_mut(name) else { return };
-        if let Some((stream, _)) = record.parked.take() {
-            record.count(None);
-            record.state = State::Held(Some((stream, Asked::Presented)));
+    fn orphan(&mut self, name: &CorrelationId, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(name) else { return };
+        if let Some((stream, _)) = entry.parked.take() {
+            entry.count(None);
+            entry.state = State::Held(Some((stream, Asked::Presented)));
             return;
         }
-        record.state = State::Held(None);
+        entry.state = State::Held(None);
         // Where proxies do not present again, the client has left.
-        if self.bounds.retries != Retries::Presented {
-            let id = record.id;
-            desk.tell(Told::Gone { id });
-            self.over(name, Answer::Failed, desk.now);
+        if self.bounds.retry_mode != RetryMode::NewStream {
+            let id = entry.id;
+            cx.tell(EngineInput::ClientDisconnected { id });
+            self.over(name, Answer::Failed, cx.now);
             return;
         }
-        record.until = (desk.now + self.bounds.again_ms).min(record.deadline);
-        self.timers.push(record.until, name.clone());
+        entry.until = (cx.now + self.bounds.next_presentation_timeout_ms).min(entry.deadline);
+        self.timers.push(entry.until, name.clone());
     }
 
-    fn work(&mut self, desk: &mut Desk) {
-        while let Some(output) = desk.queue.pop_front() {
+    fn work(&mut self, cx: &mut Context) {
+        while let Some(output) = cx.queue.pop_front() {
             let (Output::Send { id, .. } | Output::Stop { id, .. } | Output::Answer { id, .. }) = &output
             else {
-                desk.out.push(Out::Engine(output));
+                cx.out.push(Action::Engine(output));
                 continue;
             };
             let Some(name) = self.ids.get(id).cloned() else {
                 // One that was forgotten owes the engine nothing; all others belong to another front.
-                desk.out.push(Out::Engine(output));
+                cx.out.push(Action::Engine(output));
                 continue;
             };
             match output {
-                Output::Send { attempt, server, end, .. } => {
-                    self.send(&name, Grant { server, end, attempt }, desk);
+                Output::Send { attempt, server, deadline, .. } => {
+                    self.send(&name, Grant { server, deadline, attempt }, cx);
                 }
-                Output::Stop { attempt, how, .. } => self.stop(&name, attempt, how, desk),
-                Output::Answer { answer, .. } => self.answer(&name, answer, desk),
+                Output::Stop { attempt, outcome, .. } => self.stop(&name, attempt, outcome, cx),
+                Output::Answer { answer, .. } => self.answer(&name, answer, cx),
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, name: &Name, grant: Grant, desk: &mut Desk) {
-        let Some(record) = self.records.get_mut(name) else { return };
-        if record.first_go.is_some() {
+    fn send(&mut self, name: &CorrelationId, grant: Grant, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(name) else { return };
+        if entry.first_go.is_some() {
             self.counts.again += 1;
         } else {
             self.counts.let_in += 1;
-            record.first_go = Some(desk.now);
+            entry.first_go = Some(cx.now);
         }
-        match record.state {
+        match entry.state {
             State::Held(Some((stream, Asked::Presented))) => {
-                record.state = State::Out(stream, grant.attempt);
-                desk.reply(stream, Verdict::Go(grant));
+                entry.state = State::Out(stream, grant.attempt);
+                cx.reply(stream, Verdict::Admit(grant));
             }
-            State::Held(Some((stream, Asked::Responded))) if self.bounds.retries == Retries::Looped => {
-                record.state = State::Out(stream, grant.attempt);
-                desk.reply(stream, Verdict::Retry(grant));
+            State::Held(Some((stream, Asked::Responded)))
+                if self.bounds.retry_mode == RetryMode::SameStream =>
+            {
+                entry.state = State::Out(stream, grant.attempt);
+                cx.reply(stream, Verdict::Retry(grant));
             }
             State::Held(holder) => {
                 let asked = holder.filter(|(_, asked)| *asked == Asked::Responded);
-                if self.bounds.retries == Retries::None {
-                    let input = Told::ended(record.id, grant.attempt, Outcome::NotSent);
-                    desk.tell(input);
+                if self.bounds.retry_mode == RetryMode::None {
+                    let input = EngineInput::attempt_ended(entry.id, grant.attempt, Outcome::NotSent);
+                    cx.tell(input);
                     return;
                 }
                 // An offer outlives neither the request nor the time in which servers drop a repeat.
-                let class = &self.classes[record.request.class];
-                let window = match (class.effect, record.first_go) {
+                let class = &self.classes[entry.request.class];
+                let window = match (class.effect, entry.first_go) {
                     (Effect::Keyed, Some(first)) => first + class.window_ms,
                     _ => f64::INFINITY,
                 };
-                record.until = (desk.now + self.bounds.again_ms).min(record.deadline).min(window);
-                self.timers.push(record.until, name.clone());
-                record.state = State::Offered(grant.clone());
+                entry.until =
+                    (cx.now + self.bounds.next_presentation_timeout_ms).min(entry.deadline).min(window);
+                self.timers.push(entry.until, name.clone());
+                entry.state = State::Offered(grant.clone());
                 if let Some((stream, _)) = asked {
                     self.streams.remove(&stream);
-                    desk.reply(stream, Verdict::Retry(grant));
+                    cx.reply(stream, Verdict::Retry(grant));
                 }
-                if let Some((stream, _)) = record.parked.take() {
-                    record.count(None);
-                    self.take_up(name, stream, desk);
+                if let Some((stream, _)) = entry.parked.take() {
+                    entry.count(None);
+                    self.take_up(name, stream, cx);
                 }
             }
             State::Out(..) | State::Offered(_) | State::Over(_) => {}
         }
     }
 
-    fn stop(&mut self, name: &Name, attempt: u32, how: Outcome, desk: &mut Desk) {
-        let Some(record) = self.records.get_mut(name) else { return };
-        match (&record.state, how) {
+    fn stop(&mut self, name: &CorrelationId, attempt: u32, outcome: Outcome, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(name) else { return };
+        match (&entry.state, outcome) {
             // Nobody has reported in time: what the attempt holds comes free. The proxy was told the limit.
             (State::Out(stream, out), Outcome::TimedOut) if *out == attempt => {
-                record.state = State::Held(Some((*stream, Asked::Nothing)));
-                desk.tell(Told::ended(record.id, attempt, how));
+                entry.state = State::Held(Some((*stream, Asked::Nothing)));
+                cx.tell(EngineInput::attempt_ended(entry.id, attempt, outcome));
             }
             // A proxy cannot be made to leave a server and go to another: the attempt stays out until it reports.
             // Where the request is over, the final answer that follows ends the attempt.
@@ -663,116 +668,116 @@
         }
     }
 
-    fn answer(&mut self, name: &Name, answer: Answer, desk: &mut Desk) {
-        let Some(record) = self.records.get_mut(name) else { return };
+    fn answer(&mut self, name: &CorrelationId, answer: Answer, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(name) else { return };
         match answer {
             Answer::Served => self.counts.served += 1,
             Answer::Refused { .. } => self.counts.refused += 1,
             Answer::Failed => self.counts.failed += 1,
         }
-        let id = record.id;
-        match &record.state {
-            State::Held(Some((_, Asked::Nothing))) if !self.bounds.push => {}
+        let id = entry.id;
+        match &entry.state {
+            State::Held(Some((_, Asked::Nothing))) if !self.bounds.push_final_answers => {}
             State::Held(Some((stream, asked))) => {
                 let (stream, asked) = (*stream, *asked);
                 self.streams.remove(&stream);
                 let verdict = match (answer, asked) {
-                    (Answer::Served, Asked::Responded) => Verdict::Pass,
+                    (Answer::Served, Asked::Responded) => Verdict::PassThrough,
                     _ => verdict(answer),
                 };
-                desk.reply(stream, verdict);
+                cx.reply(stream, verdict);
             }
             State::Out(stream, attempt) => {
                 let (stream, attempt) = (*stream, *attempt);
-                if self.bounds.push {
+                if self.bounds.push_final_answers {
                     self.streams.remove(&stream);
-                    desk.reply(stream, verdict(answer));
+                    cx.reply(stream, verdict(answer));
                 }
-                desk.tell(Told::ended(id, attempt, Outcome::Cancelled));
+                cx.tell(EngineInput::attempt_ended(id, attempt, Outcome::Cancelled));
             }
             State::Offered(grant) => {
-                let input = Told::ended(id, grant.attempt, Outcome::NotSent);
-                desk.tell(input);
+                let input = EngineInput::attempt_ended(id, grant.attempt, Outcome::NotSent);
+                cx.tell(input);
             }
             State::Held(None) | State::Over(_) => {}
         }
-        if let Some((stream, _)) = self.records.get_mut(name).and_then(|r| r.parked.take()) {
+        if let Some((stream, _)) = self.entries.get_mut(name).and_then(|r| r.parked.take()) {
             self.streams.remove(&stream);
-            desk.reply(stream, verdict(answer));
+            cx.reply(stream, verdict(answer));
         }
-        self.over(name, answer, desk.now);
+        self.over(name, answer, cx.now);
     }
 
     /// The verdict stands from now on, for as long as the client could have waited.
-    fn over(&mut self, name: &Name, answer: Answer, now: Millis) {
-        let Some(record) = self.records.get_mut(name) else { return };
-        record.state = State::Over(answer);
-        record.until = record.deadline.max(now);
-        self.timers.push(record.until, name.clone());
-        self.ids.remove(&record.id);
-        self.standing.push_back((name.clone(), record.id));
+    fn over(&mut self, name: &CorrelationId, answer: Answer, now: Millis) {
+        let Some(entry) = self.entries.get_mut(name) else { return };
+        entry.state = State::Over(answer);
+        entry.until = entry.deadline.max(now);
+        self.timers.push(entry.until, name.clone());
+        self.ids.remove(&entry.id);
+        self.standing.push_back((name.clone(), entry.id));
         self.open -= 1;
         self.over += 1;
-        while self.over > self.bounds.most_standing {
+        while self.over > self.bounds.max_standing_verdicts {
             let Some((oldest, id)) = self.standing.pop_front() else { break };
-            if self.records.get(&oldest).is_some_and(|r| r.id == id) {
+            if self.entries.get(&oldest).is_some_and(|r| r.id == id) {
                 self.forget(&oldest);
             }
         }
     }
 
-    fn forget(&mut self, name: &Name) {
-        let Some(record) = self.records.remove(name) else { return };
-        if matches!(record.state, State::Over(_)) {
+    fn forget(&mut self, name: &CorrelationId) {
+        let Some(entry) = self.entries.remove(name) else { return };
+        if matches!(entry.state, State::Over(_)) {
             self.over -= 1;
         } else {
-            self.ids.remove(&record.id);
+            self.ids.remove(&entry.id);
             self.open -= 1;
         }
         // What was dropped before its turn leaves its place behind.
         if self.standing.len() > 2 * self.over.max(64) {
-            let records = &self.records;
-            self.standing.retain(|(n, id)| records.get(n).is_some_and(|r| r.id == *id));
+            let entries = &self.entries;
+            self.standing.retain(|(n, id)| entries.get(n).is_some_and(|r| r.id == *id));
         }
     }
 
-    fn due(&mut self, desk: &mut Desk) {
-        while let Some((_, id, attempt)) = self.blind.front().copied().filter(|b| b.0 <= desk.now) {
+    fn due(&mut self, cx: &mut Context) {
+        while let Some((_, id, attempt)) = self.blind.front().copied().filter(|b| b.0 <= cx.now) {
             self.blind.pop_front();
             // Says nothing of the server, for nothing is known.
-            desk.tell(Told::ended(id, attempt, Outcome::NotSent));
+            cx.tell(EngineInput::attempt_ended(id, attempt, Outcome::NotSent));
         }
-        while let Some(name) = self.timers.pop(desk.now) {
-            self.look(&name, desk);
-            self.work(desk);
+        while let Some(name) = self.timers.pop(cx.now) {
+            self.look(&name, cx);
+            self.work(cx);
         }
     }
 
     /// Ends what has waited for long enough.
-    fn look(&mut self, name: &Name, desk: &mut Desk) {
-        let Some(record) = self.records.get_mut(name) else { return };
-        if let Some((stream, _)) = record.parked.filter(|(_, until)| *until <= desk.now) {
-            record.parked = None;
+    fn look(&mut self, name: &CorrelationId, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(name) else { return };
+        if let Some((stream, _)) = entry.parked.filter(|(_, until)| *until <= cx.now) {
+            entry.parked = None;
             self.streams.remove(&stream);
             self.counts.conflicts += 1;
-            desk.reply(stream, Verdict::Conflict(Conflict::Open));
+            cx.reply(stream, Verdict::Conflict(Conflict::Open));
         }
-        if record.until > desk.now {
+        if entry.until > cx.now {
             return;
         }
-        let id = record.id;
-        match &record.state {
+        let id = entry.id;
+        match &entry.state {
             State::Over(_) => self.forget(name),
             // Nobody has come for it.
             State::Offered(grant) => {
                 let attempt = grant.attempt;
-                self.over(name, Answer::Failed, desk.now);
-                desk.tell(Told::Gone { id });
-                desk.tell(Told::ended(id, attempt, Outcome::NotSent));
+                self.over(name, Answer::Failed, cx.now);
+                cx.tell(EngineInput::ClientDisconnected { id });
+                cx.tell(EngineInput::attempt_ended(id, attempt, Outcome::NotSent));
             }
             State::Held(None) => {
-                self.over(name, Answer::Failed, desk.now);
-                desk.tell(Told::Gone { id });
+                self.over(name, Answer::Failed, cx.now);
+                cx.tell(EngineInput::ClientDisconnected { id });
             }
             State::Held(Some(_)) | State::Out(..) => {}
         }
--- a/crates/external/tests/orders.rs
+++ b/crates/external/tests/orders.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use fawnhill::{Condition, Outcome};
-use marldeal_engine::{Engine, Input as Told, Name};
+use marldeal_engine::{CorrelationId, Engine, Input as EngineInput};
 use marldeal_external::*;
 use proptest::prelude::*;
 
@@ -55,7 +55,7 @@
 
 struct World {
     engine: Engine,
-    external: External,
+    external: ExternalProcessor,
     looped: bool,
     now: f64,
     tries: BTreeMap<u8, Try>,
@@ -66,20 +66,20 @@
 }
 
 impl World {
-    fn new(bounds: Bounds) -> World {
+    fn new(bounds: ProcessorConfig) -> World {
         let mut settings = settings(1, 0);
         // A store that hardly fills: first attempts are bounded by what it holds.
         settings.plans[SMALL].rate = 0.001;
         settings.plans[SMALL].burst = 8.0;
         settings.plans[MILL] = settings.plans[FREE].clone();
-        let external = External::new(bounds, &settings);
+        let external = ExternalProcessor::new(bounds, &settings);
         let mut engine = Engine::new(settings, 3, 0.0).expect("good settings");
         let entries = (1..=3).map(|n| entry(n, Condition::Serving)).collect();
-        engine.handle(0.0, Told::Servers { whole: true, entries }, &mut Vec::new());
+        engine.handle(0.0, EngineInput::Servers { whole: true, entries }, &mut Vec::new());
         World {
             engine,
             external,
-            looped: bounds.retries == Retries::Looped,
+            looped: bounds.retry_mode == RetryMode::SameStream,
             now: 0.0,
             tries: BTreeMap::new(),
             live: BTreeMap::new(),
@@ -95,7 +95,7 @@
     }
 
     /// Gives the engine something of its own, and its outputs to the part that owns them, as a host does.
-    fn engine(&mut self, input: Told) {
+    fn engine(&mut self, input: EngineInput) {
         let mut outputs = Vec::new();
         self.engine.handle(self.now, input, &mut outputs);
         for output in outputs {
@@ -105,17 +105,20 @@
         }
     }
 
-    fn look(&mut self, out: Vec<Out>) {
+    fn look(&mut self, out: Vec<Action>) {
         for item in out {
-            let Out::Reply { stream, verdict } = item else { continue };
+            let Action::Reply { stream, verdict } = item else { continue };
             assert!(!self.ended.contains(&stream), "told {verdict:?} after the last word");
             let name = self.live[&stream];
             let try_ = self.tries.get_mut(&name).expect("presented");
             match &verdict {
-                Verdict::Go(grant) | Verdict::Retry(grant) => {
-                    let carried = matches!(verdict, Verdict::Go(_)) || self.looped;
-                    assert!(self.engine.takes(&grant.server), "granted at a server that takes nothing");
-                    assert!(grant.end <= try_.until, "an attempt outlives the request");
+                Verdict::Admit(grant) | Verdict::Retry(grant) => {
+                    let carried = matches!(verdict, Verdict::Admit(_)) || self.looped;
+                    assert!(
+                        self.engine.accepts_requests(&grant.server),
+                        "granted at a server that takes nothing"
+                    );
+                    assert!(grant.deadline <= try_.until, "an attempt outlives the request");
                     match try_.first_go {
                         None => {
                             try_.first_go = Some(self.now);
@@ -137,13 +140,13 @@
                     let unknown = try_.may_have_run || try_.out.is_some();
                     assert!(try_.class == SAFE || !unknown, "refused though it may have run");
                 }
-                Verdict::Pass => {
+                Verdict::PassThrough => {
                     assert!(!std::mem::replace(&mut try_.served, true), "served twice");
                 }
                 Verdict::Fail | Verdict::Conflict(_) | Verdict::Busy => {}
             }
             let goes_on =
-                matches!(verdict, Verdict::Go(_)) || (self.looped && matches!(verdict, Verdict::Retry(_)));
+                matches!(verdict, Verdict::Admit(_)) || (self.looped && matches!(verdict, Verdict::Retry(_)));
             if !goes_on {
                 self.ended.insert(stream);
                 if try_.out == Some(stream) {
@@ -163,8 +166,8 @@
         let until = self.now + ms;
         while let Some(at) = self.next_due().filter(|at| *at <= until) {
             self.now = at.max(self.now);
-            self.engine(Told::Due);
-            self.give(Input::Due);
+            self.engine(EngineInput::TimerExpired);
+            self.give(Input::TimerExpired);
         }
         self.now = until;
     }
@@ -191,9 +194,9 @@
                 if known.is_none() {
                     request.budget_ms = 3000.0;
                 }
-                let name: Name = [name].as_slice().into();
+                let correlation_id: CorrelationId = [name].as_slice().into();
                 let attempt = (attempt > 0).then_some(u32::from(attempt));
-                let presentation = Presentation { name, key, attempt, request };
+                let presentation = Presentation { correlation_id, key, attempt, request };
                 self.give(Input::Presented { stream: number, presentation });
             }
             Step::Respond(which, outcome) => {
@@ -216,7 +219,7 @@
             }
             Step::Roster(n, up) => {
                 let condition = if up { Condition::Serving } else { Condition::Draining };
-                self.engine(Told::Servers { whole: false, entries: [entry(n, condition)].into() });
+                self.engine(EngineInput::Servers { whole: false, entries: [entry(n, condition)].into() });
             }
             Step::Wait(ms) => self.wait(f64::from(ms)),
         }
@@ -233,32 +236,41 @@
     }
 }
 
-fn play(bounds: Bounds, steps: Vec<Step>) {
+fn play(bounds: ProcessorConfig, steps: Vec<Step>) {
     let mut world = World::new(bounds);
     for (number, step) in (1u64..).zip(steps) {
         world.step(number, step);
-        assert!(world.external.open() <= bounds.most_open);
-        assert!(world.external.standing() <= bounds.most_standing);
+        assert!(world.external.open_requests() <= bounds.max_open_requests);
+        assert!(world.external.standing_verdicts() <= bounds.max_standing_verdicts);
     }
     // Whoever reports nothing, all is over when the time is.
     world.wait(20_000.0);
-    assert_eq!((world.engine.open(), world.engine.attempts_out()), (0, 0), "open or out at the end");
-    assert_eq!((world.external.open(), world.external.standing()), (0, 0), "records at the end");
+    assert_eq!(
+        (world.engine.open_requests(), world.engine.outstanding_attempts()),
+        (0, 0),
+        "open or out at the end"
+    );
+    assert_eq!(
+        (world.external.open_requests(), world.external.standing_verdicts()),
+        (0, 0),
+        "records at the end"
+    );
     let open: Vec<StreamId> = world.live.keys().copied().filter(|s| !world.ended.contains(s)).collect();
-    assert!(open.is_empty() || !bounds.push, "streams left without a last word: {open:?}");
+    assert!(open.is_empty() || !bounds.push_final_answers, "streams left without a last word: {open:?}");
     open.into_iter().for_each(|s| world.close(s));
-    assert_eq!(world.external.streams(), 0);
+    assert_eq!(world.external.open_streams(), 0);
 }
 
-fn bounds() -> impl Strategy<Value = Bounds> {
-    let retries = prop_oneof![Just(Retries::Presented), Just(Retries::Looped), Just(Retries::None)];
-    (retries, any::<bool>(), 2usize..40, 100usize..200).prop_map(
-        |(retries, push, most_open, most_standing)| Bounds {
-            most_open,
-            most_standing,
-            retries,
-            push,
-            ..Bounds::default()
+fn bounds() -> impl Strategy<Value = ProcessorConfig> {
+    let retry_mode =
+        prop_oneof![Just(RetryMode::NewStream), Just(RetryMode::SameStream), Just(RetryMode::None)];
+    (retry_mode, any::<bool>(), 2usize..40, 100usize..200).prop_map(
+        |(retry_mode, push_final_answers, max_open_requests, max_standing_verdicts)| ProcessorConfig {
+            max_open_requests,
+            max_standing_verdicts,
+            retry_mode,
+            push_final_answers,
+            ..ProcessorConfig::default()
         },
     )
 }
@@ -274,7 +286,7 @@
     /// However a firm's requests are presented, its store of 8 units lets 8 tries of one unit in, and no more.
     #[test]
     fn units_are_taken_once_a_try(presentations in prop::collection::vec((0u8..30, 0u8..4, 0u8..8), 1..80)) {
-        let mut world = World::new(Bounds { again_ms: 50_000.0, ..Bounds::default() });
+        let mut world = World::new(ProcessorConfig { next_presentation_timeout_ms: 50_000.0, ..ProcessorConfig::default() });
         for (number, (name, attempt, outcome)) in (1u64..).zip(presentations) {
             world.step(number, Step::Present { name, class: SAFE, plan: SMALL, attempt });
             world.step(number, Step::Respond(number as usize, outcome));
--- a/crates/external/tests/same.rs
+++ b/crates/external/tests/same.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use fawnhill::{Condition, Outcome, Request};
-use marldeal_engine::{Answer, Engine, Input as Told, Output};
+use marldeal_engine::{Answer, Engine, Input as EngineInput, Output};
 use marldeal_external::*;
 use marldeal_standin::traffic::{generate, sample_traffic, Call};
 
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Mode {
     Direct,
-    External(Retries),
+    External(RetryMode),
 }
 
 #[derive(Debug)]
@@ -68,7 +68,7 @@
     seed: u64,
     calls: &'a [Call],
     engines: Vec<Engine>,
-    externals: Vec<External>,
+    externals: Vec<ExternalProcessor>,
     moments: BinaryHeap<Due>,
     number: u64,
     letters: u64,
@@ -115,10 +115,10 @@
         let limiter = self.calls[call].limiter;
         match self.mode {
             Mode::Direct => {
-                let name = self.calls[call].name.as_bytes().into();
+                let correlation_id = self.calls[call].name.as_bytes().into();
                 let request = self.request(call);
                 let mut outputs = Vec::new();
-                let input = Told::Request { name, request };
+                let input = EngineInput::Request { correlation_id, request };
                 let id = self.engines[limiter].handle(self.now, input, &mut outputs).expect("a new name");
                 self.owners.insert((limiter, id), call);
                 outputs.into_iter().for_each(|output| self.perform(limiter, output));
@@ -129,16 +129,16 @@
 
     fn presents(&mut self, call: usize, attempt: u32) {
         let limiter = self.calls[call].limiter;
-        let name = self.calls[call].name.as_bytes().into();
+        let correlation_id = self.calls[call].name.as_bytes().into();
         let key = self.calls[call].kind.keyed.then(|| self.calls[call].name.as_bytes().into());
         let request = self.request(call);
         let stream = call as u64 * 10 + u64::from(attempt);
         self.streams.insert(stream, (call, attempt));
-        let presentation = Presentation { name, key, attempt: Some(attempt), request };
+        let presentation = Presentation { correlation_id, key, attempt: Some(attempt), request };
         self.give(limiter, Input::Presented { stream, presentation });
     }
 
-    fn tell(&mut self, limiter: usize, input: Told) {
+    fn tell(&mut self, limiter: usize, input: EngineInput) {
         let mut outputs = Vec::new();
         self.engines[limiter].handle(self.now, input, &mut outputs);
         for output in outputs {
@@ -155,8 +155,8 @@
         self.externals[limiter].handle(self.now, input, &mut self.engines[limiter], &mut out);
         for item in out {
             match item {
-                Out::Engine(output) => self.perform(limiter, output),
-                Out::Reply { stream, verdict } => self.told(limiter, stream, verdict),
+                Action::Engine(output) => self.perform(limiter, output),
+                Action::Reply { stream, verdict } => self.told(limiter, stream, verdict),
             }
         }
     }
@@ -164,12 +164,12 @@
     fn told(&mut self, limiter: usize, stream: StreamId, verdict: Verdict) {
         let (call, attempt) = self.streams[&stream];
         match verdict {
-            Verdict::Go(grant) => self.sent(limiter, 0, grant.attempt, call, stream),
-            Verdict::Retry(grant) if self.mode == Mode::External(Retries::Looped) => {
+            Verdict::Admit(grant) => self.sent(limiter, 0, grant.attempt, call, stream),
+            Verdict::Retry(grant) if self.mode == Mode::External(RetryMode::SameStream) => {
                 self.sent(limiter, 0, grant.attempt, call, stream);
             }
             Verdict::Retry(_) => self.later(0.0, Moment::Presents(call, attempt + 1)),
-            Verdict::Pass => self.done(call, "served"),
+            Verdict::PassThrough => self.done(call, "served"),
             Verdict::Refuse { .. } => self.done(call, "refused"),
             Verdict::Fail => self.done(call, "failed"),
             other => panic!("{other:?}"),
@@ -182,9 +182,9 @@
                 self.out.insert((limiter, id), attempt);
                 self.sent(limiter, id, attempt, self.owners[&(limiter, id)], 0);
             }
-            Output::Stop { id, attempt, how } => {
+            Output::Stop { id, attempt, outcome } => {
                 let was_out = self.out.remove(&(limiter, id)).is_some();
-                let ended = Told::ended(id, attempt, how);
+                let ended = EngineInput::attempt_ended(id, attempt, outcome);
                 was_out.then(|| self.tell(limiter, ended));
             }
             Output::Answer { id, answer } => {
@@ -195,7 +195,7 @@
                 };
                 self.done(self.owners[&(limiter, id)], what);
             }
-            Output::Tell { to, body } => {
+            Output::SendMessage { to, body } => {
                 for peer in (0..LIMITERS as usize).filter(|p| *p != limiter) {
                     if to.is_none_or(|to| to as usize == peer) {
                         self.letters += 1;
@@ -233,7 +233,7 @@
             Mode::Direct => {
                 if self.out.get(&(limiter, id)) == Some(&attempt) {
                     self.out.remove(&(limiter, id));
-                    self.tell(limiter, Told::ended(id, attempt, outcome));
+                    self.tell(limiter, EngineInput::attempt_ended(id, attempt, outcome));
                 }
             }
             Mode::External(_) => self.give(limiter, Input::Responded { stream, outcome }),
@@ -250,7 +250,7 @@
     fn run(mut self) -> Figures {
         for limiter in 0..LIMITERS as usize {
             let entries = (1..=6).map(|n| entry(n, Condition::Serving)).collect();
-            self.tell(limiter, Told::Servers { whole: true, entries });
+            self.tell(limiter, EngineInput::Servers { whole: true, entries });
         }
         for (call, of) in self.calls.iter().enumerate() {
             self.later(of.at_ms, Moment::Arrives(call));
@@ -270,8 +270,8 @@
                     break;
                 }
                 self.now = at.max(self.now);
-                self.tell(limiter, Told::Due);
-                self.give(limiter, Input::Due);
+                self.tell(limiter, EngineInput::TimerExpired);
+                self.give(limiter, Input::TimerExpired);
                 continue;
             }
             let Some(Due(at, _, moment)) = self.moments.pop() else { break };
@@ -280,25 +280,27 @@
                 Moment::Arrives(call) => self.arrives(call),
                 Moment::Ends(l, id, attempt, call, stream) => self.ends(l, id, attempt, call, stream),
                 Moment::Presents(call, attempt) => self.presents(call, attempt),
-                Moment::Hears(limiter, from, body) => self.tell(limiter, Told::Heard { from, body }),
+                Moment::Hears(limiter, from, body) => {
+                    self.tell(limiter, EngineInput::MessageReceived { from, body })
+                }
             }
         }
-        assert!(self.engines.iter().all(|e| e.open() == 0 && e.attempts_out() == 0));
-        assert!(self.externals.iter().all(|e| e.open() == 0));
+        assert!(self.engines.iter().all(|e| e.open_requests() == 0 && e.outstanding_attempts() == 0));
+        assert!(self.externals.iter().all(|e| e.open_requests() == 0));
         self.figures
     }
 }
 
 fn play(mode: Mode, seed: u64, calls: &[Call]) -> Figures {
-    let retries = if let Mode::External(retries) = mode { retries } else { Retries::None };
+    let retry_mode = if let Mode::External(retries) = mode { retries } else { RetryMode::None };
     let engine = |l| Engine::new(settings(LIMITERS, l), seed ^ u64::from(l), 0.0).expect("good settings");
-    let bounds = Bounds { retries, ..Bounds::default() };
+    let bounds = ProcessorConfig { retry_mode, ..ProcessorConfig::default() };
     World {
         mode,
         seed,
         calls,
         engines: (0..LIMITERS).map(engine).collect(),
-        externals: (0..LIMITERS).map(|l| External::new(bounds, &settings(LIMITERS, l))).collect(),
+        externals: (0..LIMITERS).map(|l| ExternalProcessor::new(bounds, &settings(LIMITERS, l))).collect(),
         moments: BinaryHeap::new(),
         number: 0,
         letters: 0,
@@ -326,7 +328,7 @@
         assert!(direct.refused.get(&301).copied().unwrap_or(0) > 500, "seed {seed}: {:?}", direct.refused);
         assert!(direct.refused.get(&202).copied().unwrap_or(0) > 50, "seed {seed}: {:?}", direct.refused);
         assert!(direct.attempts > direct.let_in.values().sum::<u32>() + 20, "seed {seed}");
-        for retries in [Retries::Presented, Retries::Looped] {
+        for retries in [RetryMode::NewStream, RetryMode::SameStream] {
             let external = play(Mode::External(retries), seed, &calls);
             assert_eq!(direct, external, "seed {seed}, {retries:?}");
         }
--- a/crates/rehearsal/src/world/clients.rs
+++ b/crates/rehearsal/src/world/clients.rs
@@ -85,13 +85,13 @@
             first: firm.first,
         };
         let proxied = firm.proxied;
-        let name: marldeal_engine::Name = sent.id.to_be_bytes().as_slice().into();
+        let correlation_id: marldeal_engine::CorrelationId = sent.id.to_be_bytes().as_slice().into();
         self.oracle.taken(sent.id, sent.firm, sent.class, sent.limiter, self.now + sent.budget_ms);
         self.recorder.taken(self.now, sent.limiter);
         if proxied {
             let keyed = self.scenario.classes[sent.class].repeats == Repeats::Keyed;
             let key = keyed.then(|| sent.job.to_be_bytes().as_slice().into());
-            let presentation = Presentation { name, key, attempt: Some(1), request };
+            let presentation = Presentation { correlation_id, key, attempt: Some(1), request };
             self.limiters[sent.limiter].presented.insert(sent.id);
             return self.give(sent.limiter, external::Input::Presented { stream: sent.id, presentation });
         }
@@ -99,7 +99,7 @@
         let Some(engine) = limiter.engine.as_mut() else { return };
         let mut outputs = std::mem::take(&mut self.outputs);
         let began = self.deciding.map(|_| std::time::Instant::now());
-        let id = engine.handle(self.now, Input::Request { name, request }, &mut outputs);
+        let id = engine.handle(self.now, Input::Request { correlation_id, request }, &mut outputs);
         self.took(began);
         let limiter = &mut self.limiters[sent.limiter];
         if let Some(id) = id {
@@ -116,7 +116,7 @@
         if let Some(id) = self.limiters[limiter].ids.remove(&try_id) {
             self.limiters[limiter].open.remove(&id);
             self.account.over(self.now, limiter, id, false);
-            self.tell(limiter, Input::Gone { id });
+            self.tell(limiter, Input::ClientDisconnected { id });
         }
         if self.limiters[limiter].presented.remove(&try_id) {
             self.drop_carried(limiter, try_id);
--- a/crates/rehearsal/src/world/limiters.rs
+++ b/crates/rehearsal/src/world/limiters.rs
@@ -35,16 +35,16 @@
                         key.map(|key| self.limiters[limiter].attempts.insert((id, attempt), key));
                     }
                 }
-                Output::Stop { id, attempt, how } => self.stops(limiter, id, attempt, how),
+                Output::Stop { id, attempt, outcome } => self.stops(limiter, id, attempt, outcome),
                 Output::Answer { id, answer } => self.answers(limiter, id, answer),
-                Output::Tell { to, body } => self.mails(limiter, to, &body),
+                Output::SendMessage { to, body } => self.mails(limiter, to, &body),
                 Output::CloseIdle { server } => {
                     if let Some(node) = self.by_id.get(&server).copied() {
                         self.close_idle(limiter, node);
                     }
                 }
                 // The watch is always on. Log lines are for staff at a real limiter.
-                Output::Watch | Output::FetchList | Output::Log(_) => {}
+                Output::RefreshWatch | Output::FetchServerList | Output::Log(_) => {}
             }
         }
         self.outputs = outputs;
@@ -55,7 +55,7 @@
     pub(super) fn arm(&mut self, limiter: usize) {
         let l = &mut self.limiters[limiter];
         let engine = l.engine.as_mut().and_then(Engine::next_due);
-        let external = l.external.as_mut().and_then(External::next_due);
+        let external = l.external.as_mut().and_then(ExternalProcessor::next_due);
         let next = engine.into_iter().chain(external).min_by(f64::total_cmp);
         if next != l.armed {
             l.armed = next;
@@ -102,7 +102,7 @@
         if self.post.takes_in(self.now, limiter) {
             let lines = fawnhill::spoken(&body).unwrap_or_default();
             self.account.heard(self.now, limiter, body.len(), &lines);
-            self.tell(limiter, Input::Heard { from, body });
+            self.tell(limiter, Input::MessageReceived { from, body });
         } else {
             self.recorder.messages[1] += 1;
         }
@@ -116,8 +116,8 @@
         l.epoch += 1;
         let settings = self.scenario.settings(limiter as u32);
         let seed: u64 = l.rng.random();
-        let bounds = Bounds { retries: Retries::Looped, ..Bounds::default() };
-        l.external = Some(External::new(bounds, &settings));
+        let config = ProcessorConfig { retry_mode: RetryMode::SameStream, ..ProcessorConfig::default() };
+        l.external = Some(ExternalProcessor::new(config, &settings));
         // Its settings were checked before the run.
         l.engine = Engine::new(settings, seed, self.now).ok();
         if limiter < self.scenario.limiters.prefetch as usize {
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -17,7 +17,9 @@
 
 use fawnhill::{Condition, Millis, Outcome, Request, RequestId, ServerEntry, ServerId};
 use marldeal_engine::{Answer, Engine, Input, Output};
-use marldeal_external::{self as external, Bounds, External, Grant, Out, Presentation, Retries, Verdict};
+use marldeal_external::{
+    self as external, Action, ExternalProcessor, Grant, Presentation, ProcessorConfig, RetryMode, Verdict,
+};
 use rand::RngExt;
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -108,7 +110,7 @@
     open: FxHashMap<RequestId, u64>,
     ids: FxHashMap<u64, RequestId>,
     /// What proxies present, one stream a try, and the attempt that a proxy carries for it.
-    external: Option<External>,
+    external: Option<ExternalProcessor>,
     presented: FxHashSet<u64>,
     carried: FxHashMap<u64, u64>,
     attempts: FxHashMap<(RequestId, u32), u64>,
@@ -409,8 +411,8 @@
                 let l = &self.limiters[limiter];
                 if l.epoch == epoch && l.armed.is_some_and(|armed| armed.to_bits() == at) {
                     self.limiters[limiter].armed = None;
-                    self.tell(limiter, Input::Due);
-                    self.give(limiter, external::Input::Due);
+                    self.tell(limiter, Input::TimerExpired);
+                    self.give(limiter, external::Input::TimerExpired);
                 }
             }
             Event::Roster { limiter, entries } => self.roster_heard(limiter, entries),
--- a/crates/rehearsal/src/world/proxies.rs
+++ b/crates/rehearsal/src/world/proxies.rs
@@ -10,8 +10,8 @@
         external.handle(self.now, input, engine, &mut out);
         for item in out {
             match item {
-                Out::Engine(output) => self.perform(limiter, vec![output]),
-                Out::Reply { stream, verdict } => self.proxy_told(limiter, stream, verdict),
+                Action::Engine(output) => self.perform(limiter, vec![output]),
+                Action::Reply { stream, verdict } => self.proxy_told(limiter, stream, verdict),
             }
         }
         self.arm(limiter);
@@ -19,8 +19,8 @@
 
     pub(super) fn proxy_told(&mut self, limiter: usize, try_id: u64, verdict: Verdict) {
         let answer = match verdict {
-            Verdict::Go(grant) | Verdict::Retry(grant) => return self.proxy_sends(limiter, try_id, grant),
-            Verdict::Pass => Answer::Served,
+            Verdict::Admit(grant) | Verdict::Retry(grant) => return self.proxy_sends(limiter, try_id, grant),
+            Verdict::PassThrough => Answer::Served,
             Verdict::Refuse { retry_ms } => Answer::Refused { retry_ms },
             Verdict::Busy => Answer::Refused { retry_ms: 0.0 },
             Verdict::Fail | Verdict::Conflict(_) => Answer::Failed,
@@ -35,7 +35,7 @@
     pub(super) fn proxy_sends(&mut self, limiter: usize, try_id: u64, grant: Grant) {
         if let Some(key) = self.sends(limiter, try_id, None, grant.attempt, &grant.server) {
             self.limiters[limiter].carried.insert(try_id, key);
-            self.note(grant.end, Event::GivenUp { key });
+            self.note(grant.deadline, Event::GivenUp { key });
         }
     }
 
--- a/crates/rehearsal/src/world/way.rs
+++ b/crates/rehearsal/src/world/way.rs
@@ -186,7 +186,7 @@
         match id {
             Some(id) => {
                 self.limiters[limiter].attempts.remove(&(id, attempt));
-                self.tell(limiter, Input::ended(id, attempt, outcome));
+                self.tell(limiter, Input::attempt_ended(id, attempt, outcome));
             }
             None => {
                 self.limiters[limiter].carried.remove(&try_id);
--- a/crates/rehearsal/tests/oracle.rs
+++ b/crates/rehearsal/tests/oracle.rs
@@ -38,10 +38,10 @@
     let mut count = 0;
     let tap = move |_, _, output: Output| {
         let mut done = vec![output.clone()];
-        if let Output::Send { id, attempt, server, end } = output {
+        if let Output::Send { id, attempt, server, deadline } = output {
             count += 1;
             if count == 500 {
-                done.push(Output::Send { id, attempt: attempt + 100, server, end });
+                done.push(Output::Send { id, attempt: attempt + 100, server, deadline });
             }
         }
         done
@@ -53,9 +53,9 @@
 fn to_one_node(from_s: f64) -> Tap {
     let mut first = None;
     Box::new(move |now, _, output| match output {
-        Output::Send { id, attempt, server, end } if now > BEGIN_MS + from_s * 1000.0 => {
+        Output::Send { id, attempt, server, deadline } if now > BEGIN_MS + from_s * 1000.0 => {
             let server = first.get_or_insert(server).clone();
-            vec![Output::Send { id, attempt, server, end }]
+            vec![Output::Send { id, attempt, server, deadline }]
         }
         other => vec![other],
     })
@@ -84,7 +84,8 @@
         }
         // What should be refused is sent on instead.
         Output::Answer { id, answer: Answer::Refused { .. } } => {
-            let send = known.clone().map(|server| Output::Send { id, attempt: 50, server, end: f64::MAX });
+            let send =
+                known.clone().map(|server| Output::Send { id, attempt: 50, server, deadline: f64::MAX });
             send.into_iter().chain([output]).collect()
         }
         other => vec![other],
--- a/crates/snapshot/tests/snapshot.rs
+++ b/crates/snapshot/tests/snapshot.rs
@@ -55,12 +55,12 @@
     let request =
         Request { id: 0, class: 0, plan: 0, customer, budget_ms: 3000.0, units: 1.0, spread: 1, first: 0 };
     let mut out = Vec::new();
-    let name = name.to_be_bytes().as_slice().into();
-    let id = engine.handle(now, Input::Request { name, request }, &mut out).expect("a new name");
+    let correlation_id = name.to_be_bytes().as_slice().into();
+    let id = engine.handle(now, Input::Request { correlation_id, request }, &mut out).expect("a new name");
     let sent = out.iter().any(|o| matches!(o, Output::Send { .. }));
     if sent {
         out.clear();
-        engine.handle(now + 1.0, Input::ended(id, 0, Outcome::Ok), &mut out);
+        engine.handle(now + 1.0, Input::attempt_ended(id, 0, Outcome::Ok), &mut out);
         assert!(out.contains(&Output::Answer { id, answer: Answer::Served }));
     }
     sent
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -14,7 +14,7 @@
 use fawnhill::{Condition, Effect, Outcome, Request, RequestId, ServerId};
 use hyper::header::HeaderValue;
 use marldeal_bodies::Budget;
-use marldeal_engine::ledger::Ledger;
+use marldeal_engine::counters::RequestCounters;
 use marldeal_engine::{Engine, Input, Output};
 use marldeal_external as external;
 use marldeal_lifecycle::stalls::StallDetector;
@@ -91,7 +91,7 @@
     /// What.
     pub content: Rc<Content>,
     /// When it is given up, in the module's milliseconds.
-    pub end: f64,
+    pub deadline: f64,
 }
 
 /// Carries attempts to servers.
@@ -118,7 +118,7 @@
     /// Calls it off.
     cancel: oneshot::Sender<Outcome>,
     /// It is given up then; infinite where a body goes on as it comes.
-    end: f64,
+    deadline: f64,
 }
 
 struct State {
@@ -158,7 +158,7 @@
 #[derive(Debug, Clone)]
 pub struct Figures {
     /// Requests and attempts.
-    pub ledger: Ledger,
+    pub ledger: RequestCounters,
     /// Servers in the list.
     pub discovered: usize,
     /// Of these, those that the module avoids now.
@@ -399,9 +399,9 @@
     pub fn figures(&self) -> Figures {
         let state = self.state.borrow();
         Figures {
-            ledger: state.engine.ledger().clone(),
+            ledger: state.engine.counters().clone(),
             discovered: state.addresses.len(),
-            ejected: state.engine.avoided(self.now()),
+            ejected: state.engine.ejected_servers(self.now()),
             reloads: self.reloads.get(),
             denied: self.denied.get(),
             violations: self.violations().total(),
@@ -409,8 +409,8 @@
     }
 
     /// Counts something that happens outside the engine.
-    pub fn count(&self, what: impl Fn(&mut Ledger)) {
-        what(self.state.borrow_mut().engine.ledger_mut());
+    pub fn count(&self, what: impl Fn(&mut RequestCounters)) {
+        what(self.state.borrow_mut().engine.counters_mut());
     }
 
     /// New names come so fast that the module refuses those it has never seen.
@@ -452,7 +452,7 @@
     /// A peer has told something.
     pub fn heard(self: &Rc<Self>, from: u32, body: Vec<u8>) {
         let mut state = self.state.borrow_mut();
-        self.input(&mut state, Input::Heard { from, body });
+        self.input(&mut state, Input::MessageReceived { from, body });
         self.perform(&mut state, None);
     }
 
@@ -491,7 +491,7 @@
         }
         for (entry, addr) in &news.entries {
             let (id, gone) = (&entry.server, entry.condition == Condition::Gone);
-            let took = state.engine.takes(id);
+            let took = state.engine.accepts_requests(id);
             let old =
                 if gone { state.addresses.remove(id) } else { state.addresses.insert(id.clone(), *addr) };
             let changed = match old {
@@ -527,8 +527,8 @@
         // Past that nobody is left to answer.
         request.budget_ms = request.budget_ms.min(self.life(Lifecycle::remaining_ms));
         let mut state = self.state.borrow_mut();
-        let name = content.correlation.as_bytes().into();
-        let id = self.input(&mut state, Input::Request { name, request })?;
+        let correlation_id = content.correlation.as_bytes().into();
+        let id = self.input(&mut state, Input::Request { correlation_id, request })?;
         if matches!(content.body, Payload::Piped(_)) {
             self.input(&mut state, Input::Uploading { id });
         }
@@ -589,7 +589,7 @@
     /// The client has gone, or does not read on, in the middle of its answer.
     pub fn reader_gone(self: &Rc<Self>, id: RequestId) {
         let mut state = self.state.borrow_mut();
-        self.input(&mut state, Input::Gone { id });
+        self.input(&mut state, Input::ClientDisconnected { id });
         self.perform(&mut state, None);
     }
 
@@ -606,7 +606,7 @@
     /// Where a server listens, if it takes work at this moment.
     pub fn address(&self, server: &ServerId) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        state.addresses.get(server).filter(|_| state.engine.takes(server)).copied()
+        state.addresses.get(server).filter(|_| state.engine.accepts_requests(server)).copied()
     }
 
     /// An attempt has ended; its connection is closed or back in the pool by now. An answer in time goes to
@@ -632,7 +632,7 @@
         }
         let mut state = self.state.borrow_mut();
         state.out.remove(&(id, attempt));
-        self.input(&mut state, Input::ended(id, attempt, outcome));
+        self.input(&mut state, Input::attempt_ended(id, attempt, outcome));
         self.perform(&mut state, body);
     }
 
@@ -651,16 +651,16 @@
                 continue;
             }
             match output {
-                Output::Send { id, attempt, server, end } => {
+                Output::Send { id, attempt, server, deadline } => {
                     let Some(direct) = state.direct.get(&id) else { continue };
-                    let job = Job { id, attempt, server, content: direct.content.clone(), end };
+                    let job = Job { id, attempt, server, content: direct.content.clone(), deadline };
                     let (cancel, cancelled) = oneshot::channel();
-                    state.out.insert((id, attempt), Out { cancel, end });
+                    state.out.insert((id, attempt), Out { cancel, deadline });
                     self.upstream.start(self.clone(), job, cancelled);
                 }
-                Output::Stop { id, attempt, how } => {
+                Output::Stop { id, attempt, outcome } => {
                     if let Some(out) = state.out.remove(&(id, attempt)) {
-                        let _ = out.cancel.send(how);
+                        let _ = out.cancel.send(outcome);
                     }
                 }
                 // A client that has left meanwhile gets no answer.
@@ -676,10 +676,10 @@
                         });
                     }
                 }
-                Output::Tell { to, body } => self.tell(to, &body),
+                Output::SendMessage { to, body } => self.tell(to, &body),
                 Output::CloseIdle { server } => self.upstream.close_idle(&server),
-                Output::Watch => self.list_wanted.send_modify(|_| {}),
-                Output::FetchList => self.list_wanted.send_modify(|times| *times += 1),
+                Output::RefreshWatch => self.list_wanted.send_modify(|_| {}),
+                Output::FetchServerList => self.list_wanted.send_modify(|times| *times += 1),
                 Output::Log(line) => info!("{line}"),
             }
         }
@@ -704,8 +704,8 @@
         loop {
             let armed = {
                 let mut state = self.state.borrow_mut();
-                self.input(&mut state, Input::Due);
-                self.give(&mut state, external::Input::Due);
+                self.input(&mut state, Input::TimerExpired);
+                self.give(&mut state, external::Input::TimerExpired);
                 // Armed here already: what is due next is no news to this loop.
                 state.rearm();
                 self.pauses.borrow_mut().heartbeat(self.now(), state.armed);
--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -87,9 +87,10 @@
         may_send(&Attempt {
             now,
             client,
-            server_accepts: state.addresses.contains_key(&job.server) && state.engine.takes(&job.server),
+            server_accepts: state.addresses.contains_key(&job.server)
+                && state.engine.accepts_requests(&job.server),
             server_list_current: self.list_is_read(now),
-            deadline: job.end,
+            deadline: job.deadline,
             effect: job.content.effect,
             may_have_run: job.content.may_have_run.get(),
             another_outstanding: earlier_out(&state, job.id, job.attempt),
@@ -154,7 +155,7 @@
             now: self.now(),
             request_open: state.direct.contains_key(&request),
             outstanding: 1 + usize::from(earlier_out(state, request, attempt)),
-            deadline: out.end,
+            deadline: out.deadline,
         };
         if let Some(rule) = written.violation() {
             let mut counts = self.violations.get();
--- a/marldeal/src/driver/proxied.rs
+++ b/marldeal/src/driver/proxied.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use marldeal_external::{self as external, Bounds, Counts, External, StreamId, Verdict};
+use marldeal_external::{self as external, Counts, ExternalProcessor, ProcessorConfig, StreamId, Verdict};
 use tokio::sync::mpsc;
 
 use super::{Driver, State};
@@ -22,14 +22,14 @@
 
 /// Requests that proxies carry out.
 pub(super) struct Proxied {
-    pub(super) machine: External,
+    pub(super) machine: ExternalProcessor,
     pub(super) streams: HashMap<StreamId, mpsc::Sender<Word>>,
 }
 
 impl Driver {
     /// Proxies may ask from now on.
-    pub fn serve_proxies(&self, bounds: Bounds) {
-        let machine = External::new(bounds, &self.config.settings);
+    pub fn serve_proxies(&self, config: ProcessorConfig) {
+        let machine = ExternalProcessor::new(config, &self.config.settings);
         self.state.borrow_mut().proxied = Some(Proxied { machine, streams: HashMap::new() });
     }
 
@@ -55,7 +55,10 @@
     /// Requests of proxies that are open, and what has happened since the start.
     pub fn proxied_counts(&self) -> (usize, Counts) {
         let state = self.state.borrow();
-        state.proxied.as_ref().map_or((0, Counts::default()), |p| (p.machine.open(), p.machine.counts()))
+        state
+            .proxied
+            .as_ref()
+            .map_or((0, Counts::default()), |p| (p.machine.open_requests(), p.machine.counts()))
     }
 
     pub(super) fn give(&self, state: &mut State, input: external::Input) {
@@ -65,14 +68,14 @@
         proxied.machine.handle(now, input, engine, &mut out);
         for item in out {
             match item {
-                external::Out::Engine(output) => outputs.push_back(output),
-                external::Out::Reply { stream, verdict } => {
+                external::Action::Engine(output) => outputs.push_back(output),
+                external::Action::Reply { stream, verdict } => {
                     let grant = match &verdict {
-                        Verdict::Go(grant) | Verdict::Retry(grant) => Some(grant),
+                        Verdict::Admit(grant) | Verdict::Retry(grant) => Some(grant),
                         _ => None,
                     };
                     let node = grant.and_then(|g| addresses.get(&g.server)).copied();
-                    let left_ms = grant.map_or(0.0, |g| g.end - now);
+                    let left_ms = grant.map_or(0.0, |g| g.deadline - now);
                     // A stream that is gone, or takes nothing in, has its end told by another way.
                     if let Some(words) = proxied.streams.get(&stream) {
                         let _ = words.try_send(Word { verdict, node, left_ms });
--- a/marldeal/src/front/answer.rs
+++ b/marldeal/src/front/answer.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
 use hyper::{Method, Response, StatusCode};
-use marldeal_engine::ledger::End;
+use marldeal_engine::counters::RequestOutcome;
 use tokio::time::{timeout, Instant};
 use tracing::debug;
 
@@ -55,7 +55,7 @@
         // Its sender reads the answer once it has sent all.
         let _ = timeout(LATE_TIME, discard(body)).await;
         if let Some(class) = head::class(&driver.config, &client.layout, &head) {
-            driver.count(|ledger| ledger.passed(class, End::Declined));
+            driver.count(|ledger| ledger.record_answered_locally(class, RequestOutcome::Declined));
         }
         let mut answer =
             refusal(f64::from(driver.config.settings.may_advise) * LATE_TIME.as_secs_f64() * 1000.0);
@@ -72,7 +72,7 @@
         Ok(read) => read,
         Err((status, why)) => {
             if let Some(class) = head::class(&driver.config, &client.layout, &head) {
-                driver.count(|ledger| ledger.passed(class, End::Aborted));
+                driver.count(|ledger| ledger.record_answered_locally(class, RequestOutcome::Aborted));
             }
             return bad(status, why);
         }
@@ -111,7 +111,7 @@
         sent: Cell::new(None),
     };
     if let Some(body) = driver.recorded(&content) {
-        driver.count(|ledger| ledger.passed(read.request.class, End::Succeeded));
+        driver.count(|ledger| ledger.record_answered_locally(read.request.class, RequestOutcome::Succeeded));
         return Response::new(Reply::Whole(body));
     }
     // It lay behind another one, and its client left while that was open: nothing is owed, and nothing goes out for it.
@@ -121,7 +121,7 @@
     let class = read.request.class;
     let correlation = content.correlation.clone();
     let Some((id, answered)) = driver.request(content, read.request, socket.clone()) else {
-        driver.count(|ledger| ledger.passed(class, End::Aborted));
+        driver.count(|ledger| ledger.record_answered_locally(class, RequestOutcome::Aborted));
         return bad(StatusCode::CONFLICT, "a request with this X-Correlation-Id is open");
     };
     debug!(event = "taken", request = id, ?correlation, class, "request {id} is taken");
--- a/marldeal/src/front/external.rs
+++ b/marldeal/src/front/external.rs
@@ -73,7 +73,7 @@
         let stream = self.next.fetch_add(1, Ordering::Relaxed);
         let (words, heard) = mpsc::channel(WORDS);
         let presentation = Presentation {
-            name: told.correlation.as_bytes().into(),
+            correlation_id: told.correlation.as_bytes().into(),
             key: told.key.map(|key| key.as_bytes().into()),
             attempt,
             request: told.request,
@@ -171,16 +171,16 @@
                     }
                     match (&word.verdict, stage) {
                         // Its answer is on its way already.
-                        (Verdict::Pass, Stage::Trailing | Stage::Trailed) => {
+                        (Verdict::PassThrough, Stage::Trailing | Stage::Trailed) => {
                             held = None;
                             stage = Stage::Done;
                             continue;
                         }
-                        (Verdict::Go(_), _) => stage = Stage::Granted,
-                        (Verdict::Retry(_), _) if options.bounds.retries == marldeal_external::Retries::Looped => {
+                        (Verdict::Admit(_), _) => stage = Stage::Granted,
+                        (Verdict::Retry(_), _) if options.config.retry_mode == marldeal_external::RetryMode::SameStream => {
                             stage = Stage::Granted;
                         }
-                        (Verdict::Pass | Verdict::Retry(_), _) => {
+                        (Verdict::PassThrough | Verdict::Retry(_), _) => {
                             held = None;
                             stage = Stage::Done;
                         }
@@ -255,7 +255,7 @@
                     match words::outcome(headers, &message) {
                         Ok(fawnhill::Outcome::Ok) if options.response_trailers && !headers.end_of_stream => {
                             stage = Stage::Trailing;
-                            let word = Word { verdict: Verdict::Pass, node: None, left_ms: 0.0 };
+                            let word = Word { verdict: Verdict::PassThrough, node: None, left_ms: 0.0 };
                             yield Ok(words::verdict(&word, false, false));
                         }
                         Ok(outcome) => {
@@ -317,7 +317,7 @@
     let (told, count) = told?;
     let (leave, mut words) = front.present(told, count);
     let word = words.recv().await.ok_or((StatusCode::BAD_GATEWAY, "the limiter stops"))?;
-    if matches!(word.verdict, Verdict::Go(_)) {
+    if matches!(word.verdict, Verdict::Admit(_)) {
         leave.say(Input::Unreported { stream: leave.stream }, None);
     }
     Ok(word)
@@ -326,7 +326,7 @@
 /// Status, text and advice of what is not let in; nothing if it is.
 fn turned_away(asked: &Result<Word, Bad>) -> Option<(StatusCode, &'static str, f64)> {
     match asked {
-        Ok(Word { verdict: Verdict::Go(_), .. }) => None,
+        Ok(Word { verdict: Verdict::Admit(_), .. }) => None,
         Ok(word) => Some(words::refusal(&word.verdict)),
         Err((status, why)) => Some((*status, why, 0.0)),
     }
@@ -501,7 +501,7 @@
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
 ) {
-    driver.serve_proxies(options.bounds);
+    driver.serve_proxies(options.config);
     let (said, mut heard) = mpsc::unbounded_channel::<Said>();
     let front = Arc::new(Front {
         config: driver.config.clone(),
--- a/marldeal/src/front/words.rs
+++ b/marldeal/src/front/words.rs
@@ -98,19 +98,19 @@
     let text = |name: &str| find(name).and_then(|v| std::str::from_utf8(v).ok());
     let status = text(":status").and_then(|s| s.parse::<u16>().ok()).ok_or("no good :status")?;
     if status != 200 {
-        let told = text(FLAGS).and_then(outcomes::flagged).or_else(|| attribute_flags(message));
+        let told = text(FLAGS).and_then(outcomes::from_response_flags).or_else(|| attribute_flags(message));
         if let Some(outcome) = told {
             return Ok(outcome);
         }
     }
-    Ok(outcomes::answered(status, find("x-unprocessed") == Some(b"1")))
+    Ok(outcomes::from_response(status, find("x-unprocessed") == Some(b"1")))
 }
 
 /// The attribute `response.flags`, as a bit field or as a text.
 fn attribute_flags(message: &ext::ProcessingRequest) -> Option<Outcome> {
     message.attributes.values().find_map(|all| match all.fields.get("response.flags")?.kind.as_ref()? {
-        Kind::NumberValue(bits) if *bits >= 0.0 => outcomes::flag_bits(*bits as u64),
-        Kind::StringValue(text) => outcomes::flagged(text),
+        Kind::NumberValue(bits) if *bits >= 0.0 => outcomes::from_response_flag_bits(*bits as u64),
+        Kind::StringValue(text) => outcomes::from_response_flags(text),
         _ => None,
     })
 }
@@ -156,7 +156,7 @@
             (StatusCode::CONFLICT, "a request with this X-Correlation-Id is open", 0.0)
         }
         Verdict::Conflict(Conflict::Served) => (StatusCode::CONFLICT, "this request has been served", 0.0),
-        Verdict::Conflict(Conflict::Different) => {
+        Verdict::Conflict(Conflict::Mismatch) => {
             (StatusCode::CONFLICT, "another request has this X-Correlation-Id", 0.0)
         }
         _ => (StatusCode::BAD_GATEWAY, "", 0.0),
@@ -206,7 +206,7 @@
 pub fn verdict(word: &Word, clear_route_cache: bool, trailers: bool) -> ext::ProcessingResponse {
     use processing_mode::{BodySendMode, HeaderSendMode};
     match &word.verdict {
-        Verdict::Go(_) => {
+        Verdict::Admit(_) => {
             let headers = common(grant(DESTINATION, word), &[], clear_route_cache);
             let trailers = if trailers { HeaderSendMode::Send } else { HeaderSendMode::Skip };
             ext::ProcessingResponse {
@@ -227,7 +227,7 @@
             ..answer(Answer::ResponseHeaders(common(grant(RETRY, word), &[], false)))
         },
         // A node's word must not pass for this limiter's.
-        Verdict::Pass => answer(Answer::ResponseHeaders(common(Vec::new(), &[RETRY], false))),
+        Verdict::PassThrough => answer(Answer::ResponseHeaders(common(Vec::new(), &[RETRY], false))),
         other => {
             let (status, text, retry_ms) = refusal(other);
             immediate(status, text, retry_ms)
--- a/marldeal/src/management/line.rs
+++ b/marldeal/src/management/line.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use marldeal_engine::ledger::End;
+use marldeal_engine::counters::RequestOutcome;
 
 use crate::driver::Figures;
 
@@ -61,14 +61,17 @@
 /// All figures, a line each, for classes of these names.
 pub fn figures(names: &[String], figures: &Figures) -> String {
     let mut text = String::new();
-    for (what, end) in [("succeeded", End::Succeeded), ("declined", End::Declined), ("aborted", End::Aborted)]
-    {
+    for (what, end) in [
+        ("succeeded", RequestOutcome::Succeeded),
+        ("declined", RequestOutcome::Declined),
+        ("aborted", RequestOutcome::Aborted),
+    ] {
         for (class, name) in names.iter().enumerate() {
-            let _ = writeln!(text, "{what}.{name}={}", figures.ledger.ends(class, end));
+            let _ = writeln!(text, "{what}.{name}={}", figures.ledger.finished(class, end));
         }
     }
     let rest = [
-        ("forwards", figures.ledger.forwards()),
+        ("forwards", figures.ledger.forwarded()),
         ("outstanding", figures.ledger.outstanding()),
         ("discovered", figures.discovered as u64),
         ("ejected", figures.ejected as u64),
--- a/marldeal/src/settings/extensions.rs
+++ b/marldeal/src/settings/extensions.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use hyper::header::HeaderName;
-use marldeal_external::{Bounds, Retries};
+use marldeal_external::{ProcessorConfig, RetryMode};
 use serde::Deserialize;
 
 use crate::front::head::Layout;
@@ -119,22 +119,22 @@
 
 impl Default for Processor {
     fn default() -> Processor {
-        let bounds = Bounds::default();
+        let config = ProcessorConfig::default();
         Processor {
             listen: None,
             retries: HowRetries::Presented,
-            push_final_answers: bounds.push,
+            push_final_answers: config.push_final_answers,
             override_message_timeout: true,
             clear_route_cache: true,
             response_trailers: false,
             max_connections: 32,
             max_concurrent_streams: 256,
-            max_open_requests: bounds.most_open,
-            max_standing_verdicts: bounds.most_standing,
+            max_open_requests: config.max_open_requests,
+            max_standing_verdicts: config.max_standing_verdicts,
             max_message_bytes: 64 << 10,
-            again_ms: bounds.again_ms,
-            handover_ms: bounds.handover_ms,
-            assumed_ms: bounds.assumed_ms,
+            again_ms: config.next_presentation_timeout_ms,
+            handover_ms: config.handover_timeout_ms,
+            assumed_ms: config.unreported_attempt_ms,
             first_message_ms: 2000.0,
             stream_ms: 120_000.0,
             keepalive_ms: 5000.0,
@@ -150,7 +150,7 @@
     /// Where proxies connect.
     pub listen: SocketAddr,
     /// What the state machine holds.
-    pub bounds: Bounds,
+    pub config: ProcessorConfig,
     /// Which header tells what.
     pub layout: Layout,
     /// Connections held at most; further ones are closed at once.
@@ -277,18 +277,18 @@
         }
         ExternalProcessor {
             listen,
-            bounds: Bounds {
-                most_open: self.max_open_requests,
-                most_standing: self.max_standing_verdicts,
-                again_ms: self.again_ms,
-                handover_ms: self.handover_ms,
-                assumed_ms: self.assumed_ms,
-                retries: match self.retries {
-                    HowRetries::Presented => Retries::Presented,
-                    HowRetries::Looped => Retries::Looped,
-                    HowRetries::None => Retries::None,
+            config: ProcessorConfig {
+                max_open_requests: self.max_open_requests,
+                max_standing_verdicts: self.max_standing_verdicts,
+                next_presentation_timeout_ms: self.again_ms,
+                handover_timeout_ms: self.handover_ms,
+                unreported_attempt_ms: self.assumed_ms,
+                retry_mode: match self.retries {
+                    HowRetries::Presented => RetryMode::NewStream,
+                    HowRetries::Looped => RetryMode::SameStream,
+                    HowRetries::None => RetryMode::None,
                 },
-                push: self.push_final_answers,
+                push_final_answers: self.push_final_answers,
             },
             layout,
             max_connections: self.max_connections,
--- a/marldeal/src/upstream/servers.rs
+++ b/marldeal/src/upstream/servers.rs
@@ -260,7 +260,7 @@
     job.content.sent.set(Some(now));
     let (id, attempt) = (job.id, job.attempt);
     debug!(event = "sent", request = id, attempt, server = %job.server, "request {id}: attempt {attempt} to {}", job.server);
-    let left_ms = (job.end - now).min(job.content.budget_ms);
+    let left_ms = (job.deadline - now).min(job.content.budget_ms);
     link.writing.begin(job);
     let Ok(request) = request(job, addr, left_ms, &link.writing) else { return (Outcome::NotSent, None) };
     let Link { sender, connection, writing, .. } = &mut link;
@@ -275,7 +275,7 @@
         };
         let (head, body) = answer.into_parts();
         let unprocessed = head.headers.get(UNPROCESSED).is_some_and(|v| v == "1");
-        let outcome = outcomes::answered(head.status.as_u16(), unprocessed);
+        let outcome = outcomes::from_response(head.status.as_u16(), unprocessed);
         take_answer(driver, job, outcome, body).await
     };
     let (outcome, body, mut ended) = drive(answer, connection).await;
