--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -1,7 +1,7 @@
-//! Bytes of bodies that are held in memory under one budget, and the progress that is asked of whoever sends one.
+//! Body bytes buffered in memory under a shared budget, and the minimum data rate required of a sender.
 //!
-//! What is held is counted from when it is held until the last handle on it is dropped. It does *not* read sockets or a
-//! clock: bytes and times are arguments.
+//! Buffered bytes count against the budget until the buffer is dropped. The crate reads neither sockets nor a clock:
+//! bytes and times are arguments.
 //!
 //! ```
 //! use marldeal_bodies::{Budget, BufferedBody};
@@ -11,7 +11,7 @@
 //! assert!(body.push(b"hello"));
 //! assert_eq!((body.len(), body.blocks().concat()), (5, b"hello".to_vec()));
 //! let mut second = BufferedBody::new(&budget, None);
-//! assert!(!second.push(&[0; 64 << 10]), "no room beside the first");
+//! assert!(!second.push(&[0; 64 << 10]), "exceeds the budget while the first body is buffered");
 //! drop(body);
 //! assert!(second.push(&[0; 64 << 10]));
 //! ```
@@ -23,145 +23,153 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes that may be held at once.
+/// A limit on the bytes that all buffered bodies may occupy together.
 #[derive(Debug)]
 pub struct Budget {
     max_bytes: Cell<usize>,
-    held: Cell<usize>,
+    used: Cell<usize>,
 }
 
 impl Budget {
-    /// So many bytes.
-    pub fn new(most: usize) -> Rc<Budget> {
-        Rc::new(Budget { max_bytes: Cell::new(most), held: Cell::new(0) })
+    /// Creates a budget of `max_bytes`.
+    pub fn new(max_bytes: usize) -> Rc<Budget> {
+        Rc::new(Budget { max_bytes: Cell::new(max_bytes), used: Cell::new(0) })
     }
 
-    /// Bytes held now.
+    /// Bytes reserved now.
     pub fn used_bytes(&self) -> usize {
-        self.held.get()
+        self.used.get()
     }
 
-    /// Most bytes that may be held.
+    /// Maximum number of bytes that may be reserved.
     pub fn max_bytes(&self) -> usize {
         self.max_bytes.get()
     }
 
-    /// Another bound from now on. What is held beyond it stays until it is dropped.
-    pub fn set_max_bytes(&self, most: usize) {
-        self.max_bytes.set(most);
+    /// Changes the limit. Bytes already reserved beyond it stay reserved until their buffers are dropped.
+    pub fn set_max_bytes(&self, max_bytes: usize) {
+        self.max_bytes.set(max_bytes);
     }
 
-    fn take(&self, bytes: usize) -> bool {
-        let fits = self.held.get() + bytes <= self.max_bytes.get();
+    /// Reserves `bytes`; returns false and reserves nothing if they exceed the budget.
+    fn try_reserve(&self, bytes: usize) -> bool {
+        let fits = self.used.get() + bytes <= self.max_bytes.get();
         if fits {
-            self.held.set(self.held.get() + bytes);
+            self.used.set(self.used.get() + bytes);
         }
         fits
     }
 }
 
-/// Bytes of a block: what one allocation holds.
-const BLOCK: usize = 64 << 10;
-/// Share of the budget that one body may hold.
-const MOST_PART: usize = 8;
+/// Maximum size of a block, which is one allocation, in bytes; only a single larger push gets a larger block.
+const BLOCK_BYTES: usize = 64 << 10;
+/// One body may occupy at most the budget divided by this, so that a few large bodies can't use up the budget.
+const BODY_SHARE_DIVISOR: usize = 8;
 
-/// A body that is held, in blocks. Handles on it are cheap to clone.
+/// A body buffered in blocks. Clones of the blocks share their memory.
 #[derive(Debug)]
 pub struct BufferedBody {
     budget: Rc<Budget>,
-    taken: usize,
+    /// Bytes reserved from the budget.
+    reserved: usize,
+    /// Completed blocks.
     blocks: Vec<Bytes>,
-    open: BytesMut,
+    /// The block that is being filled.
+    current: BytesMut,
     length: usize,
-    /// How long it is in all, where that was told.
-    told: Option<usize>,
+    /// Total length of the body, if known in advance.
+    expected_length: Option<usize>,
 }
 
 impl BufferedBody {
-    /// Nothing yet, of `told` bytes in all if that is known.
-    pub fn new(budget: &Rc<Budget>, told: Option<usize>) -> BufferedBody {
+    /// Creates an empty buffer. `expected_length` is the total length of the body, if known.
+    pub fn new(budget: &Rc<Budget>, expected_length: Option<usize>) -> BufferedBody {
         BufferedBody {
             budget: budget.clone(),
-            taken: 0,
+            reserved: 0,
             blocks: Vec::new(),
-            open: BytesMut::new(),
+            current: BytesMut::new(),
             length: 0,
-            told,
+            expected_length,
         }
     }
 
-    /// Holds more bytes; false, and nothing is held of them, if the budget has no room or this body's part is full.
+    /// Appends bytes. Returns false and appends nothing if they exceed the budget or this body's share of it.
     pub fn push(&mut self, mut bytes: &[u8]) -> bool {
-        let room = self.open.capacity() - self.open.len();
-        if bytes.len() > room {
-            let more = bytes.len() - room;
-            // Small bodies take what they are; large ones whole blocks.
-            let still = self.told.map_or(0, |told| told.saturating_sub(self.length + room));
-            let takes = if still >= more { still.min(BLOCK).max(more) } else { more.max(self.next_block()) };
-            let part = (self.budget.max_bytes() / MOST_PART).max(BLOCK);
-            if self.taken + takes > part || !self.budget.take(takes) {
+        let spare = self.current.capacity() - self.current.len();
+        if bytes.len() > spare {
+            let excess = bytes.len() - spare;
+            // A body of known length reserves no more than it needs, and at most one block at a time.
+            let remaining = self.expected_length.map_or(0, |total| total.saturating_sub(self.length + spare));
+            let new_block = if remaining >= excess {
+                remaining.min(BLOCK_BYTES).max(excess)
+            } else {
+                excess.max(self.next_block())
+            };
+            let share = (self.budget.max_bytes() / BODY_SHARE_DIVISOR).max(BLOCK_BYTES);
+            if self.reserved + new_block > share || !self.budget.try_reserve(new_block) {
                 return false;
             }
-            self.taken += takes;
-            let (now, rest) = bytes.split_at(room);
-            self.open.extend_from_slice(now);
-            self.length += now.len();
+            self.reserved += new_block;
+            let (head, rest) = bytes.split_at(spare);
+            self.current.extend_from_slice(head);
+            self.length += head.len();
             bytes = rest;
-            self.close_block();
-            self.open = BytesMut::with_capacity(takes);
+            self.finish_block();
+            self.current = BytesMut::with_capacity(new_block);
         }
-        self.open.extend_from_slice(bytes);
+        self.current.extend_from_slice(bytes);
         self.length += bytes.len();
         true
     }
 
-    /// Doubles from 1 KiB on, so that a body of unknown length that stays small takes little.
+    /// Size of the next block if the length is unknown: doubles from 1 KiB on, so that a small body reserves little.
     fn next_block(&self) -> usize {
-        (self.length * 2).clamp(1 << 10, BLOCK)
+        (self.length * 2).clamp(1 << 10, BLOCK_BYTES)
     }
 
-    fn close_block(&mut self) {
-        if !self.open.is_empty() {
-            self.blocks.push(std::mem::take(&mut self.open).freeze());
+    fn finish_block(&mut self) {
+        if !self.current.is_empty() {
+            self.blocks.push(std::mem::take(&mut self.current).freeze());
         }
     }
 
-    /// Bytes held of the body.
+    /// Number of bytes buffered.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether there are none.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// All blocks in their order.
+    /// All blocks in order. Completes the block that is being filled.
     pub fn blocks(&mut self) -> &[Bytes] {
-        self.close_block();
+        self.finish_block();
         &self.blocks
     }
 }
 
 impl Drop for BufferedBody {
     fn drop(&mut self) {
-        self.budget.held.set(self.budget.held.get() - self.taken);
+        self.budget.used.set(self.budget.used.get() - self.reserved);
     }
 }
 
-/// The progress that is asked of a sender: so much time to begin with, and more for what it has sent.
+/// The minimum data rate required of a sender: a grace period, extended in proportion to the bytes received.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MinDataRate {
-    /// Milliseconds to spare.
+    /// Grace period in milliseconds.
     pub grace_ms: f64,
-    /// Bytes a second at least.
+    /// Required rate in bytes per second.
     pub bytes_per_s: f64,
 }
 
 impl MinDataRate {
-    /// Until when, in milliseconds after it began, a sender of so many bytes is waited for.
-    pub fn deadline_ms(&self, sent: u64) -> f64 {
-        self.grace_ms + sent as f64 * 1000.0 / self.bytes_per_s
+    /// Deadline for the next byte of a sender that has sent `received` bytes, in milliseconds after the body began.
+    pub fn deadline_ms(&self, received: u64) -> f64 {
+        self.grace_ms + received as f64 * 1000.0 / self.bytes_per_s
     }
 }
 
@@ -171,7 +179,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn a_small_body_of_known_length_takes_no_more_than_it_is() {
+    fn small_body_of_known_length_reserves_only_its_length() {
         let budget = Budget::new(1 << 20);
         let mut body = BufferedBody::new(&budget, Some(212));
         assert!(body.push(&[1; 100]) && body.push(&[1; 112]));
@@ -179,45 +187,46 @@
     }
 
     #[test]
-    fn one_body_cannot_take_the_whole_budget() {
+    fn one_body_cannot_use_the_whole_budget() {
         let budget = Budget::new(8 << 20);
         let mut body = BufferedBody::new(&budget, None);
-        let held = (0..1000).take_while(|_| body.push(&[0; 16 << 10])).count() * (16 << 10);
-        assert!((900 << 10..=1 << 20).contains(&held), "{held}");
+        let buffered = (0..1000).take_while(|_| body.push(&[0; 16 << 10])).count() * (16 << 10);
+        assert!((900 << 10..=1 << 20).contains(&buffered), "{buffered} bytes buffered");
         let mut other = BufferedBody::new(&budget, None);
         assert!(other.push(&[0; 1000]));
     }
 
     #[test]
-    fn a_sender_gets_more_time_with_what_it_sends() {
-        let pace = MinDataRate { grace_ms: 2400.0, bytes_per_s: 64_000.0 };
-        assert_eq!((pace.deadline_ms(0), pace.deadline_ms(128_000)), (2400.0, 4400.0));
+    fn deadline_moves_with_the_bytes_received() {
+        let rate = MinDataRate { grace_ms: 2400.0, bytes_per_s: 64_000.0 };
+        assert_eq!((rate.deadline_ms(0), rate.deadline_ms(128_000)), (2400.0, 4400.0));
     }
 
     proptest! {
-        /// In any pieces and under any budget: what was taken reads as it was written, the budget is never passed, and
-        /// all of it comes back.
+        /// For any sequence of pushes and any budget: the buffered bytes equal those pushed, the budget is never
+        /// exceeded, and all of it is released at the end.
         #[test]
-        fn bytes_stay_and_the_budget_holds(
-            pieces in prop::collection::vec((0usize..3, 0usize..40_000), 0..60),
-            most in 1usize..600_000,
-            told in prop::option::of(0usize..200_000),
+        fn buffered_bytes_are_intact_and_within_the_budget(
+            pushes in prop::collection::vec((0usize..3, 0usize..40_000), 0..60),
+            max_bytes in 1usize..600_000,
+            expected_length in prop::option::of(0usize..200_000),
         ) {
-            let budget = Budget::new(most);
-            let mut bodies: Vec<(BufferedBody, Vec<u8>)> = (0..3).map(|_| (BufferedBody::new(&budget, told), Vec::new())).collect();
-            for (n, (which, length)) in pieces.into_iter().enumerate() {
-                let (held, truth) = &mut bodies[which];
-                let piece = vec![n as u8; length];
-                let before = held.len();
-                if held.push(&piece) {
-                    truth.extend_from_slice(&piece);
+            let budget = Budget::new(max_bytes);
+            let mut bodies: Vec<(BufferedBody, Vec<u8>)> =
+                (0..3).map(|_| (BufferedBody::new(&budget, expected_length), Vec::new())).collect();
+            for (n, (index, length)) in pushes.into_iter().enumerate() {
+                let (body, expected) = &mut bodies[index];
+                let bytes = vec![n as u8; length];
+                let before = body.len();
+                if body.push(&bytes) {
+                    expected.extend_from_slice(&bytes);
                 } else {
-                    prop_assert_eq!(held.len(), before);
+                    prop_assert_eq!(body.len(), before);
                 }
-                prop_assert!(budget.used_bytes() <= most);
+                prop_assert!(budget.used_bytes() <= max_bytes);
             }
-            for (held, truth) in &mut bodies {
-                prop_assert_eq!(held.blocks().concat(), &truth[..]);
+            for (body, expected) in &mut bodies {
+                prop_assert_eq!(body.blocks().concat(), &expected[..]);
             }
             drop(bodies);
             prop_assert_eq!(budget.used_bytes(), 0);
