--- a/crates/budgets/src/member.rs
+++ b/crates/budgets/src/member.rs
@@ -1,164 +1,173 @@
-//! What one limiter holds of a budget, and when it has to stop.
+//! The leases that one limiter holds of a budget, with their expiry by its own clock.
 
 use std::collections::BTreeMap;
 
-use crate::{Grains, Grant, MemberId, Millis, PartId, Say, Terms};
+use crate::{Grant, LeaseId, LeaseTerms, MemberId, MemberMessage, Millis, Units};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Held {
-    grains: Grains,
-    until: Millis,
+struct HeldLease {
+    units: Units,
+    expires_at: Millis,
 }
 
-/// A question that has not been answered.
+/// A request that has not been answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Open {
-    ask: u64,
-    at: Millis,
-    /// The part to go on with, if it is no question for more.
-    part: Option<PartId>,
+struct PendingRequest {
+    sequence: u64,
+    sent_at: Millis,
+    /// The lease to renew; `None` if a new lease is requested.
+    lease: Option<LeaseId>,
 }
 
-/// A part that one member passes on to another, with no divider in between.
+/// Units that one member transfers to another without the allocator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Passed {
-    /// The receiver's question.
-    pub ask: u64,
-    /// Its name.
-    pub part: PartId,
-    /// How much.
-    pub grains: Grains,
-    /// For how long from when the receiver asked, by its clock.
-    pub for_ms: Millis,
+pub struct Transfer {
+    /// Sequence number of the receiver's request.
+    pub sequence: u64,
+    /// The receiver's lease, which names the sender.
+    pub lease: LeaseId,
+    /// Units transferred.
+    pub units: Units,
+    /// Validity by the receiver's clock, from when the receiver sent its request.
+    pub valid_ms: Millis,
 }
 
-/// One start of a limiter as the holder of parts of one budget.
+/// One incarnation of a limiter as the holder of leases of one budget.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Member {
     id: MemberId,
-    terms: Terms,
-    held: BTreeMap<PartId, Held>,
-    open: Vec<Open>,
-    asks: u64,
-    passes: u64,
-    /// The last question of each other member, and what it was passed: a repeat gets the same.
-    answered: BTreeMap<MemberId, Passed>,
+    terms: LeaseTerms,
+    leases: BTreeMap<LeaseId, HeldLease>,
+    pending: Vec<PendingRequest>,
+    last_sequence: u64,
+    transfers: u64,
+    /// The last transfer to each other member: a repeated request gets the same one.
+    last_transfers: BTreeMap<MemberId, Transfer>,
 }
 
-/// Questions that are open at most; the oldest is given up for the next.
-const MOST_OPEN: usize = 16;
+/// Maximum number of pending requests; the oldest is abandoned for the next.
+const MAX_PENDING: usize = 16;
 
 impl Member {
-    /// One that holds nothing: what an earlier start held is lost to it.
-    pub fn new(id: MemberId, terms: Terms) -> Member {
+    /// Creates a member that holds no leases. Leases of an earlier incarnation are lost to it.
+    pub fn new(id: MemberId, terms: LeaseTerms) -> Member {
         Member {
             id,
             terms,
-            held: BTreeMap::new(),
-            open: Vec::new(),
-            asks: 0,
-            passes: 0,
-            answered: BTreeMap::new(),
+            leases: BTreeMap::new(),
+            pending: Vec::new(),
+            last_sequence: 0,
+            transfers: 0,
+            last_transfers: BTreeMap::new(),
         }
     }
 
-    /// What it may act on at this moment of its own clock.
-    pub fn holds(&self, now: Millis) -> Grains {
-        self.held.values().filter(|h| now < h.until).map(|h| h.grains).sum()
+    /// Units that it may use now, by its own clock.
+    pub fn usable(&self, now: Millis) -> Units {
+        self.leases.values().filter(|l| now < l.expires_at).map(|l| l.units).sum()
     }
 
-    /// Its parts, what it holds of each, and until when.
-    pub fn parts(&self) -> impl Iterator<Item = (PartId, Grains, Millis)> + '_ {
-        self.held.iter().map(|(part, h)| (*part, h.grains, h.until))
+    /// Its leases with the units that it holds of each and the time at which each expires.
+    pub fn leases(&self) -> impl Iterator<Item = (LeaseId, Units, Millis)> + '_ {
+        self.leases.iter().map(|(lease, l)| (*lease, l.units, l.expires_at))
     }
 
-    /// Forgets parts whose time is over and questions that no answer can make useful any more.
-    pub fn settle(&mut self, now: Millis) {
-        self.held.retain(|_, h| now < h.until);
-        let term = self.terms.term_ms;
-        self.open.retain(|o| now < o.at + term);
-        let held = &self.held;
-        self.answered.retain(|_, passed| {
-            held.keys().any(|p| (p.epoch, p.number) == (passed.part.epoch, passed.part.number))
+    /// Removes expired leases, and pending requests whose answer would already have expired.
+    pub fn expire(&mut self, now: Millis) {
+        self.leases.retain(|_, l| now < l.expires_at);
+        let lease_ms = self.terms.lease_ms;
+        self.pending.retain(|p| now < p.sent_at + lease_ms);
+        let leases = &self.leases;
+        self.last_transfers.retain(|_, transfer| {
+            leases.keys().any(|l| (l.epoch, l.number) == (transfer.lease.epoch, transfer.lease.number))
         });
     }
 
-    fn asks(&mut self, now: Millis, part: Option<PartId>) -> u64 {
-        self.settle(now);
-        self.asks += 1;
-        if self.open.len() == MOST_OPEN {
-            self.open.remove(0);
+    fn add_pending(&mut self, now: Millis, lease: Option<LeaseId>) -> u64 {
+        self.expire(now);
+        self.last_sequence += 1;
+        if self.pending.len() == MAX_PENDING {
+            self.pending.remove(0);
         }
-        self.open.push(Open { ask: self.asks, at: now, part });
-        self.asks
+        self.pending.push(PendingRequest { sequence: self.last_sequence, sent_at: now, lease });
+        self.last_sequence
     }
 
-    /// Asks the divider, or another member, for more.
-    pub fn wants(&mut self, now: Millis, want: Grains) -> Say {
-        Say::More { ask: self.asks(now, None), want }
+    /// Requests a new lease from the allocator, or a transfer from another member.
+    pub fn acquire(&mut self, now: Millis, wanted: Units) -> MemberMessage {
+        MemberMessage::Acquire { sequence: self.add_pending(now, None), wanted }
     }
 
-    /// Asks to go on with a part; nothing if it holds none of it, or was passed it on.
-    pub fn renews(&mut self, now: Millis, part: PartId) -> Option<Say> {
-        let ask = self.asks(now, Some(part));
-        let left = self.held.get(&part).filter(|_| part.from.is_none())?.grains;
-        Some(Say::Renew { ask, part, left })
+    /// Requests the renewal of a lease. `None` if it does not hold the lease, or the lease was transferred to it.
+    pub fn renew(&mut self, now: Millis, lease: LeaseId) -> Option<MemberMessage> {
+        let sequence = self.add_pending(now, Some(lease));
+        let remaining = self.leases.get(&lease).filter(|_| lease.transferred_by.is_none())?.units;
+        Some(MemberMessage::Renew { sequence, lease, remaining })
     }
 
-    /// Gives back all of a part but `keep`; it has stopped acting on the rest when this returns.
-    pub fn gives_back(&mut self, now: Millis, part: PartId, keep: Grains) -> Option<Say> {
-        self.settle(now);
-        let held = self.held.get_mut(&part).filter(|_| part.from.is_none())?;
-        held.grains = held.grains.min(keep);
-        Some(Say::Keeps { part, left: held.grains })
+    /// Releases all units of a lease but `keep`. The released units are no longer usable when this returns.
+    pub fn release(&mut self, now: Millis, lease: LeaseId, keep: Units) -> Option<MemberMessage> {
+        self.expire(now);
+        let held = self.leases.get_mut(&lease).filter(|_| lease.transferred_by.is_none())?;
+        held.units = held.units.min(keep);
+        Some(MemberMessage::Release { lease, remaining: held.units })
     }
 
-    /// Takes a divider's answer in, if it still waits for it.
-    pub fn granted(&mut self, now: Millis, grant: &Grant) {
-        let waits = |o: &Open| o.ask == grant.ask && o.part.is_none_or(|part| part == grant.part);
-        let Some(at) = self.open.iter().position(waits) else { return };
-        let open = self.open.remove(at);
-        let until = open.at + grant.for_ms;
-        match open.part {
-            // Some of it may have gone since it asked.
-            Some(part) => {
-                if let Some(held) = self.held.get_mut(&part) {
-                    held.grains = held.grains.min(grant.grains);
-                    held.until = held.until.max(until);
+    /// Applies a grant from the allocator; ignored unless its request is pending.
+    pub fn apply_grant(&mut self, now: Millis, grant: &Grant) {
+        let matches = |p: &PendingRequest| {
+            p.sequence == grant.sequence && p.lease.is_none_or(|lease| lease == grant.lease)
+        };
+        let Some(index) = self.pending.iter().position(matches) else { return };
+        let request = self.pending.remove(index);
+        let expires_at = request.sent_at + grant.valid_ms;
+        match request.lease {
+            // Units may have been released or transferred since the request was sent.
+            Some(lease) => {
+                if let Some(held) = self.leases.get_mut(&lease) {
+                    held.units = held.units.min(grant.units);
+                    held.expires_at = held.expires_at.max(expires_at);
                 }
             }
-            None => drop(self.held.insert(grant.part, Held { grains: grant.grains, until })),
+            None => drop(self.leases.insert(grant.lease, HeldLease { units: grant.units, expires_at })),
         }
-        self.settle(now);
+        self.expire(now);
     }
 
-    /// Passes some of what it holds on to a member that has asked it; it has stopped acting on that when this returns.
-    pub fn passes(&mut self, now: Millis, to: MemberId, ask: u64, want: Grains) -> Option<Passed> {
-        self.settle(now);
-        if let Some(last) = self.answered.get(&to).filter(|last| last.ask >= ask) {
-            return Some(*last).filter(|last| last.ask == ask);
+    /// Transfers up to `wanted` units to a member that has requested them. They are no longer usable here when this
+    /// returns.
+    pub fn transfer(&mut self, now: Millis, to: MemberId, sequence: u64, wanted: Units) -> Option<Transfer> {
+        self.expire(now);
+        if let Some(last) = self.last_transfers.get(&to).filter(|last| last.sequence >= sequence) {
+            return Some(*last).filter(|last| last.sequence == sequence);
         }
-        // From the part that lasts longest; a part that was passed on goes no further.
-        let own = self.held.iter_mut().filter(|(part, h)| part.from.is_none() && h.grains > 0);
-        let (part, held) = own.max_by_key(|(_, h)| h.until)?;
-        let grains = want.min(held.grains);
-        let for_ms = self.terms.passed_ms(held.until - now);
-        if grains == 0 || for_ms == 0 {
+        // From the lease that expires last. A transferred lease can't be transferred again.
+        let candidates =
+            self.leases.iter_mut().filter(|(lease, l)| lease.transferred_by.is_none() && l.units > 0);
+        let (lease, held) = candidates.max_by_key(|(_, l)| l.expires_at)?;
+        let units = wanted.min(held.units);
+        let valid_ms = self.terms.transfer_ms(held.expires_at - now);
+        if units == 0 || valid_ms == 0 {
             return None;
         }
-        held.grains -= grains;
-        self.passes += 1;
-        let part = PartId { from: Some((self.id, self.passes)), ..*part };
-        let passed = Passed { ask, part, grains, for_ms };
-        self.answered.insert(to, passed);
-        Some(passed)
+        held.units -= units;
+        self.transfers += 1;
+        let lease = LeaseId { transferred_by: Some((self.id, self.transfers)), ..*lease };
+        let transfer = Transfer { sequence, lease, units, valid_ms };
+        self.last_transfers.insert(to, transfer);
+        Some(transfer)
     }
 
-    /// Takes what another member has passed on, if it still waits for it.
-    pub fn takes(&mut self, now: Millis, passed: &Passed) {
-        self.granted(
+    /// Accepts a transfer from another member; ignored unless its request is pending.
+    pub fn accept_transfer(&mut self, now: Millis, transfer: &Transfer) {
+        self.apply_grant(
             now,
-            &Grant { ask: passed.ask, part: passed.part, grains: passed.grains, for_ms: passed.for_ms },
+            &Grant {
+                sequence: transfer.sequence,
+                lease: transfer.lease,
+                units: transfer.units,
+                valid_ms: transfer.valid_ms,
+            },
         );
     }
 }
--- a/crates/budgets/src/shares.rs
+++ b/crates/budgets/src/shares.rs
@@ -1,34 +1,35 @@
-//! How much each should get: by demand, max-min fair with weights, the rest as stand-by.
+//! Fair shares of a budget: weighted max-min fairness by demand, with the rest divided equally.
 
-use crate::Grains;
+use crate::Units;
 
-/// What one member wants of a budget.
+/// Demand of one member for a budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    /// Grains it could use now.
-    pub want: Grains,
-    /// Its weight against the others', above 0.
+    /// Units that it could use now.
+    pub wanted: Units,
+    /// Its weight relative to the other members, above 0.
     pub weight: f64,
 }
 
-/// Divides a whole by demand (water-filling): nobody gets more than it wants while another lacks, those who lack get by
-/// weight, and what nobody wants is left as stand-by in even parts. The sum never passes the whole. Takes n log n.
-pub fn max_min(whole: Grains, demands: &[Demand]) -> Vec<Grains> {
+/// Divides a budget by weighted max-min fairness (water-filling): no member gets more than it wants while another gets less
+/// than it wants, such members share by weight, and unclaimed units are divided equally as a reserve. The sum never exceeds
+/// the budget. Runs in O(n log n).
+pub fn max_min(budget: Units, demands: &[Demand]) -> Vec<Units> {
     let mut shares = vec![0; demands.len()];
-    // Those that are full first, by how much of a weight their demand is.
+    // In ascending order of demand per weight, so that members whose demand is met come first.
     let mut order: Vec<usize> = (0..demands.len()).filter(|n| demands[*n].weight > 0.0).collect();
-    let level = |n: usize| demands[n].want as f64 / demands[n].weight;
+    let level = |n: usize| demands[n].wanted as f64 / demands[n].weight;
     order.sort_by(|a, b| level(*a).total_cmp(&level(*b)).then(a.cmp(b)));
-    let mut left = whole;
+    let mut remaining = budget;
     let mut weights: f64 = order.iter().map(|n| demands[*n].weight).sum();
     for n in order {
-        let part = left as f64 * (demands[n].weight / weights).min(1.0);
-        shares[n] = demands[n].want.min(part as Grains).min(left);
-        left -= shares[n];
+        let share = remaining as f64 * (demands[n].weight / weights).min(1.0);
+        shares[n] = demands[n].wanted.min(share as Units).min(remaining);
+        remaining -= shares[n];
         weights = (weights - demands[n].weight).max(f64::MIN_POSITIVE);
     }
-    let even = left / demands.len().max(1) as u64;
-    shares.iter_mut().for_each(|share| *share += even);
+    let reserve = remaining / demands.len().max(1) as u64;
+    shares.iter_mut().for_each(|share| *share += reserve);
     shares
 }
 
@@ -38,31 +39,31 @@
 
     use super::*;
 
-    fn demands(wants: &[Grains]) -> Vec<Demand> {
-        wants.iter().map(|want| Demand { want: *want, weight: 1.0 }).collect()
+    fn demands(wanted: &[Units]) -> Vec<Demand> {
+        wanted.iter().map(|wanted| Demand { wanted: *wanted, weight: 1.0 }).collect()
     }
 
     #[test]
-    fn those_who_want_little_get_it_and_the_others_share_the_rest() {
+    fn small_demands_are_met_and_the_rest_is_shared() {
         assert_eq!(max_min(100, &demands(&[10, 80, 90])), [10, 45, 45]);
-        assert_eq!(max_min(90, &demands(&[10, 10, 10])), [30, 30, 30], "what nobody wants stands by");
-        let weighed = [Demand { want: 100, weight: 3.0 }, Demand { want: 100, weight: 1.0 }];
-        assert_eq!(max_min(100, &weighed), [75, 25]);
+        assert_eq!(max_min(90, &demands(&[10, 10, 10])), [30, 30, 30], "unclaimed units are divided equally");
+        let weighted = [Demand { wanted: 100, weight: 3.0 }, Demand { wanted: 100, weight: 1.0 }];
+        assert_eq!(max_min(100, &weighted), [75, 25]);
         assert!(max_min(5, &[]).is_empty());
     }
 
     proptest! {
         #[test]
-        fn shares_stay_within_the_whole_and_nobody_lacks_beside_one_with_more(
-            whole in 0u64..1_000_000, wants in prop::collection::vec(0u64..100_000, 1..60)
+        fn shares_are_within_the_budget_and_max_min_fair(
+            budget in 0u64..1_000_000, wanted in prop::collection::vec(0u64..100_000, 1..60)
         ) {
-            let shares = max_min(whole, &demands(&wants));
-            prop_assert!(shares.iter().sum::<u64>() <= whole);
-            let lacks = wants.iter().zip(&shares).filter(|(want, share)| share < want).map(|(_, share)| *share);
-            if let Some(least) = lacks.min() {
-                // Rounding may cost each a grain.
-                let most = shares.iter().max().copied().unwrap_or(0);
-                prop_assert!(most <= least + wants.len() as u64, "{least} beside {most}");
+            let shares = max_min(budget, &demands(&wanted));
+            prop_assert!(shares.iter().sum::<u64>() <= budget);
+            let unmet = wanted.iter().zip(&shares).filter(|(wanted, share)| share < wanted).map(|(_, share)| *share);
+            if let Some(min) = unmet.min() {
+                // Rounding may cost each member one unit.
+                let max = shares.iter().max().copied().unwrap_or(0);
+                prop_assert!(max <= min + wanted.len() as u64, "unmet demand with share {min} while another has {max}");
             }
         }
     }
--- a/crates/budgets/tests/model.rs
+++ b/crates/budgets/tests/model.rs
@@ -1,278 +1,286 @@
-//! All that can happen to three members and their dividers with so many steps of each kind: messages lost, doubled, late and out
-//! of order, members that die, dividers that follow one another, parts passed on, clocks that run apart. At every state what
-//! anyone may act on is within the whole; arrivals of what is on its way are steps too, so that it counts with it.
+//! Exhaustive model check of three members and their allocators with a bounded number of steps of each kind: messages lost,
+//! duplicated, delayed and reordered, members that restart, allocators that are replaced, leases transferred, clocks that
+//! drift apart. In every state the units that members may use sum to at most the budget. Deliveries are steps too, so that
+//! units in transit are covered.
 
 use std::collections::BTreeSet;
 
-use marldeal_budgets::divider::Divider;
+use marldeal_budgets::allocator::Allocator;
 #[cfg(feature = "planted")]
-use marldeal_budgets::divider::Planted;
-use marldeal_budgets::member::{Member, Passed};
-use marldeal_budgets::{Grains, Grant, MemberId, Say, Terms};
+use marldeal_budgets::allocator::PlantedFault;
+use marldeal_budgets::member::{Member, Transfer};
+use marldeal_budgets::{Grant, LeaseTerms, MemberId, MemberMessage, Units};
 use stateright::{Checker, Model, Property};
 
-const WHOLE: Grains = 2;
-const MEMBERS: usize = 3;
-/// A step of time, in milliseconds.
-const TICK: u64 = 1000;
+const BUDGET: Units = 2;
+const MEMBER_COUNT: usize = 3;
+/// Time that passes in one [`Step::Tick`], in milliseconds.
+const TICK_MS: u64 = 1000;
 
-/// A message on its way; it stays there once it has been heard, so that it may come again.
+/// A message in transit. It stays in transit after its delivery, so that it may be delivered again.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Mail {
-    Said(MemberId, Say),
-    Granted(MemberId, Grant),
-    Asked(MemberId, MemberId, u64),
-    Passed(MemberId, Passed),
+enum Message {
+    ToAllocator(MemberId, MemberMessage),
+    Grant(MemberId, Grant),
+    TransferRequest(MemberId, MemberId, u64),
+    Transfer(MemberId, Transfer),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Fleet {
+struct FleetState {
     now: u64,
-    divider: Divider,
+    allocator: Allocator,
     members: Vec<(MemberId, Member)>,
-    mail: BTreeSet<Mail>,
+    messages: BTreeSet<Message>,
     epochs: u64,
-    /// Steps taken of each kind.
-    taken: [u8; KINDS],
+    /// Number of steps taken so far of each kind.
+    step_counts: [u8; STEP_KINDS],
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Step {
-    Time,
-    Wants(usize),
-    Renews(usize),
-    GivesBack(usize),
-    AsksOther(usize, usize),
-    Dies(usize),
-    DividerDies,
-    Arrives(Mail),
+    Tick,
+    Acquire(usize),
+    Renew(usize),
+    Release(usize),
+    RequestTransfer(usize, usize),
+    Restart(usize),
+    ReplaceAllocator,
+    Deliver(Message),
 }
 
-/// Kinds of steps that are bounded, in the order above. Arrivals are not: a message that never arrives is lost.
-const KINDS: usize = 7;
+/// Number of step kinds that are bounded, which are the first ones of [`Step`]. Deliveries are not bounded: a message that is
+/// never delivered is lost.
+const STEP_KINDS: usize = 7;
 
 impl Step {
     fn kind(&self) -> Option<usize> {
         match self {
-            Step::Time => Some(0),
-            Step::Wants(_) => Some(1),
-            Step::Renews(_) => Some(2),
-            Step::GivesBack(_) => Some(3),
-            Step::AsksOther(..) => Some(4),
-            Step::Dies(_) => Some(5),
-            Step::DividerDies => Some(6),
-            Step::Arrives(_) => None,
+            Step::Tick => Some(0),
+            Step::Acquire(_) => Some(1),
+            Step::Renew(_) => Some(2),
+            Step::Release(_) => Some(3),
+            Step::RequestTransfer(..) => Some(4),
+            Step::Restart(_) => Some(5),
+            Step::ReplaceAllocator => Some(6),
+            Step::Deliver(_) => None,
         }
     }
 }
 
-/// Members' clocks run at true time; the divider's is faster by so many thousandths.
+/// The model. Members' clocks run at true time and the allocator's runs fast.
 #[derive(Clone)]
-struct Game {
-    terms: Terms,
-    divider_fast: u64,
-    most: [u8; KINDS],
-    want: Grains,
+struct LeaseModel {
+    terms: LeaseTerms,
+    /// How much faster the allocator's clock runs, in thousandths.
+    allocator_drift_per_mille: u64,
+    /// Maximum number of steps of each kind.
+    max_steps: [u8; STEP_KINDS],
+    /// Units requested by [`Step::Acquire`].
+    wanted: Units,
     #[cfg(feature = "planted")]
-    planted: Option<Planted>,
+    planted: Option<PlantedFault>,
 }
 
-impl Game {
-    fn divider(&self, epoch: u64, now: u64) -> Divider {
-        let now = self.at_divider(now);
-        let made = match epoch {
-            1 => Divider::first(epoch, WHOLE, self.terms, now),
-            _ => Divider::following(epoch, WHOLE, self.terms, now),
+impl LeaseModel {
+    fn new_allocator(&self, epoch: u64, now: u64) -> Allocator {
+        let now = self.allocator_time(now);
+        let allocator = match epoch {
+            1 => Allocator::first(epoch, BUDGET, self.terms, now),
+            _ => Allocator::successor(epoch, BUDGET, self.terms, now),
         };
         #[cfg(feature = "planted")]
         if let Some(planted) = self.planted {
-            return made.with(planted);
+            return allocator.with_fault(planted);
         }
-        made
+        allocator
     }
 
-    fn at_divider(&self, now: u64) -> u64 {
-        now + now * self.divider_fast / 1000
+    fn allocator_time(&self, now: u64) -> u64 {
+        now + now * self.allocator_drift_per_mille / 1000
     }
 
-    fn arrives(&self, fleet: &mut Fleet, mail: Mail) -> Option<()> {
-        let now = fleet.now;
-        match mail {
-            Mail::Said(from, say) => {
-                let grant = fleet.divider.hear(self.at_divider(now), from, &say, WHOLE);
-                fleet.mail.extend(grant.map(|g| Mail::Granted(from, g)));
+    fn deliver(&self, state: &mut FleetState, message: Message) -> Option<()> {
+        let now = state.now;
+        match message {
+            Message::ToAllocator(from, message) => {
+                let grant = state.allocator.handle(self.allocator_time(now), from, &message, BUDGET);
+                state.messages.extend(grant.map(|g| Message::Grant(from, g)));
             }
-            Mail::Granted(to, grant) => member_of(fleet, to)?.granted(now, &grant),
-            Mail::Asked(from, to, ask) => {
-                let passed = member_of(fleet, to)?.passes(now, from, ask, 1)?;
-                fleet.mail.insert(Mail::Passed(from, passed));
+            Message::Grant(to, grant) => find_member(state, to)?.apply_grant(now, &grant),
+            Message::TransferRequest(from, to, sequence) => {
+                let transfer = find_member(state, to)?.transfer(now, from, sequence, 1)?;
+                state.messages.insert(Message::Transfer(from, transfer));
             }
-            Mail::Passed(to, passed) => member_of(fleet, to)?.takes(now, &passed),
+            Message::Transfer(to, transfer) => find_member(state, to)?.accept_transfer(now, &transfer),
         }
         Some(())
     }
 }
 
-fn member_of(fleet: &mut Fleet, id: MemberId) -> Option<&mut Member> {
-    fleet.members.iter_mut().find(|(of, _)| *of == id).map(|(_, member)| member)
+fn find_member(state: &mut FleetState, id: MemberId) -> Option<&mut Member> {
+    state.members.iter_mut().find(|(member_id, _)| *member_id == id).map(|(_, member)| member)
 }
 
-impl Model for Game {
-    type State = Fleet;
+impl Model for LeaseModel {
+    type State = FleetState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<Fleet> {
-        let of = |position| MemberId { position, born: 0 };
-        let members = (0..MEMBERS as u32).map(|p| (of(p), Member::new(of(p), self.terms))).collect();
-        let (divider, mail) = (self.divider(1, 0), BTreeSet::new());
-        vec![Fleet { now: 0, divider, members, mail, epochs: 1, taken: [0; KINDS] }]
+    fn init_states(&self) -> Vec<FleetState> {
+        let id = |position| MemberId { position, incarnation: 0 };
+        let members = (0..MEMBER_COUNT as u32).map(|p| (id(p), Member::new(id(p), self.terms))).collect();
+        let (allocator, messages) = (self.new_allocator(1, 0), BTreeSet::new());
+        vec![FleetState { now: 0, allocator, members, messages, epochs: 1, step_counts: [0; STEP_KINDS] }]
     }
 
-    fn actions(&self, fleet: &Fleet, steps: &mut Vec<Step>) {
-        let mut all = vec![Step::Time, Step::DividerDies];
-        for m in 0..MEMBERS {
-            all.extend([Step::GivesBack(m), Step::Renews(m), Step::Dies(m)]);
-            // The members are alike at the start: the second asks after the first, the third after both.
-            let fresh = |n: usize| fleet.members[n].1 == Member::new(fleet.members[n].0, self.terms);
+    fn actions(&self, state: &FleetState, steps: &mut Vec<Step>) {
+        let mut all = vec![Step::Tick, Step::ReplaceAllocator];
+        for m in 0..MEMBER_COUNT {
+            all.extend([Step::Release(m), Step::Renew(m), Step::Restart(m)]);
+            // Members are interchangeable at the start. To reduce the states, the second requests only after the first
+            // and the third only after both.
+            let fresh = |n: usize| state.members[n].1 == Member::new(state.members[n].0, self.terms);
             if (0..m).all(|n| !fresh(n)) {
-                all.push(Step::Wants(m));
-                all.extend((0..MEMBERS).filter(|o| *o != m).map(|o| Step::AsksOther(m, o)));
+                all.push(Step::Acquire(m));
+                all.extend((0..MEMBER_COUNT).filter(|o| *o != m).map(|o| Step::RequestTransfer(m, o)));
             }
         }
-        let may = |s: &Step| s.kind().is_some_and(|kind| fleet.taken[kind] < self.most[kind]);
-        steps.extend(all.into_iter().filter(may));
-        steps.extend(fleet.mail.iter().cloned().map(Step::Arrives));
+        let allowed = |s: &Step| s.kind().is_some_and(|kind| state.step_counts[kind] < self.max_steps[kind]);
+        steps.extend(all.into_iter().filter(allowed));
+        steps.extend(state.messages.iter().cloned().map(Step::Deliver));
     }
 
-    fn next_state(&self, last: &Fleet, step: Step) -> Option<Fleet> {
-        let mut fleet = last.clone();
+    fn next_state(&self, last: &FleetState, step: Step) -> Option<FleetState> {
+        let mut state = last.clone();
         if let Some(kind) = step.kind() {
-            fleet.taken[kind] += 1;
+            state.step_counts[kind] += 1;
         }
-        let now = fleet.now;
+        let now = state.now;
         match step {
-            Step::Time => {
-                fleet.now += TICK;
-                // What is over makes no difference between states.
-                fleet.divider.settle(self.at_divider(fleet.now));
-                fleet.members.iter_mut().for_each(|(_, member)| member.settle(now + TICK));
+            Step::Tick => {
+                state.now += TICK_MS;
+                // Expired leases are removed, so that states that differ only in them are equal.
+                state.allocator.expire(self.allocator_time(state.now));
+                state.members.iter_mut().for_each(|(_, member)| member.expire(now + TICK_MS));
             }
-            Step::Wants(m) => {
-                let (id, member) = &mut fleet.members[m];
-                let say = member.wants(now, self.want);
-                fleet.mail.insert(Mail::Said(*id, say));
+            Step::Acquire(m) => {
+                let (id, member) = &mut state.members[m];
+                let message = member.acquire(now, self.wanted);
+                state.messages.insert(Message::ToAllocator(*id, message));
             }
-            Step::Renews(m) => {
-                let (id, member) = &mut fleet.members[m];
-                let part = member.parts().next()?.0;
-                let say = member.renews(now, part)?;
-                fleet.mail.insert(Mail::Said(*id, say));
+            Step::Renew(m) => {
+                let (id, member) = &mut state.members[m];
+                let lease = member.leases().next()?.0;
+                let message = member.renew(now, lease)?;
+                state.messages.insert(Message::ToAllocator(*id, message));
             }
-            Step::GivesBack(m) => {
-                let (id, member) = &mut fleet.members[m];
-                let (part, grains, _) = member.parts().next()?;
-                let say = member.gives_back(now, part, grains / 2)?;
-                fleet.mail.insert(Mail::Said(*id, say));
+            Step::Release(m) => {
+                let (id, member) = &mut state.members[m];
+                let (lease, units, _) = member.leases().next()?;
+                let message = member.release(now, lease, units / 2)?;
+                state.messages.insert(Message::ToAllocator(*id, message));
             }
-            Step::AsksOther(m, other) => {
-                let to = fleet.members[other].0;
-                let (id, member) = &mut fleet.members[m];
-                let Say::More { ask, .. } = member.wants(now, 1) else { return None };
-                fleet.mail.insert(Mail::Asked(*id, to, ask));
+            Step::RequestTransfer(m, other) => {
+                let to = state.members[other].0;
+                let (id, member) = &mut state.members[m];
+                let MemberMessage::Acquire { sequence, .. } = member.acquire(now, 1) else { return None };
+                state.messages.insert(Message::TransferRequest(*id, to, sequence));
             }
-            Step::Dies(m) => {
-                let (id, member) = &mut fleet.members[m];
-                if member.holds(now) == 0 {
+            Step::Restart(m) => {
+                let (id, member) = &mut state.members[m];
+                if member.usable(now) == 0 {
                     return None;
                 }
-                id.born += 1;
+                id.incarnation += 1;
                 *member = Member::new(*id, self.terms);
             }
-            Step::DividerDies => {
-                fleet.epochs += 1;
-                fleet.divider = self.divider(fleet.epochs, now);
+            Step::ReplaceAllocator => {
+                state.epochs += 1;
+                state.allocator = self.new_allocator(state.epochs, now);
             }
-            Step::Arrives(mail) => self.arrives(&mut fleet, mail)?,
+            Step::Deliver(message) => self.deliver(&mut state, message)?,
         }
-        Some(fleet)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(WITHIN, |_, fleet: &Fleet| held(fleet) <= WHOLE),
-            Property::sometimes("all of it is held", |_, fleet: &Fleet| held(fleet) == WHOLE),
+            Property::always(WITHIN_BUDGET, |_, state: &FleetState| usable(state) <= BUDGET),
+            Property::sometimes("the whole budget is held", |_, state: &FleetState| usable(state) == BUDGET),
         ]
     }
 }
 
-const WITHIN: &str = "parts sum to at most the whole";
+const WITHIN_BUDGET: &str = "usable units sum to at most the budget";
 
-fn held(fleet: &Fleet) -> Grains {
-    fleet.members.iter().map(|(_, m)| m.holds(fleet.now)).sum()
+fn usable(state: &FleetState) -> Units {
+    state.members.iter().map(|(_, m)| m.usable(state.now)).sum()
 }
 
-/// Clocks 20% apart, so that it shows within few steps of time.
-fn game(most: [u8; KINDS], want: Grains) -> Game {
-    Game {
-        terms: Terms { term_ms: 3 * TICK, drift_ppm: 200_000 },
-        divider_fast: 200,
-        most,
-        want,
+/// A model in which clocks are 20% apart, so that the drift has an effect within a few ticks.
+fn model(max_steps: [u8; STEP_KINDS], wanted: Units) -> LeaseModel {
+    LeaseModel {
+        terms: LeaseTerms { lease_ms: 3 * TICK_MS, max_drift_ppm: 200_000 },
+        allocator_drift_per_mille: 200,
+        max_steps,
+        wanted,
         #[cfg(feature = "planted")]
         planted: None,
     }
 }
 
-fn holds(game: Game) {
-    let most = game.most;
-    let checked = game.checker().spawn_bfs().join();
-    println!("{most:?}: {} states", checked.unique_state_count());
+fn check(model: LeaseModel) {
+    let max_steps = model.max_steps;
+    let checked = model.checker().spawn_bfs().join();
+    println!("{max_steps:?}: {} states", checked.unique_state_count());
     checked.assert_properties();
 }
 
 #[test]
-fn parts_that_are_wanted_and_gone_on_with_stay_within_the_whole() {
-    holds(game([4, 3, 1, 0, 0, 0, 0], 1));
+fn acquired_and_renewed_leases_stay_within_the_budget() {
+    check(model([4, 3, 1, 0, 0, 0, 0], 1));
 }
 
 #[test]
-fn parts_given_back_stay_within_the_whole() {
-    holds(game([4, 2, 1, 1, 0, 0, 0], 2));
+fn released_leases_stay_within_the_budget() {
+    check(model([4, 2, 1, 1, 0, 0, 0], 2));
 }
 
 #[test]
-fn parts_passed_on_stay_within_the_whole() {
-    holds(game([4, 2, 1, 0, 1, 0, 0], 2));
+fn transferred_leases_stay_within_the_budget() {
+    check(model([4, 2, 1, 0, 1, 0, 0], 2));
 }
 
 #[test]
-fn members_that_die_lose_their_parts_until_their_end() {
-    holds(game([5, 2, 1, 0, 0, 1, 0], 2));
+fn leases_of_a_restarted_member_count_until_they_expire() {
+    check(model([5, 2, 1, 0, 0, 1, 0], 2));
 }
 
 #[test]
-fn a_divider_that_follows_another_grants_nothing_twice() {
-    holds(game([6, 2, 1, 0, 0, 0, 1], 2));
+fn successor_allocator_grants_no_outstanding_units() {
+    check(model([6, 2, 1, 0, 0, 0, 1], 2));
 }
 
-/// The checker itself can fail: with clocks further apart than is stated.
+/// Shows that the model check can fail: clocks drift further apart than the terms allow.
 #[test]
-fn clocks_further_apart_than_stated_are_found() {
-    let apart = Game { divider_fast: 1500, ..game([2, 3, 0, 0, 0, 0, 0], 1) };
-    assert!(apart.checker().spawn_bfs().join().discovery(WITHIN).is_some());
+fn drift_beyond_the_terms_violates_the_invariant() {
+    let excessive_drift = LeaseModel { allocator_drift_per_mille: 1500, ..model([2, 3, 0, 0, 0, 0, 0], 1) };
+    assert!(excessive_drift.checker().spawn_bfs().join().discovery(WITHIN_BUDGET).is_some());
 }
 
 #[cfg(feature = "planted")]
 #[test]
 fn planted_faults_are_found() {
-    let early = Game { divider_fast: 600, ..game([2, 3, 0, 0, 0, 0, 0], 1) };
-    let twice = game([1, 2, 0, 1, 0, 0, 0], 2);
-    for (planted, game) in [(Planted::Early, early), (Planted::Twice, twice)] {
-        let found = |planted| {
-            let game = Game { planted, ..game.clone() };
-            game.checker().spawn_bfs().join().discovery(WITHIN).is_some()
+    let early_expiry = LeaseModel { allocator_drift_per_mille: 600, ..model([2, 3, 0, 0, 0, 0, 0], 1) };
+    let repeated_release = model([1, 2, 0, 1, 0, 0, 0], 2);
+    for (planted, model) in
+        [(PlantedFault::EarlyExpiry, early_expiry), (PlantedFault::RepeatedRelease, repeated_release)]
+    {
+        let violated = |planted| {
+            let model = LeaseModel { planted, ..model.clone() };
+            model.checker().spawn_bfs().join().discovery(WITHIN_BUDGET).is_some()
         };
-        assert!(found(Some(planted)), "{planted:?}");
-        assert!(!found(None), "{planted:?}: found without it");
+        assert!(violated(Some(planted)), "{planted:?}: fault not detected");
+        assert!(!violated(None), "{planted:?}: violated without the fault");
     }
 }
