--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -56,8 +56,8 @@
 use fawnhill::planted::{self, Fault};
 pub use fawnhill::Millis;
 use fawnhill::{
-    Action, Condition, Event, Firms, Limiter, Load, Outcome, Request, RequestId, ServerEntry, ServerId,
-    Settings,
+    Action, Condition, CustomerCounts, Event, Limiter, Load, Outcome, Request, RequestId, ServerEntry,
+    ServerId, Settings,
 };
 use marldeal_snapshot::{Assessment, Snapshot, SnapshotKind};
 use timers::Timers;
@@ -205,7 +205,7 @@
     Log(String),
 }
 
-/// Numbers of requests end here and begin anew; the module has a use for those above ([`fawnhill::Limiter::prefetch`]).
+/// Numbers of requests end here and begin anew; the module has a use for those above ([`fawnhill::Limiter::enable_prefetch`]).
 const MOST_ID: RequestId = (1 << 31) - 1;
 
 struct Open {
@@ -275,14 +275,14 @@
         })
     }
 
-    /// Holds units of quotas ahead of need from now on ([`fawnhill::Limiter::prefetch`]).
+    /// Holds units of quotas ahead of need from now on ([`fawnhill::Limiter::enable_prefetch`]).
     pub fn prefetch(&mut self, most: usize) {
-        self.limiter.prefetch(most);
+        self.limiter.enable_prefetch(most);
     }
 
     /// What became of units held ahead; nothing where none are.
-    pub fn prefetched(&self) -> Option<fawnhill::Prefetched> {
-        self.limiter.prefetched()
+    pub fn prefetched(&self) -> Option<fawnhill::PrefetchCounts> {
+        self.limiter.prefetch_counts()
     }
 
     /// Takes in what has happened and adds to `out` what is to be done, in this order. The id that a request got, if
@@ -294,7 +294,7 @@
         match input {
             Input::Servers { whole, entries } => {
                 self.roster(whole, entries);
-                if planted::is(Fault::Shout) {
+                if planted::is_active(Fault::Shout) {
                     out.push(Output::SendMessage { to: None, body: Vec::new() });
                 }
             }
@@ -322,14 +322,14 @@
             Input::Streaming { id, attempt } => self.streams(now, id, attempt),
             Input::ClientDisconnected { id } => {
                 if self.settle(id, RequestOutcome::Aborted) {
-                    self.events.push_back(Event::ClientGone { id });
+                    self.events.push_back(Event::ClientDisconnected { id });
                 }
             }
             Input::MessageReceived { from, body } => {
-                if planted::is(Fault::Echo) {
+                if planted::is_active(Fault::Echo) {
                     self.echo(now, from, &body);
                 }
-                self.events.push_back(Event::Heard { from, body });
+                self.events.push_back(Event::MessageReceived { from, body });
             }
             Input::TimerExpired => self.fire(now, out),
         }
@@ -341,7 +341,7 @@
     pub fn next_due(&mut self) -> Option<Millis> {
         let Engine { timers, limiter, out, open, .. } = self;
         timers.next_due(|_, what| match what {
-            Due::Wake(token) => limiter.wants(*token),
+            Due::Wake(token) => limiter.wake_is_needed(*token),
             Due::Cap(id, attempt) => out.contains_key(&(*id, *attempt)),
             Due::Deadline(id) => open.contains_key(id),
         })
@@ -349,7 +349,7 @@
 
     /// Whether a server of the roster takes new work.
     pub fn accepts_requests(&self, server: &ServerId) -> bool {
-        self.servers.get(server).is_some_and(|takes| *takes || planted::is(Fault::Drain))
+        self.servers.get(server).is_some_and(|takes| *takes || planted::is_active(Fault::Drain))
     }
 
     /// A server of the roster takes new work.
@@ -359,17 +359,17 @@
 
     /// A request could be served: a server takes work, and the module is ready to let requests in.
     pub fn ready(&self, now: Millis) -> bool {
-        self.has_servers() && self.limiter.settled(now)
+        self.has_servers() && self.limiter.is_ready(now)
     }
 
     /// How many customers are remembered, and what became of others.
-    pub fn firms(&self) -> Firms {
-        self.limiter.firms()
+    pub fn firms(&self) -> CustomerCounts {
+        self.limiter.customer_counts()
     }
 
     /// New names come so fast that the module refuses those it has never seen.
     pub fn flooding(&self) -> bool {
-        self.limiter.flooding()
+        self.limiter.refuses_new_customers()
     }
 
     /// What has been counted of requests and attempts.
@@ -384,12 +384,12 @@
 
     /// Servers of the roster that the module avoids now.
     pub fn ejected_servers(&self, now: Millis) -> usize {
-        self.limiter.avoided(now)
+        self.limiter.avoided_servers(now)
     }
 
     /// What is known at `now`, for another process to go on with; `grade` says what this one does from here on.
     pub fn snapshot(&self, now: Millis, kind: SnapshotKind) -> Snapshot {
-        Snapshot { kind, written_ms: now, next_request: self.next, knowledge: self.limiter.knowledge(now) }
+        Snapshot { kind, written_ms: now, next_request: self.next, knowledge: self.limiter.export_state(now) }
     }
 
     /// Takes over what is believed of another process's snapshot. Only before the first request: what this one had
@@ -398,9 +398,9 @@
         match belief {
             Assessment::SameLimiter { knowledge, next_request } => {
                 self.next = self.next.max(next_request);
-                self.limiter.learn(now, &knowledge, true);
+                self.limiter.import_state(now, &knowledge, true);
             }
-            Assessment::Hints { knowledge } => self.limiter.learn(now, &knowledge, false),
+            Assessment::Hints { knowledge } => self.limiter.import_state(now, &knowledge, false),
             Assessment::Expired { .. } => {}
         }
     }
@@ -550,7 +550,7 @@
                     if self.settle(id, RequestOutcome::Aborted) {
                         out.push(Output::Log(format!("request {id}: failed at its deadline")));
                         out.push(Output::Answer { id, answer: Answer::Failed });
-                        self.events.push_back(Event::ClientGone { id });
+                        self.events.push_back(Event::ClientDisconnected { id });
                     }
                 }
             }
@@ -577,7 +577,7 @@
             Action::Refuse { id, retry_ms } => self.answer(id, Answer::Refused { retry_ms }, out),
             Action::Fail { id } => self.answer(id, Answer::Failed, out),
             Action::Wake { after_ms, token } => self.timers.push(now + after_ms.max(0.0), Due::Wake(token)),
-            Action::Tell { to, body } => out.push(Output::SendMessage { to, body }),
+            Action::SendMessage { to, body } => out.push(Output::SendMessage { to, body }),
             Action::CloseIdle { server } => out.push(Output::CloseIdle { server }),
             // The watch is always on; asking again only freshens it.
             Action::Subscribe(_) => out.push(Output::RefreshWatch),
@@ -643,7 +643,7 @@
             Answer::Refused { .. } => RequestOutcome::Declined,
             Answer::Failed => RequestOutcome::Aborted,
         };
-        if self.settle(id, end) && !(planted::is(Fault::Answer) && id.is_multiple_of(500)) {
+        if self.settle(id, end) && !(planted::is_active(Fault::Answer) && id.is_multiple_of(500)) {
             out.push(Output::Answer { id, answer });
         }
     }
--- a/crates/engine/src/tampered.rs
+++ b/crates/engine/src/tampered.rs
@@ -24,7 +24,7 @@
     pub(crate) fn echo(&mut self, now: Millis, from: u32, body: &[u8]) {
         let (at, kept) = self.echoes.entry(from).or_default();
         if now - *at > AWAY_MS {
-            self.events.extend(kept.drain(..).map(|body| Event::Heard { from, body }));
+            self.events.extend(kept.drain(..).map(|body| Event::MessageReceived { from, body }));
         }
         *at = now;
         kept.push(body.to_vec());
@@ -36,7 +36,7 @@
     /// A request that was stopped past its deadline is sent on.
     pub(crate) fn thaws(&self, now: Millis, id: RequestId) -> bool {
         let stopped = || self.open.get(&id).is_some_and(|o| now - o.deadline > STOPPED_MS);
-        planted::is(Fault::Thaw) && stopped()
+        planted::is_active(Fault::Thaw) && stopped()
     }
 
     /// Sends it to the first server that takes work.
--- a/crates/faults/src/ground/mod.rs
+++ b/crates/faults/src/ground/mod.rs
@@ -309,7 +309,7 @@
     });
     let watched = Rc::downgrade(&stage);
     stage.mail.observed(Box::new(move |from, to, given, body| {
-        let (Some(stage), Some(lines)) = (watched.upgrade(), fawnhill::spoken(body)) else { return };
+        let (Some(stage), Some(lines)) = (watched.upgrade(), fawnhill::line_kinds(body)) else { return };
         let mut state = stage.state.borrow_mut();
         let now = state.now();
         state.judges.see(now, &Seen::Words { from, to, given, lines: &lines });
--- a/crates/rehearsal/src/account.rs
+++ b/crates/rehearsal/src/account.rs
@@ -5,7 +5,7 @@
 //! the virtual world has none (`marldeal-bench slopes` measures it on a process). *Control* is what limiters say to one
 //! another and hear of the roster; requests, attempts and their answers are data and not in it. Nothing here does I/O.
 
-use fawnhill::{Millis, RequestId, Spoken};
+use fawnhill::{LineKind, Millis, RequestId};
 use hdrhistogram::Histogram;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -107,13 +107,13 @@
     }
 
     /// A limiter has sent a message.
-    pub fn sent(&mut self, now: Millis, limiter: usize, bytes: usize, lines: &[Spoken]) {
+    pub fn sent(&mut self, now: Millis, limiter: usize, bytes: usize, lines: &[LineKind]) {
         if self.counts(now) {
             let out = &mut self.limiters[limiter].out;
             *out = [out[0] + 1, out[1] + bytes as u64];
         }
         for line in lines {
-            if let Spoken::Ask(id) = line {
+            if let LineKind::Ask(id) = line {
                 if let Some(wait) = self.waits.get_mut(&(limiter, *id)) {
                     wait.asked = wait.asked.or(Some(now));
                 }
@@ -122,13 +122,13 @@
     }
 
     /// A limiter has taken a message in.
-    pub fn heard(&mut self, now: Millis, limiter: usize, bytes: usize, lines: &[Spoken]) {
+    pub fn heard(&mut self, now: Millis, limiter: usize, bytes: usize, lines: &[LineKind]) {
         if self.counts(now) {
             let heard = &mut self.limiters[limiter].heard;
             *heard = [heard[0] + 1, heard[1] + bytes as u64];
         }
         for line in lines {
-            if let Spoken::Word(id) = line {
+            if let LineKind::Reply(id) = line {
                 if let Some(wait) = self.waits.get_mut(&(limiter, *id)) {
                     wait.word = Some(now);
                 }
--- a/crates/rehearsal/src/observe.rs
+++ b/crates/rehearsal/src/observe.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use fawnhill::{Millis, RequestId, Spoken};
+use fawnhill::{LineKind, Millis, RequestId};
 use serde::{Deserialize, Serialize};
 
 /// One thing that was seen from outside, or that a limiter told in its log.
@@ -31,7 +31,7 @@
         /// It was given to its receiver; else taken from its sender.
         given: bool,
         /// What it says.
-        lines: &'a [Spoken],
+        lines: &'a [LineKind],
     },
     /// Once a second: what a node holds, and how many it can have in work.
     Load {
@@ -174,11 +174,11 @@
         let mut broken = None;
         for line in *lines {
             match line {
-                Spoken::Ask(id) if *given => {
+                LineKind::Ask(id) if *given => {
                     let asked = self.asked.entry((*to, *from, *id)).or_insert((0, now));
                     *asked = (asked.0 + 1, now);
                 }
-                Spoken::Word(id) if !given => match self.asked.get_mut(&(*from, *to, *id)) {
+                LineKind::Reply(id) if !given => match self.asked.get_mut(&(*from, *to, *id)) {
                     Some((waiting @ 1.., _)) => *waiting -= 1,
                     _ => {
                         let what = format!(
@@ -314,7 +314,7 @@
     #[test]
     fn a_question_that_came_twice_may_be_answered_twice_and_no_more() {
         let words = |at: Millis, from, to, given, lines| (at, Seen::Words { from, to, given, lines });
-        let (ask, word) = ([Spoken::Ask(7)], [Spoken::Word(7)]);
+        let (ask, word) = ([LineKind::Ask(7)], [LineKind::Reply(7)]);
         let good =
             [words(0.0, 1, 2, true, &ask), words(1.0, 1, 2, true, &ask), words(2.0, 2, 1, false, &word)];
         let mut judge = OneWordAnAsk::default();
--- a/crates/rehearsal/src/world/limiters.rs
+++ b/crates/rehearsal/src/world/limiters.rs
@@ -85,7 +85,7 @@
     pub(super) fn mails(&mut self, from: usize, to: Option<u32>, body: &[u8]) {
         let all = 0..self.limiters.len();
         let peers = all.filter(|peer| *peer != from && to.is_none_or(|to| to as usize == *peer));
-        let lines = fawnhill::spoken(body).unwrap_or_default();
+        let lines = fawnhill::line_kinds(body).unwrap_or_default();
         for peer in peers.collect::<Vec<_>>() {
             self.account.sent(self.now, from, body.len(), &lines);
             let mut arrivals = Vec::new();
@@ -100,7 +100,7 @@
 
     pub(super) fn mail_arrives(&mut self, limiter: usize, from: u32, body: Vec<u8>) {
         if self.post.takes_in(self.now, limiter) {
-            let lines = fawnhill::spoken(&body).unwrap_or_default();
+            let lines = fawnhill::line_kinds(&body).unwrap_or_default();
             self.account.heard(self.now, limiter, body.len(), &lines);
             self.tell(limiter, Input::MessageReceived { from, body });
         } else {
--- a/crates/rehearsal/tests/growth.rs
+++ b/crates/rehearsal/tests/growth.rs
@@ -25,7 +25,7 @@
 
 #[cfg(feature = "planted")]
 fn looks() -> u64 {
-    planted::looks()
+    planted::checks_counted()
 }
 
 #[cfg(not(feature = "planted"))]
@@ -50,12 +50,12 @@
     #[cfg(feature = "planted")]
     {
         assert!(looks() > 0, "looks are counted");
-        planted::choose(Some(planted::Fault::Sweep));
+        planted::activate(Some(planted::Fault::Sweep));
         let [_, looked] = growth();
         assert!(looked > MOST_TIMES, "work for each server on each request is found: {looked:.2}");
-        planted::choose(Some(planted::Fault::Shout));
+        planted::activate(Some(planted::Fault::Shout));
         let [messages, _] = growth();
         assert!(messages > MOST_TIMES, "a word to every peer on each change is found: {messages:.2}");
-        planted::choose(None);
+        planted::activate(None);
     }
 }
--- a/crates/rehearsal/tests/planted.rs
+++ b/crates/rehearsal/tests/planted.rs
@@ -2,7 +2,7 @@
 //! that shows it is shrunk to what matters. `cargo test -p marldeal-rehearsal --features planted --test planted`.
 #![cfg(feature = "planted")]
 
-use fawnhill::planted::{choose, Fault};
+use fawnhill::planted::{activate, Fault};
 use marldeal_rehearsal::rules::Rule;
 use marldeal_rehearsal::scenario::{Repeats, Scenario};
 use marldeal_rehearsal::{library, shrink};
@@ -40,12 +40,12 @@
 fn each_planted_fault_is_found_and_shrunk() {
     for fault in [Fault::Answer, Fault::Effect, Fault::Drain, Fault::Cold, Fault::Ceiling] {
         let (scenario, rule) = scenario(fault);
-        choose(None);
+        activate(None);
         assert!(
             (1..=SEEDS).all(|seed| shrink::breaks(&scenario, seed, rule).is_none()),
             "{fault:?}: found without it"
         );
-        choose(Some(fault));
+        activate(Some(fault));
         let found = (1..=SEEDS).find(|seed| shrink::breaks(&scenario, *seed, rule).is_some());
         let seed = found.unwrap_or_else(|| panic!("{fault:?} is not found within {SEEDS} seeds"));
         let shrunk = shrink::shrink(&scenario, seed, rule, 120).scenario;
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -14,7 +14,7 @@
 //! #     fall_multiple: 3.0, fall_ms: 2000.0, firms: 10_000,
 //! # };
 //! let limiter = Limiter::new(settings.clone(), 42, 0.0)?;
-//! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, knowledge: limiter.knowledge(500.0) };
+//! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, knowledge: limiter.export_state(500.0) };
 //! let bytes = snapshot.to_bytes(&settings);
 //! let read = Snapshot::from_bytes(&bytes, &settings).expect("what was written");
 //! assert!(matches!(assess(read, 510.0), Assessment::SameLimiter { .. }));
@@ -26,7 +26,7 @@
 
 use std::fmt;
 
-use fawnhill::knowledge::Knowledge;
+use fawnhill::limiter_state::LimiterState;
 use fawnhill::{Millis, RequestId, Settings};
 use serde::{Deserialize, Serialize};
 
@@ -64,7 +64,7 @@
     /// The writer's requests have numbers below this.
     pub next_request: RequestId,
     /// What it knew.
-    pub knowledge: Knowledge,
+    pub knowledge: LimiterState,
 }
 
 /// Why bytes are no snapshot to go by.
@@ -117,8 +117,8 @@
             // The accounts come last to go: what they tell is not known elsewhere.
             let k = &mut kept.knowledge;
             k.customers.truncate(k.customers.len() / 2);
-            k.words.truncate(k.words.len() / 2);
-            if k.customers.len() + k.words.len() < 1000 {
+            k.grants.truncate(k.grants.len() / 2);
+            if k.customers.len() + k.grants.len() < 1000 {
                 k.accounts.truncate(k.accounts.len() / 2);
                 k.servers.truncate(k.servers.len() / 2);
             }
@@ -171,14 +171,14 @@
     /// It is the same limiter from now on.
     SameLimiter {
         /// As of now.
-        knowledge: Knowledge,
+        knowledge: LimiterState,
         /// Its requests have numbers from here on.
         next_request: RequestId,
     },
     /// It starts anew, and knows this of servers, rates and demand.
     Hints {
         /// As of now, discounted.
-        knowledge: Knowledge,
+        knowledge: LimiterState,
     },
     /// It starts anew.
     Expired {
@@ -212,27 +212,27 @@
 }
 
 /// The same, told so much later.
-fn later(k: &mut Knowledge, ms: Millis) {
+fn later(k: &mut LimiterState, ms: Millis) {
     k.started.0 += ms;
     let fade = |(sum, span): &mut (f64, Millis)| *sum *= (-ms / *span).exp();
     for (_, s) in &mut k.servers {
-        s.aside.0 = (s.aside.0 - ms).max(0.0);
+        s.ejected.0 = (s.ejected.0 - ms).max(0.0);
         s.full = (s.full - ms).max(0.0);
-        s.answered += ms;
-        fade(&mut s.heard);
+        s.since_answer += ms;
+        fade(&mut s.answers);
         if let Some((since, level)) = &mut s.cold {
             *since += ms;
             level.1 += ms;
         }
     }
     for (_, c) in &mut k.customers {
-        c.even.1 += ms;
-        c.told.1 += ms;
+        c.equal_share.1 += ms;
+        c.demand.1 += ms;
     }
     k.accounts.iter_mut().for_each(|(_, a)| a.ago += ms);
-    k.lent.iter_mut().for_each(|(ago, ..)| *ago += ms);
-    k.out.iter_mut().for_each(|(ago, _)| *ago += ms);
-    for (_, cells) in &mut k.owed {
+    k.leased.iter_mut().for_each(|(ago, ..)| *ago += ms);
+    k.open_grants.iter_mut().for_each(|(ago, _)| *ago += ms);
+    for (_, cells) in &mut k.deficits {
         cells.iter_mut().for_each(|(_, owes)| *owes -= ms);
         cells.retain(|(_, owes)| *owes > 0.0);
     }
@@ -245,11 +245,11 @@
 }
 
 /// What an old word on a server or a customer is still worth.
-fn discount(k: &mut Knowledge, ms: Millis) {
+fn discount(k: &mut LimiterState, ms: Millis) {
     let stays = (-ms / HEALTH_MS).exp();
     for (_, s) in &mut k.servers {
         s.errors *= stays;
-        s.heard.0 *= stays;
+        s.answers.0 *= stays;
         s.silences = (f64::from(s.silences) * stays) as u32;
         // What its part held has been spent by others meanwhile, as far as is known here.
         if let Some((_, level)) = &mut s.cold {
@@ -258,7 +258,7 @@
     }
     for (_, c) in &mut k.customers {
         // What filled up meanwhile was there to be spent meanwhile.
-        c.even.1 = 0.0;
-        c.room = 0.0;
+        c.equal_share.1 = 0.0;
+        c.store_left = 0.0;
     }
 }
--- a/crates/snapshot/tests/snapshot.rs
+++ b/crates/snapshot/tests/snapshot.rs
@@ -128,7 +128,7 @@
     let (old, now, _) = used();
     let mut snapshot = old.snapshot(now, SnapshotKind::Running);
     for (_, s) in &mut snapshot.knowledge.servers {
-        (s.errors, s.silences, s.aside) = (0.4, 3, (5000.0, 8000.0));
+        (s.errors, s.silences, s.ejected) = (0.4, 3, (5000.0, 8000.0));
     }
     let at = |age: f64| assess(snapshot.clone(), now + age);
     let errors = |b: Assessment| match b {
@@ -138,7 +138,7 @@
     assert!((errors(at(0.0)) - 0.4).abs() < 1e-9);
     assert!(errors(at(10_000.0)) < 0.2 && errors(at(10_000.0)) > 0.1);
     let Assessment::Hints { knowledge } = at(20_000.0) else { panic!("hints") };
-    assert_eq!((knowledge.servers[0].1.silences, knowledge.servers[0].1.aside.0), (0, 0.0));
+    assert_eq!((knowledge.servers[0].1.silences, knowledge.servers[0].1.ejected.0), (0, 0.0));
     assert_eq!(at(MAX_AGE_MS + 1.0), Assessment::Expired { age_ms: MAX_AGE_MS + 1.0 });
     // A clock that went back is no age.
     assert!((errors(at(-5000.0)) - 0.4).abs() < 1e-9);
--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -49,7 +49,7 @@
 
     /// What a second execution of a request would do.
     pub fn effect(&self, request: &Request) -> marldeal_permit::Effect {
-        if planted::is(Fault::Effect) {
+        if planted::is_active(Fault::Effect) {
             return marldeal_permit::Effect::Safe;
         }
         let class = self.config.settings.classes.get(request.class);
--- a/marldeal/src/run.rs
+++ b/marldeal/src/run.rs
@@ -28,8 +28,8 @@
 /// One plain line: what cannot be read, or listened on.
 pub fn run(extensions: Option<&Path>) -> Result<(), String> {
     #[cfg(feature = "planted")]
-    fawnhill::planted::choose(
-        std::env::var("MARLDEAL_PLANTED").ok().and_then(|f| fawnhill::planted::Fault::named(&f)),
+    fawnhill::planted::activate(
+        std::env::var("MARLDEAL_PLANTED").ok().and_then(|f| fawnhill::planted::Fault::from_name(&f)),
     );
     let inherited = upgrade::inherit::listener()?;
     let runtime = transient::retried_blocking(|| {
--- a/marldeal/src/settings/config.rs
+++ b/marldeal/src/settings/config.rs
@@ -116,13 +116,13 @@
 
 /// Customers that so much memory has room for.
 fn firms(memory_mb: f64) -> u32 {
-    (memory_mb * FIRMS_PART * f64::from(1 << 20) / Settings::BYTES_A_FIRM as f64).clamp(0.0, 1e9) as u32
+    (memory_mb * FIRMS_PART * f64::from(1 << 20) / Settings::BYTES_PER_CUSTOMER as f64).clamp(0.0, 1e9) as u32
 }
 
 /// The least memory that serves: for the connections and customers, and for the program beside them.
 fn least_mb() -> f64 {
     let connections = LEAST_CONNECTIONS as f64 * (CLIENT_MB + SERVER_MB);
-    let firms = f64::from(LEAST_FIRMS) * Settings::BYTES_A_FIRM as f64 / f64::from(1 << 20);
+    let firms = f64::from(LEAST_FIRMS) * Settings::BYTES_PER_CUSTOMER as f64 / f64::from(1 << 20);
     (connections + firms + PROGRAM_MB).ceil()
 }
 
@@ -261,7 +261,7 @@
             }
         };
         settings.firms = firms(memory_mb).max(LEAST_FIRMS);
-        found.extend(fawnhill::mistakes(&settings).into_iter().map(|what| wrong("settings", what)));
+        found.extend(fawnhill::validation_errors(&settings).into_iter().map(|what| wrong("settings", what)));
         if !found.is_empty() {
             return Err(found);
         }
--- a/marldeal/tests/faults.rs
+++ b/marldeal/tests/faults.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use fawnhill::Spoken;
+use fawnhill::LineKind;
 use marldeal_faults::figures::Run;
 use marldeal_faults::processes::Program;
 use marldeal_faults::{ground, plans};
@@ -130,7 +130,7 @@
 
     fn see(&mut self, _: f64, seen: &Seen<'_>) -> Option<String> {
         if let Seen::Words { lines, given: false, .. } = seen {
-            let ahead = |line: &&Spoken| matches!(line, Spoken::Ask(id) if id >> 31 == 1);
+            let ahead = |line: &&LineKind| matches!(line, LineKind::Ask(id) if id >> 31 == 1);
             self.0.fetch_add(lines.iter().filter(ahead).count() as u64, Ordering::Relaxed);
         }
         None
--- a/src/accounts.rs
+++ b/src/accounts.rs
@@ -131,11 +131,11 @@
     (1000.0 * plan.burst / plan.rate.max(1e-9)).clamp(DEMAND_MS.0, DEMAND_MS.1)
 }
 
-impl Firms {
+impl CustomerCounts {
     pub(crate) fn forgot(&mut self, fate: Evictability) {
         match fate {
-            Evictability::Lossless => self.forgotten_full += 1,
-            _ => self.forgotten_owing += 1,
+            Evictability::Lossless => self.evicted_full += 1,
+            _ => self.evicted_with_deficit += 1,
         }
     }
 
@@ -143,7 +143,7 @@
         format!(
             "firms: {held} of {most} remembered: {what} (forgotten full {}, owing {}; strangers refused {}; decided \
              without a record {})",
-            self.forgotten_full, self.forgotten_owing, self.strangers, self.unrecorded
+            self.evicted_full, self.evicted_with_deficit, self.new_refused, self.decided_without_record
         )
     }
 }
@@ -183,7 +183,7 @@
                 + Table::<CustomerId, Account>::new(firms, 1).max_bytes();
             let bytes = tables + 3 * DeficitSketch::new(firms / FIRMS_A_CELL, 1).bytes();
             let each = bytes as f64 / firms as f64;
-            assert!(each <= Settings::BYTES_A_FIRM as f64, "{each} bytes each of {firms}");
+            assert!(each <= Settings::BYTES_PER_CUSTOMER as f64, "{each} bytes each of {firms}");
         }
     }
 }
--- a/src/firms.rs
+++ b/src/customers.rs
@@ -64,13 +64,13 @@
 
 impl Limiter {
     /// New names come so fast that strangers are refused, as of the last step.
-    pub fn flooding(&self) -> bool {
+    pub fn refuses_new_customers(&self) -> bool {
         self.press == Press::Flooded
     }
 
     /// How many customers are remembered, and what became of others.
-    pub fn firms(&self) -> Firms {
-        Firms { customers: self.customers.len(), accounts: self.accounts.len(), ..self.counts }
+    pub fn customer_counts(&self) -> CustomerCounts {
+        CustomerCounts { customers: self.customers.len(), accounts: self.accounts.len(), ..self.counts }
     }
 
     /// What is remembered of a request's customer; nothing of a stranger while new names come too fast.
@@ -80,7 +80,7 @@
         if !known {
             self.strangers.add(now, 1.0);
             if self.flooded() && !self.lately.check_and_insert(now, &id) {
-                self.counts.strangers += 1;
+                self.counts.new_refused += 1;
                 return None;
             }
             let fresh = self.fresh_customer(request);
@@ -247,7 +247,7 @@
             (Press::Flooded, _) => "strangers are let in again",
             _ => "below the bound again",
         };
-        Some(self.firms().line(held, most, what))
+        Some(self.customer_counts().line(held, most, what))
     }
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -105,14 +105,14 @@
     pub fall_multiple: f64,
     /// ...for this long.
     pub fall_ms: Millis,
-    /// Customers remembered at most; [`Settings::BYTES_A_FIRM`] for each.
+    /// Customers remembered at most; [`Settings::BYTES_PER_CUSTOMER`] for each.
     pub firms: u32,
 }
 
 impl Settings {
     /// Bytes that a customer takes at most, in this limiter's part as a member and as a keeper, with its share of the
     /// indexes and sketches; `marldeal-bench firms` measures it.
-    pub const BYTES_A_FIRM: usize = 200;
+    pub const BYTES_PER_CUSTOMER: usize = 200;
 
     /// The longest aim of a class, in milliseconds.
     pub(crate) fn longest_ms(&self) -> Millis {
@@ -122,19 +122,19 @@
 
 /// How many customers are remembered, and what became of others since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Firms {
+pub struct CustomerCounts {
     /// Remembered as a member.
     pub customers: usize,
     /// Remembered as a keeper.
     pub accounts: usize,
     /// Forgotten for want of room with nothing owed.
-    pub forgotten_full: u64,
+    pub evicted_full: u64,
     /// Forgotten for want of room while they owed, which is carried on.
-    pub forgotten_owing: u64,
+    pub evicted_with_deficit: u64,
     /// Requests of strangers refused while new names came too fast.
-    pub strangers: u64,
+    pub new_refused: u64,
     /// Asks decided without a record, since none could go.
-    pub unrecorded: u64,
+    pub decided_without_record: u64,
 }
 
 /// What the server list says of a server.
@@ -253,7 +253,7 @@
         load: Load,
     },
     /// The client has left; nothing is owed.
-    ClientGone {
+    ClientDisconnected {
         /// Which request.
         id: RequestId,
     },
@@ -272,7 +272,7 @@
         load: Load,
     },
     /// A peer has told something.
-    Heard {
+    MessageReceived {
         /// The sender's position.
         from: u32,
         /// What it told.
@@ -338,7 +338,7 @@
         server: ServerId,
     },
     /// Tell peers something, 256 bytes at most.
-    Tell {
+    SendMessage {
         /// A position, or none for all peers.
         to: Option<u32>,
         /// What.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -41,19 +41,19 @@
 #![warn(missing_docs)]
 
 mod accounts;
-mod firms;
+mod customers;
 pub mod interface;
-pub mod knowledge;
-mod legal;
+pub mod limiter_state;
 mod message;
 pub mod planted;
 pub mod policy;
 mod prefetch;
 mod slow_start;
 mod state;
+mod validation;
 
 pub use interface::*;
-pub use legal::mistakes;
-pub use message::{spoken, Spoken};
+pub use message::{line_kinds, LineKind};
 pub use policy::Limiter;
-pub use prefetch::Prefetched;
+pub use prefetch::PrefetchCounts;
+pub use validation::validation_errors;
--- a/src/knowledge.rs
+++ b/src/limiter_state.rs
@@ -19,31 +19,31 @@
 
 /// All of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct LimiterState {
     /// How long ago the limiter started, and its start as peers know it.
     pub started: (Millis, u32),
     /// Servers, with their ids.
-    pub servers: Vec<(String, Health)>,
+    pub servers: Vec<(String, ServerState)>,
     /// What a member remembers of customers.
-    pub customers: Vec<(CustomerId, Member)>,
+    pub customers: Vec<(CustomerId, CustomerState)>,
     /// What a keeper holds for customers.
-    pub accounts: Vec<(CustomerId, Kept)>,
+    pub accounts: Vec<(CustomerId, AccountState)>,
     /// Words that a keeper gave: position and start of the member, its request, customer, units, and whether it was
     /// granted, counts as out, and is done.
-    pub words: Vec<(u32, u32, RequestId, CustomerId, f64, [bool; 3])>,
+    pub grants: Vec<(u32, u32, RequestId, CustomerId, f64, [bool; 3])>,
     /// Units granted under ceilings: how long ago, whose, how many.
-    pub lent: Vec<(Millis, CustomerId, f64)>,
+    pub leased: Vec<(Millis, CustomerId, f64)>,
     /// Grants that count as out: how long ago, and whose.
-    pub out: Vec<(Millis, (u32, u32, RequestId))>,
+    pub open_grants: Vec<(Millis, (u32, u32, RequestId))>,
     /// What forgotten customers owe: even parts, stores, ceilings.
-    pub owed: [Sketch; 3],
+    pub deficits: [Sketch; 3],
     /// Limits, rates and the rest of the feedback.
-    pub feedback: Feedback,
+    pub feedback: FeedbackState,
 }
 
 /// What is known of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Health {
+pub struct ServerState {
     /// Smoothed latency and share of errors.
     pub latency: Millis,
     /// Smoothed share of errors.
@@ -51,39 +51,39 @@
     /// Silent attempts in a row.
     pub silences: u32,
     /// Set aside for so much longer, and for how long at a time.
-    pub aside: (Millis, Millis),
+    pub ejected: (Millis, Millis),
     /// Passed over as full for so much longer.
     pub full: Millis,
     /// It last answered so long ago.
-    pub answered: Millis,
+    pub since_answer: Millis,
     /// It counts as cold since so long ago, and what its part holds.
     pub cold: Option<(Millis, Level)>,
     /// Answers of late.
-    pub heard: Faded,
+    pub answers: Faded,
 }
 
 /// A member's record of a customer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct CustomerState {
     /// Its even part.
-    pub even: Level,
+    pub equal_share: Level,
     /// Units in the keeper's store, as told last.
-    pub room: f64,
+    pub store_left: f64,
     /// Demand as a multiple of the quota, and how long ago a keeper told it.
-    pub told: (f32, Millis),
+    pub demand: (f32, Millis),
     /// Units refused by chance since the last ask.
-    pub unasked: f32,
+    pub unreported: f32,
     /// Limiters of its set.
     pub spread: u16,
     /// Its plan.
     pub plan: u8,
     /// Seen more than once.
-    pub known: bool,
+    pub seen_before: bool,
 }
 
 /// A keeper's account of a customer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct AccountState {
     /// How long ago the levels were so.
     pub ago: Millis,
     /// Units in the store and in the ceiling's part, units lent under it.
@@ -100,7 +100,7 @@
 
 /// The feedback's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Feedback {
+pub struct FeedbackState {
     /// Slot limit and numBigQueries.
     pub limit: [f64; 2],
     /// Means of own latency, all latency and refusals as full: sum and count.
@@ -113,7 +113,7 @@
     pub units: Vec<f64>,
 }
 
-impl Knowledge {
+impl LimiterState {
     /// Whether it can belong to these settings; what it can not is named.
     ///
     /// # Errors
@@ -121,14 +121,19 @@
     pub fn fits(&self, settings: &Settings) -> Result<(), String> {
         let plans = settings.plans.len();
         let fine = |x: &f64| x.is_finite();
-        let customer = |(_, c): &(CustomerId, Member)| {
-            usize::from(c.plan) < plans && c.spread > 0 && fine(&c.even.0) && fine(&c.even.1) && fine(&c.room)
+        let customer = |(_, c): &(CustomerId, CustomerState)| {
+            usize::from(c.plan) < plans
+                && c.spread > 0
+                && fine(&c.equal_share.0)
+                && fine(&c.equal_share.1)
+                && fine(&c.store_left)
         };
-        let account = |(_, a): &(CustomerId, Kept)| {
+        let account = |(_, a): &(CustomerId, AccountState)| {
             let figures = a.levels.iter().chain(&a.rates).chain([&a.ago]);
             usize::from(a.plan) < plans && a.rank < 3 && figures.into_iter().all(fine)
         };
-        let server = |(_, s): &(String, Health)| fine(&s.latency) && fine(&s.errors) && fine(&s.heard.0);
+        let server =
+            |(_, s): &(String, ServerState)| fine(&s.latency) && fine(&s.errors) && fine(&s.answers.0);
         let f = &self.feedback;
         let figures = f.limit.iter().chain(&f.figures).chain(&f.units);
         let faded = f.means.iter().flat_map(|(a, b)| [a, b]).chain(&f.rates);
@@ -157,7 +162,7 @@
 
 impl Limiter {
     /// All that it knows at `now`. Customers beyond a bound are told by what they owe alone.
-    pub fn knowledge(&self, now: Millis) -> Knowledge {
+    pub fn export_state(&self, now: Millis) -> LimiterState {
         let ago = |at: Millis| now - at;
         let mut owed = [&self.owed.evens, &self.owed.stores, &self.owed.ceilings].map(|d| d.remaining(now));
         let (customers, rest): (Vec<_>, Vec<_>) =
@@ -177,20 +182,20 @@
         }
         let means = [&self.own, &self.latency, &self.full];
         let rates = [&self.done, &self.aims, &self.hold_rate, &self.admit_rate, &self.ghosts, &self.wanted];
-        Knowledge {
+        LimiterState {
             started: (ago(self.born), self.incarnation),
             servers: self.servers.iter().map(|(id, s)| (id.to_string(), health(s, now))).collect(),
             customers: customers.into_iter().map(|(_, (id, c))| (*id, member(c, now))).collect(),
             accounts: accounts.into_iter().map(|(_, (id, a))| (*id, kept(a, now))).collect(),
-            words: self
+            grants: self
                 .grants
                 .iter()
                 .map(|(k, g)| (k.0, k.1, k.2, g.customer, g.units, [g.granted, g.open, g.done]))
                 .collect(),
-            lent: self.lent.told().map(|(at, customer, units)| (ago(at), customer, units)).collect(),
-            out: self.opened.iter().map(|(at, key)| (ago(*at), *key)).collect(),
-            owed,
-            feedback: Feedback {
+            leased: self.lent.told().map(|(at, customer, units)| (ago(at), customer, units)).collect(),
+            open_grants: self.opened.iter().map(|(at, key)| (ago(*at), *key)).collect(),
+            deficits: owed,
+            feedback: FeedbackState {
                 limit: [self.limit, self.big],
                 means: means.map(|m| (faded(&m.sum, now), faded(&m.count, now))),
                 rates: rates.map(|r| faded(r, now)),
@@ -202,7 +207,7 @@
 
     /// Takes another limiter's knowledge over, as of `now`, in place of its own; the roster stays its own. `same`: that
     /// one has stopped, and this one goes on in its place, also to its peers. Otherwise accounts start as at any start.
-    pub fn learn(&mut self, now: Millis, known: &Knowledge, same: bool) {
+    pub fn import_state(&mut self, now: Millis, known: &LimiterState, same: bool) {
         let at = |ago: Millis| now - ago;
         if same {
             (self.born, self.incarnation) = (at(known.started.0), known.started.1);
@@ -223,14 +228,14 @@
                 };
                 let _ = self.accounts.insert(now, *id, account);
             }
-            for (from, born, id, customer, units, [granted, open, done]) in &known.words {
+            for (from, born, id, customer, units, [granted, open, done]) in &known.grants {
                 let grant =
                     Grant { customer: *customer, units: *units, granted: *granted, open: *open, done: *done };
                 let _ = self.grants.insert(now, (*from, *born, *id), grant);
             }
-            self.lent.hear(known.lent.iter().map(|(ago, customer, units)| (at(*ago), *customer, *units)));
-            self.opened = known.out.iter().map(|(ago, key)| (at(*ago), *key)).collect();
-            let [evens, stores, ceilings] = &known.owed;
+            self.lent.hear(known.leased.iter().map(|(ago, customer, units)| (at(*ago), *customer, *units)));
+            self.opened = known.open_grants.iter().map(|(ago, key)| (at(*ago), *key)).collect();
+            let [evens, stores, ceilings] = &known.deficits;
             self.owed.evens.restore(now, evens);
             self.owed.stores.restore(now, stores);
             self.owed.ceilings.restore(now, ceilings);
@@ -238,25 +243,25 @@
         for (id, c) in &known.customers {
             // Whoever told it may go on spending its part of a ceiling.
             let ceiled = self.settings.plans[usize::from(c.plan)].ceiling_rate > 0.0;
-            let even = if same || !ceiled { (c.even.0, at(c.even.1)) } else { (0.0, now) };
+            let even = if same || !ceiled { (c.equal_share.0, at(c.equal_share.1)) } else { (0.0, now) };
             let customer = Customer {
                 even: Store { level: even.0, at: even.1 },
-                room: c.room,
-                told_at: at(c.told.1),
-                told: c.told.0,
-                unasked: c.unasked,
+                room: c.store_left,
+                told_at: at(c.demand.1),
+                told: c.demand.0,
+                unasked: c.unreported,
                 spread: c.spread,
                 plan: c.plan,
-                known: c.known,
+                known: c.seen_before,
             };
             let _ = self.customers.insert(now, *id, customer);
         }
         for (id, h) in &known.servers {
             let Some(s) = self.servers.get_mut(id.as_str()) else { continue };
             (s.latency, s.errors, s.silences) = (h.latency, h.errors, h.silences);
-            (s.aside_until, s.aside_for) = (now + h.aside.0, h.aside.1);
-            (s.full_until, s.last_answer) = (now + h.full, at(h.answered));
-            s.heard = fading(h.heard, now);
+            (s.aside_until, s.aside_for) = (now + h.ejected.0, h.ejected.1);
+            (s.full_until, s.last_answer) = (now + h.full, at(h.since_answer));
+            s.heard = fading(h.answers, now);
             // The roster may tell of a later start; that one's part then holds nothing yet.
             if let (Some((ago, (level, level_ago))), Some(from)) = (h.cold, s.cold_from) {
                 if at(ago) + 1.0 >= from {
@@ -274,33 +279,33 @@
     }
 }
 
-fn health(s: &Server, now: Millis) -> Health {
-    Health {
+fn health(s: &Server, now: Millis) -> ServerState {
+    ServerState {
         latency: s.latency,
         errors: s.errors,
         silences: s.silences,
-        aside: ((s.aside_until - now).max(0.0), s.aside_for),
+        ejected: ((s.aside_until - now).max(0.0), s.aside_for),
         full: (s.full_until - now).max(0.0),
-        answered: now - s.last_answer,
+        since_answer: now - s.last_answer,
         cold: s.cold_from.map(|from| (now - from, (s.cold.level, now - s.cold.at))),
-        heard: faded(&s.heard, now),
+        answers: faded(&s.heard, now),
     }
 }
 
-fn member(c: &Customer, now: Millis) -> Member {
-    Member {
-        even: (c.even.level, now - c.even.at),
-        room: c.room,
-        told: (c.told, now - c.told_at),
-        unasked: c.unasked,
+fn member(c: &Customer, now: Millis) -> CustomerState {
+    CustomerState {
+        equal_share: (c.even.level, now - c.even.at),
+        store_left: c.room,
+        demand: (c.told, now - c.told_at),
+        unreported: c.unasked,
         spread: c.spread,
         plan: c.plan,
-        known: c.known,
+        seen_before: c.known,
     }
 }
 
-fn kept(a: &Account, now: Millis) -> Kept {
-    Kept {
+fn kept(a: &Account, now: Millis) -> AccountState {
+    AccountState {
         ago: now - a.at,
         levels: [a.store, a.ceiling, a.lent],
         rates: [a.demand, a.let_in],
--- a/src/message.rs
+++ b/src/message.rs
@@ -196,22 +196,22 @@
 
 /// A line of a message as observers see it: whose request it is about is the asker's number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spoken {
+pub enum LineKind {
     /// A member asks, or tells what it has spent.
     Ask(RequestId),
     /// A keeper answers.
-    Word(RequestId),
+    Reply(RequestId),
     /// A member is done.
     Done(RequestId),
 }
 
 /// What a datagram between limiters says; nothing if it is not one of ours in full.
-pub fn spoken(body: &[u8]) -> Option<Vec<Spoken>> {
+pub fn line_kinds(body: &[u8]) -> Option<Vec<LineKind>> {
     let (_, _, lines) = read_message(body)?;
     let say = |line: &Line| match line {
-        Line::Ask(a) => Spoken::Ask(a.id),
-        Line::Word(w) => Spoken::Word(w.id),
-        Line::Done(d) => Spoken::Done(d.id),
+        Line::Ask(a) => LineKind::Ask(a.id),
+        Line::Word(w) => LineKind::Reply(w.id),
+        Line::Done(d) => LineKind::Done(d.id),
     };
     Some(lines.iter().map(say).collect())
 }
--- a/src/planted.rs
+++ b/src/planted.rs
@@ -27,7 +27,7 @@
 
 impl Fault {
     /// By its name in small letters.
-    pub fn named(name: &str) -> Option<Fault> {
+    pub fn from_name(name: &str) -> Option<Fault> {
         let all = [
             Fault::Answer,
             Fault::Effect,
@@ -51,39 +51,39 @@
 
 /// Counts a look at a server; gives its place back.
 #[cfg(feature = "planted")]
-pub fn look(at: usize) -> usize {
+pub fn count_check(at: usize) -> usize {
     LOOKS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     at
 }
 
 /// Looks at servers of all limiters of this process so far.
 #[cfg(feature = "planted")]
-pub fn looks() -> u64 {
+pub fn checks_counted() -> u64 {
     LOOKS.load(std::sync::atomic::Ordering::Relaxed)
 }
 
 /// Counts nothing.
 #[cfg(not(feature = "planted"))]
 #[inline(always)]
-pub const fn look(at: usize) -> usize {
+pub const fn count_check(at: usize) -> usize {
     at
 }
 
 /// Plants one fault in all limiters of this process, or none.
 #[cfg(feature = "planted")]
-pub fn choose(fault: Option<Fault>) {
+pub fn activate(fault: Option<Fault>) {
     CHOSEN.store(fault.map_or(0, |f| f as u8), std::sync::atomic::Ordering::SeqCst);
 }
 
 /// Whether a fault is planted.
 #[cfg(feature = "planted")]
-pub fn is(fault: Fault) -> bool {
+pub fn is_active(fault: Fault) -> bool {
     CHOSEN.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
 /// Whether a fault is planted: none is.
 #[cfg(not(feature = "planted"))]
 #[inline(always)]
-pub const fn is(_: Fault) -> bool {
+pub const fn is_active(_: Fault) -> bool {
     false
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -6,15 +6,15 @@
 use marldeal_permit::may_retry;
 
 use crate::accounts::{even, part, GRANT_MS};
-use crate::firms::{keeper, most, MOST_TERMS, TOLD_MS};
+use crate::customers::{keeper, most, MOST_TERMS, TOLD_MS};
 use crate::interface::*;
-use crate::legal::check;
 use crate::message::{has_room, message, read_message, Ask, Done, Line, Word};
 use crate::planted::{self, Fault};
 use crate::prefetch::is_ahead;
 use crate::slow_start::Start;
 pub use crate::state::Limiter;
 use crate::state::*;
+use crate::validation::check;
 
 // Feedback (CASA).
 /// Slot limit at the start: generous; it binds once the error turns positive.
@@ -118,7 +118,7 @@
 
     /// Whether clients may come: the ceilings kept here, which start as if spent, have filled, or others
     /// serve already and are short of this limiter.
-    pub fn settled(&self, now: Millis) -> bool {
+    pub fn is_ready(&self, now: Millis) -> bool {
         let fill_ms = |p: &Plan| 1000.0 * (p.ceiling_burst + p.ceiling_slack) / p.ceiling_rate;
         let ceiled = self.settings.plans.iter().filter(|p| p.ceiling_rate > 0.0);
         let longest = ceiled.map(|p| GRANT_MS + fill_ms(p)).fold(0.0, f64::max).min(MOST_SETTLE_MS);
@@ -126,7 +126,7 @@
     }
 
     /// Servers of the list that get nothing now if it can be helped: set aside, or silent.
-    pub fn avoided(&self, now: Millis) -> usize {
+    pub fn avoided_servers(&self, now: Millis) -> usize {
         self.servers.values().filter(|s| now < s.aside_until || s.falls_silent()).count()
     }
 
@@ -156,9 +156,9 @@
                     self.pump(out);
                 }
             }
-            Event::ClientGone { id } => drop(self.withdraw(id, false, out)),
+            Event::ClientDisconnected { id } => drop(self.withdraw(id, false, out)),
             Event::Wake { token } => self.on_wake(token, out),
-            Event::Heard { from, body } => self.on_heard(from, &body, out),
+            Event::MessageReceived { from, body } => self.on_heard(from, &body, out),
             Event::Probed { .. } | Event::Counted { .. } => {}
         }
     }
@@ -313,7 +313,7 @@
         // A wake-up comes up to one round late.
         let at = self.now + self.settings.round_ms;
         let since = request.may_have_run.map(|(sent, ..)| sent);
-        planted::is(Fault::Effect) || may_retry(at, repeated(class), since).is_ok()
+        planted::is_active(Fault::Effect) || may_retry(at, repeated(class), since).is_ok()
     }
 
     /// Gives the final answer: a refusal where nothing can have run, else a failure that promises nothing.
@@ -717,7 +717,7 @@
         let under = !ceiled || (recorded && lent.len() < MOST_TERMS && a.ceiling - units >= lowest);
         // What a member has spent takes its units in any case, but from the quota alone: it had its own part
         // of the ceiling.
-        let free = ask.spent || planted::is(Fault::Ceiling);
+        let free = ask.spent || planted::is_active(Fault::Ceiling);
         let mut granted = (free || (inside && room && under)) && ask.plan == a.plan;
         // Its end must be heard of, and its repeat be known.
         let open = granted && !ask.spent && plan.open > 0;
@@ -748,7 +748,7 @@
         }
         let word = word(granted, a);
         if let Some(a) = passing {
-            counts.unrecorded += 1;
+            counts.decided_without_record += 1;
             self.carry_on(customer, &a);
         }
         Some(word)
@@ -806,7 +806,7 @@
         while self.mail.level >= 1.0 {
             let Some((to, lines)) = self.next_mail(most) else { break };
             self.mail.level -= 1.0;
-            out.push(Action::Tell { to: Some(to), body: message(self.incarnation, share, &lines) });
+            out.push(Action::SendMessage { to: Some(to), body: message(self.incarnation, share, &lines) });
         }
         if !self.mail_due && !self.outbox.is_empty() && rate > 0.0 {
             self.mail_due = true;
@@ -849,7 +849,7 @@
         // behind and is asked all again. A word is shorter than its ask, so that one message holds them.
         if !words.is_empty() {
             let body = message(self.incarnation, self.own.value(self.now), &words);
-            out.push(Action::Tell { to: Some(from), body });
+            out.push(Action::SendMessage { to: Some(from), body });
         }
     }
 
@@ -904,7 +904,7 @@
         let own = |at: usize| (at + all - start) % all < choices;
         let (mut best, mut seen): (Option<(f64, &ServerId)>, usize) = (None, 0);
         let others = (others..others + all).filter(|at| !own(at % all));
-        for at in (start..start + choices).chain(others).map(|at| planted::look(at % all)) {
+        for at in (start..start + choices).chain(others).map(|at| planted::count_check(at % all)) {
             let id = &order[at];
             let Some(s) = servers.get_mut(id) else { continue };
             if !s.may_have(*now, *pace, own(at), settings) || !in_group(request, s, settings) {
@@ -917,7 +917,7 @@
                 best = Some((time, id));
             }
             seen += usize::from(!last);
-            if seen == choices && !planted::is(Fault::Sweep) {
+            if seen == choices && !planted::is_active(Fault::Sweep) {
                 break;
             }
         }
@@ -989,11 +989,11 @@
 
     /// Whether anything new may go there now: serving, not full, and within a cold one's part.
     fn may_have(&mut self, now: Millis, pace: f64, own: bool, settings: &Settings) -> bool {
-        let serves = self.entry.condition == Condition::Serving || planted::is(Fault::Drain);
+        let serves = self.entry.condition == Condition::Serving || planted::is_active(Fault::Drain);
         if !serves || now < self.full_until || self.falls_silent() {
             return false;
         }
-        let Some(from) = self.cold_from.filter(|_| !planted::is(Fault::Cold)) else { return true };
+        let Some(from) = self.cold_from.filter(|_| !planted::is_active(Fault::Cold)) else { return true };
         let age = (now - from) / settings.cold_ms.max(1.0);
         if age >= 1.0 {
             self.cold_from = None;
--- a/src/prefetch.rs
+++ b/src/prefetch.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 use crate::accounts::GRANT_MS;
-use crate::firms::{keeper, TOLD_MS};
+use crate::customers::{keeper, TOLD_MS};
 use crate::interface::*;
 use crate::message::{Ask, Done, Line, Word};
 use crate::state::*;
@@ -55,7 +55,7 @@
 
 /// What became of units held ahead, since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Prefetched {
+pub struct PrefetchCounts {
     /// Asks for units ahead, and those granted.
     pub asks: u64,
     /// See `asks`.
@@ -65,7 +65,7 @@
     /// Requests refused at once, since the keeper's store cannot hold their units yet.
     pub refused: u64,
     /// Units that lapsed unused and were told back.
-    pub lapsed_units: f64,
+    pub expired_units: f64,
     /// Customers that units are held or asked for now.
     pub customers: usize,
 }
@@ -139,7 +139,7 @@
     looks: BinaryHeap<Reverse<(u64, CustomerId)>>,
     next: RequestId,
     most: usize,
-    counts: Prefetched,
+    counts: PrefetchCounts,
 }
 
 impl Held {
@@ -239,14 +239,14 @@
 impl Limiter {
     /// Holds units ahead of need from now on, for so many customers at most; the requests of others wait for their word. As
     /// a keeper it counts what it grants ahead for as long as members may spend it.
-    pub fn prefetch(&mut self, most: usize) {
+    pub fn enable_prefetch(&mut self, most: usize) {
         self.lent.keeps = true;
         // A later process of the same limiter must not use a number again that its keepers still remember: moments in
         // milliseconds go up faster than asks.
         let next = AHEAD_BIT | self.now as u64 as u32;
         self.prefetch.get_or_insert_with(|| {
             let (held, looks) = (BTreeMap::new(), BinaryHeap::new());
-            Box::new(Prefetch { held, looks, next, most, counts: Prefetched::default() })
+            Box::new(Prefetch { held, looks, next, most, counts: PrefetchCounts::default() })
         });
     }
 
@@ -257,9 +257,9 @@
     }
 
     /// What became of units held ahead; nothing where none are.
-    pub fn prefetched(&self) -> Option<Prefetched> {
+    pub fn prefetch_counts(&self) -> Option<PrefetchCounts> {
         let p = self.prefetch.as_ref()?;
-        Some(Prefetched { customers: p.held.len(), ..p.counts })
+        Some(PrefetchCounts { customers: p.held.len(), ..p.counts })
     }
 
     /// Share of the quota's store that must be left for a member to spend unasked, `usual` where nothing is held ahead.
@@ -449,7 +449,7 @@
                 let lapsed = (now >= part.until || part.left <= NO_UNITS) && now - part.spent > GRANT_MS;
                 if lapsed {
                     back.push((part.keeper, Done { id: part.id, used: (part.units - part.left) as f32 }));
-                    p.counts.lapsed_units += part.left;
+                    p.counts.expired_units += part.left;
                 }
                 !lapsed
             });
--- a/src/prefetch/tests.rs
+++ b/src/prefetch/tests.rs
@@ -50,7 +50,7 @@
 fn filled(on: bool) -> Limiter {
     let mut limiter = Limiter::new(settings(first_keeper()), 1, BEGAN).expect("legal settings");
     if on {
-        limiter.prefetch(100);
+        limiter.enable_prefetch(100);
     }
     at(&mut limiter, BEGAN + 60_000.0);
     limiter
@@ -118,7 +118,7 @@
     let from_start = |on: bool, after: Millis| {
         let mut limiter = Limiter::new(settings(first_keeper()), 1, BEGAN).expect("legal settings");
         if on {
-            limiter.prefetch(100);
+            limiter.enable_prefetch(100);
         }
         // It owes its slack at the start, and fills from then on.
         let owed_ms = 1000.0 * (1.0 + 2.0 * 5.0 * 0.62) / (10.0 * 0.62);
@@ -136,9 +136,9 @@
     let ready_ms = |on: bool| {
         let mut limiter = Limiter::new(settings(0), 1, BEGAN).expect("legal settings");
         if on {
-            limiter.prefetch(100);
+            limiter.enable_prefetch(100);
         }
-        (0..200).map(|n| 100.0 * f64::from(n)).find(|ms| limiter.settled(BEGAN + ms)).expect("it gets ready")
+        (0..200).map(|n| 100.0 * f64::from(n)).find(|ms| limiter.is_ready(BEGAN + ms)).expect("it gets ready")
     };
     assert_eq!(ready_ms(true), ready_ms(false) + HELD_MS);
 }
@@ -147,7 +147,7 @@
 fn member() -> Limiter {
     let position = (first_keeper() + 1) % 3;
     let mut limiter = Limiter::new(settings(position), 1, BEGAN).expect("legal settings");
-    limiter.prefetch(100);
+    limiter.enable_prefetch(100);
     let server = ServerEntry {
         server: "s".into(),
         zone: 0,
--- a/src/state.rs
+++ b/src/state.rs
@@ -95,7 +95,7 @@
     pub(crate) strangers: Fading,
     pub(crate) lately: RecentKeys,
     pub(crate) press: Press,
-    pub(crate) counts: Firms,
+    pub(crate) counts: CustomerCounts,
     pub(crate) grants: Table<GrantKey, Grant>,
     /// Units granted under a ceiling, and grants that count as out: when, and whose, the oldest first.
     pub(crate) lent: Lent,
@@ -163,7 +163,7 @@
             strangers: Fading::new(now, most.pace_ms),
             lately: RecentKeys::new(most.lately, most.lately_ms, seed ^ 5),
             press: Press::Calm,
-            counts: Firms::default(),
+            counts: CustomerCounts::default(),
             grants: Table::fifo(most.grants, seed ^ 6),
             lent: Lent::default(),
             opened: VecDeque::new(),
@@ -219,7 +219,7 @@
     /// Whether a wake-up asked for still means something. One for a request that is over, an ask that was
     /// answered or an attempt that has ended does nothing when it comes, so that the caller need not wait for
     /// it; it may come all the same.
-    pub fn wants(&self, wake: u64) -> bool {
+    pub fn wake_is_needed(&self, wake: u64) -> bool {
         let open = || self.requests.get(&((wake >> 3) as RequestId));
         match wake & 7 {
             WAKE_DEADLINE | WAKE_AIM => open().is_some(),
--- a/src/legal.rs
+++ b/src/validation.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 
 /// Each value that cannot be served, named.
-pub fn mistakes(s: &Settings) -> Vec<String> {
+pub fn validation_errors(s: &Settings) -> Vec<String> {
     let fine = |x: f64| x.is_finite() && x >= 0.0;
     let class_ok = |c: &Class| c.aim_ms > 0.0 && fine(c.aim_ms) && fine(c.window_ms) && fine(c.late_worth);
     let plan_ok =
@@ -33,5 +33,5 @@
 
 /// An error that names the first value that cannot be served.
 pub fn check(s: &Settings) -> Result<(), String> {
-    mistakes(s).into_iter().next().map_or(Ok(()), Err)
+    validation_errors(s).into_iter().next().map_or(Ok(()), Err)
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -114,7 +114,7 @@
 
     /// Wake-ups that were asked for and still mean something.
     pub fn wanted(&self) -> usize {
-        self.wakes.iter().filter(|w| self.limiter.wants(w.0 .2)).count()
+        self.wakes.iter().filter(|w| self.limiter.wake_is_needed(w.0 .2)).count()
     }
 
     /// Lets time pass, with the wake-ups that fall into it.
@@ -128,7 +128,7 @@
             self.wakes.pop();
             self.now = self.now.max(f64::from_bits(at));
             // What the limiter says it does not want may be left out: it must do nothing.
-            let wanted = self.limiter.wants(token);
+            let wanted = self.limiter.wake_is_needed(token);
             let did = self.give(Event::Wake { token });
             assert!(wanted || did.is_empty(), "an unwanted wake-up led to {did:?}");
             out.extend(did);
@@ -193,7 +193,7 @@
     fn post(&mut self, from: usize, actions: Vec<Action>) -> Vec<Action> {
         let mut rest = Vec::new();
         for a in actions {
-            let Action::Tell { to: Some(to), body } = a else {
+            let Action::SendMessage { to: Some(to), body } = a else {
                 rest.push(a);
                 continue;
             };
@@ -239,7 +239,7 @@
                     .partition(|m| m.2 == p as u32 && m.0 <= self.now);
                 self.mail = later;
                 for (_, from, _, body) in due {
-                    actions.extend(self.rigs[p].give(Event::Heard { from, body }));
+                    actions.extend(self.rigs[p].give(Event::MessageReceived { from, body }));
                 }
                 out.extend(self.post(p, actions).into_iter().map(|a| (p, a)));
             }
--- a/tests/firms.rs
+++ b/tests/firms.rs
@@ -115,7 +115,10 @@
     }
     // And it is not starved either: the one keeper's part of 12 units a second for a minute.
     assert!(let_in > 0.9 * 0.62 * plan.ceiling_rate * 60.0, "{let_in}");
-    assert!(rig.limiter.firms().forgotten_full + rig.limiter.firms().forgotten_owing > 10_000);
+    assert!(
+        rig.limiter.customer_counts().evicted_full + rig.limiter.customer_counts().evicted_with_deficit
+            > 10_000
+    );
 }
 
 /// A flood of nothing but new names beside usual ones, which are neither pushed out nor refused.
@@ -140,10 +143,10 @@
         rig.pass(0.1);
     }
     assert_eq!(refused, 0, "usual customers");
-    let firms = rig.limiter.firms();
+    let firms = rig.limiter.customer_counts();
     assert!(firms.customers <= 1000 && firms.accounts <= 1000, "{firms:?}");
     // 10,000 a second against a table of 1,000: turned away at first sight once that is seen.
-    assert!(strangers < 20_000 && firms.strangers > 100_000, "{strangers} of 120000, {firms:?}");
+    assert!(strangers < 20_000 && firms.new_refused > 100_000, "{strangers} of 120000, {firms:?}");
 }
 
 #[test]
@@ -194,13 +197,13 @@
         for name in 0..100_000u64 {
             served(&mut rig, of(name, name as u32, FREE, 1.0));
         }
-        assert_eq!(rig.limiter.firms().customers, 100_000);
+        assert_eq!(rig.limiter.customer_counts().customers, 100_000);
         // Without steps while it is paused.
         rig.now += 59_000.0 + pause;
         let (mut most, mut held) = (0, 100_000);
         for _ in 0..200 {
             rig.pass(100.0);
-            let now = rig.limiter.firms().customers;
+            let now = rig.limiter.customer_counts().customers;
             (most, held) = (most.max(held - now), now);
         }
         assert_eq!(held, 0, "all are dropped in the end");
@@ -218,9 +221,9 @@
         served(&mut rig, of(name, name as u32, RATED, 1.0));
         rig.pass(2.0);
     }
-    assert!(rig.limiter.firms().customers >= 19_000);
+    assert!(rig.limiter.customer_counts().customers >= 19_000);
     rig.pass(3_600_000.0);
-    let firms = rig.limiter.firms();
+    let firms = rig.limiter.customer_counts();
     assert_eq!((firms.customers, firms.accounts), (0, 0));
     assert!(size(&rig) < before + 8000, "{} bytes of text before, {} after", before, size(&rig));
 }
@@ -236,14 +239,14 @@
         id += 1;
         let told = teller.ask(Request { customer: u64::from(id), ..request(id, SAFE, RATED) });
         bodies.extend(told.into_iter().chain(teller.pass(1.0)).filter_map(|a| match a {
-            Action::Tell { to: Some(0), body } => Some(body),
+            Action::SendMessage { to: Some(0), body } => Some(body),
             _ => None,
         }));
     }
     for body in bodies {
-        keeper.give(Event::Heard { from: 1, body });
+        keeper.give(Event::MessageReceived { from: 1, body });
     }
-    let accounts = keeper.limiter.firms().accounts;
+    let accounts = keeper.limiter.customer_counts().accounts;
     // 100 messages at once, of nine asks at most.
     assert!((100..=900).contains(&accounts), "{accounts}");
 }
--- a/tests/prefetch.rs
+++ b/tests/prefetch.rs
@@ -10,7 +10,7 @@
 /// Three limiters, of which the first `ahead` hold units ahead.
 fn tier(ahead: usize) -> Net {
     let mut net = Net::new((0..3).map(settings).collect(), 3, 5);
-    net.rigs[..ahead].iter_mut().for_each(|rig| rig.limiter.prefetch(MOST));
+    net.rigs[..ahead].iter_mut().for_each(|rig| rig.limiter.enable_prefetch(MOST));
     net
 }
 
@@ -145,15 +145,15 @@
 #[test]
 fn a_doubled_word_gives_no_units_twice() {
     let mut rig = Rig::new(settings(0), 3);
-    rig.limiter.prefetch(MOST);
+    rig.limiter.enable_prefetch(MOST);
     let mut other = Rig::new(settings(1), 3);
-    other.limiter.prefetch(MOST);
+    other.limiter.enable_prefetch(MOST);
     let keeper = |customer| {
         // A customer of which the second limiter is the first keeper: its ask goes there.
         let mut probe = Rig::new(settings(0), 3);
         let asked = (0..20).flat_map(|id| probe.ask(Request { customer, ..request(id, SAFE, CEILED) }));
         let to: Vec<u32> =
-            asked.filter_map(|a| if let Action::Tell { to, .. } = a { to } else { None }).collect();
+            asked.filter_map(|a| if let Action::SendMessage { to, .. } = a { to } else { None }).collect();
         to.first().copied()
     };
     let customer = (0..100).find(|c| keeper(*c) == Some(1)).expect("one of a hundred");
@@ -170,9 +170,9 @@
                     sent += 1;
                     rig.ended(id, 0, Outcome::Ok, 5.0);
                 }
-                Action::Tell { to: Some(1), body } => {
-                    for said in other.give(Event::Heard { from: 0, body }) {
-                        if let Action::Tell { to: Some(0), body } = said {
+                Action::SendMessage { to: Some(1), body } => {
+                    for said in other.give(Event::MessageReceived { from: 0, body }) {
+                        if let Action::SendMessage { to: Some(0), body } = said {
                             words.push(body);
                         }
                     }
@@ -182,7 +182,7 @@
         }
         for body in std::mem::take(&mut words) {
             for _ in 0..2 {
-                let more = rig.give(Event::Heard { from: 1, body: body.clone() });
+                let more = rig.give(Event::MessageReceived { from: 1, body: body.clone() });
                 for a in more {
                     if let Action::Send { id, .. } = a {
                         sent += 1;
@@ -198,7 +198,7 @@
     // fills 3 s after its start; the member's own is a tenth.
     let most = 0.72 * (12.0 * 12.0 + 63.0);
     assert!((60.0..=most).contains(&f64::from(sent)), "{sent} of {most}");
-    assert!(rig.limiter.prefetched().expect("on").granted > 0);
+    assert!(rig.limiter.prefetch_counts().expect("on").granted > 0);
 }
 
 /// The process stands still for 10 s while it holds units: none of them is spent when it goes on.
@@ -224,10 +224,10 @@
     drive(&mut net, RATED, 0, 10, 12);
     net.pass(8000.0);
     let lapsed: f64 =
-        net.rigs.iter().filter_map(|rig| rig.limiter.prefetched()).map(|p| p.lapsed_units).sum();
+        net.rigs.iter().filter_map(|rig| rig.limiter.prefetch_counts()).map(|p| p.expired_units).sum();
     assert!(lapsed > 0.0, "something was held when it fell silent");
     let customers: usize =
-        net.rigs.iter().filter_map(|rig| rig.limiter.prefetched()).map(|p| p.customers).sum();
+        net.rigs.iter().filter_map(|rig| rig.limiter.prefetch_counts()).map(|p| p.customers).sum();
     assert_eq!(customers, 0, "nothing is held for a customer that asks no more");
     let came = drive_at(&mut net, RATED, 10_000, 1, 100, |_| 1);
     assert!(came.sent() >= 11, "{came:?}");
@@ -240,7 +240,7 @@
         let mut net = tier(3);
         let first = drive(&mut net, CEILED, 0, 6, 100);
         net.restart(keeper, settings(keeper as u32), 3, 9);
-        net.rigs[keeper].limiter.prefetch(MOST);
+        net.rigs[keeper].limiter.enable_prefetch(MOST);
         let second = drive(&mut net, CEILED, 10_000, 6, 100);
         let mut both = Came { sends: first.sends, ..second };
         both.sends.extend(second_sends(&mut net, 20_000));
@@ -268,7 +268,7 @@
 #[test]
 fn no_more_customers_than_told_are_held_for() {
     let mut net = tier(0);
-    net.rigs.iter_mut().for_each(|rig| rig.limiter.prefetch(10));
+    net.rigs.iter_mut().for_each(|rig| rig.limiter.enable_prefetch(10));
     for id in 0..600 {
         for p in 0..3 {
             let customer = u64::from(id % 200);
@@ -277,7 +277,7 @@
         net.pass(4.0);
     }
     let held: Vec<usize> =
-        net.rigs.iter().filter_map(|rig| rig.limiter.prefetched()).map(|p| p.customers).collect();
+        net.rigs.iter().filter_map(|rig| rig.limiter.prefetch_counts()).map(|p| p.customers).collect();
     assert!(held.iter().all(|n| *n <= 10) && held.iter().any(|n| *n > 0), "{held:?}");
 }
 
@@ -289,22 +289,22 @@
         for position in 0..3 {
             let mut rig = Rig::new(settings(position), 3);
             if on {
-                rig.limiter.prefetch(MOST);
+                rig.limiter.enable_prefetch(MOST);
             }
             for id in 0..60 {
                 let mut out = rig.ask(request(id, SAFE, RATED));
                 out.extend(rig.pass(20.0));
                 let told = out.iter().filter_map(|a| {
-                    if let Action::Tell { body, .. } = a {
-                        spoken(body)
+                    if let Action::SendMessage { body, .. } = a {
+                        line_kinds(body)
                     } else {
                         None
                     }
                 });
                 ahead +=
-                    told.flatten().filter(|line| matches!(line, Spoken::Ask(id) if id >> 31 == 1)).count();
+                    told.flatten().filter(|line| matches!(line, LineKind::Ask(id) if id >> 31 == 1)).count();
             }
-            assert_eq!(rig.limiter.prefetched().is_some(), on);
+            assert_eq!(rig.limiter.prefetch_counts().is_some(), on);
         }
         ahead
     };
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -124,7 +124,7 @@
                     self.out.remove(id);
                     self.may_have_run.entry(*id).or_insert(self.sent_at[id]);
                 }
-                Action::Tell { body, .. } => prop_assert!(body.len() <= 256),
+                Action::SendMessage { body, .. } => prop_assert!(body.len() <= 256),
                 _ => {}
             }
         }
@@ -204,7 +204,7 @@
                         let actions = rig.pass(4.0);
                         watch.check(&s, now, &actions, &mut ceilings)?;
                         told.extend(actions.into_iter().filter_map(|a| match a {
-                            Action::Tell { to: Some(to), body } => Some((p, to, body)),
+                            Action::SendMessage { to: Some(to), body } => Some((p, to, body)),
                             _ => None,
                         }));
                     }
@@ -231,19 +231,19 @@
                     let at = usize::from(pick) % watch.open.len();
                     let id = *watch.open.keys().nth(at).expect("in range");
                     watch.open.remove(&id);
-                    let actions = rig.give(Event::ClientGone { id });
+                    let actions = rig.give(Event::ClientDisconnected { id });
                     watch.check(&s, now, &actions, &mut ceilings)?;
                 }
             }
             Step::Noise { limiter, from, body } => {
                 let (rig, watch) = &mut all[limiter];
-                let actions = rig.give(Event::Heard { from, body });
+                let actions = rig.give(Event::MessageReceived { from, body });
                 watch.check(&s, now, &actions, &mut ceilings)?;
             }
         }
         for (from, to, body) in told {
             let (rig, watch) = &mut all[to as usize];
-            let actions = rig.give(Event::Heard { from: from as u32, body });
+            let actions = rig.give(Event::MessageReceived { from: from as u32, body });
             watch.check(&s, now, &actions, &mut ceilings)?;
         }
     }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -230,7 +230,7 @@
         // A process that has just begun.
         (new.now, new.limiter) = (old.now, Limiter::new(member(), 1, old.now).expect("legal settings"));
         new.list(true, (0..3).map(entry).collect());
-        new.limiter.learn(old.now, &old.limiter.knowledge(old.now), same);
+        new.limiter.import_state(old.now, &old.limiter.export_state(old.now), same);
         asks(&mut new)
     };
     let of = |same, known| (1..=40u64).map(|n| let_in(same, known, n << 32)).sum::<usize>();
@@ -245,7 +245,7 @@
     let ask_of = |p: u32| {
         let mut rig = Rig::new(settings(p), 3);
         rig.ask(request(1, SAFE, RATED)).into_iter().find_map(|a| match a {
-            Action::Tell { to, body } => Some((to.expect("one keeper"), body)),
+            Action::SendMessage { to, body } => Some((to.expect("one keeper"), body)),
             _ => None,
         })
     };
@@ -254,7 +254,7 @@
         let mut keeper = Rig::new(settings(to), 3);
         keeper.pass(1000.0);
         keeper.now += pause;
-        keeper.give(Event::Heard { from, body: body.clone() }).len()
+        keeper.give(Event::MessageReceived { from, body: body.clone() }).len()
     };
     assert_eq!(answers(50.0), 1);
     assert_eq!(answers(2000.0), 0);
@@ -270,7 +270,7 @@
     };
     let first = (0..3).find(|p| {
         let told = Rig::new(settings(*p), 3).ask(request(1, UNSAFE, RATED));
-        !told.iter().any(|a| matches!(a, Action::Tell { .. }))
+        !told.iter().any(|a| matches!(a, Action::SendMessage { .. }))
     });
     let keeper = first.expect("one of three is the first keeper");
     let member = (keeper + 1) % 3;
@@ -280,7 +280,7 @@
     let mut own = std::collections::BTreeSet::new();
     let mut note = |actions: Vec<Action>| {
         for a in actions {
-            let Action::Tell { body, .. } = a else { continue };
+            let Action::SendMessage { body, .. } = a else { continue };
             // A word takes 25 bytes; its first tells whether it grants, then comes the request.
             for line in body[8..].chunks(25).filter(|l| l[0] == 2) {
                 ids.insert(line[1..5].to_vec());
@@ -295,15 +295,15 @@
         told.extend(asking.pass(2.0));
         let mut words = keeping.pass(2.0);
         for a in told {
-            if let Action::Tell { to: Some(to), body } = a {
+            if let Action::SendMessage { to: Some(to), body } = a {
                 if to == keeper {
-                    words.extend(keeping.give(Event::Heard { from: member, body }));
+                    words.extend(keeping.give(Event::MessageReceived { from: member, body }));
                 }
             }
         }
         for a in &words {
-            if let Action::Tell { body, .. } = a {
-                asking.give(Event::Heard { from: keeper, body: body.clone() });
+            if let Action::SendMessage { body, .. } = a {
+                asking.give(Event::MessageReceived { from: keeper, body: body.clone() });
             }
         }
         note(words);
@@ -335,7 +335,7 @@
         .enumerate()
         .find_map(|(p, mut rig)| {
             let told = rig.ask(request(1, SAFE, CEILED)).into_iter().find_map(|a| match a {
-                Action::Tell { to, body } => Some((to.expect("one keeper"), body)),
+                Action::SendMessage { to, body } => Some((to.expect("one keeper"), body)),
                 _ => None,
             });
             Some((p as u32, told?))
@@ -343,7 +343,7 @@
         .expect("one of three is not the keeper");
     let heard = |from: u32, body: Vec<u8>| {
         let mut rig = Rig::new(settings(to), 3);
-        rig.give(Event::Heard { from, body })
+        rig.give(Event::MessageReceived { from, body })
     };
     assert_eq!(heard(from, good.clone()).len(), 1, "the ask itself is answered");
     for cut in 0..good.len() {
@@ -369,12 +369,13 @@
     let other = (keeper + 1) % 3;
     let told = Rig::new(settings(other), 3).ask(request(1, SAFE, RATED));
     let body =
-        told.into_iter().find_map(|a| if let Action::Tell { body, .. } = a { Some(body) } else { None });
+        told.into_iter()
+            .find_map(|a| if let Action::SendMessage { body, .. } = a { Some(body) } else { None });
     let body = body.expect("an ask");
     let left = |times: usize| {
         let mut rig = Rig::new(settings(keeper), 3);
         for _ in 0..times {
-            rig.give(Event::Heard { from: other, body: body.clone() });
+            rig.give(Event::MessageReceived { from: other, body: body.clone() });
             rig.pass(20.0);
         }
         (2..40).filter(|id| !sent(&rig.ask(request(*id, SAFE, RATED))).is_empty()).count()
@@ -402,7 +403,7 @@
 fn events_of_unknown_things_change_nothing() {
     let mut rig = Rig::new(settings(0), 3);
     assert!(rig.ended(5, 0, Outcome::Ok, 1.0).is_empty());
-    assert!(rig.give(Event::ClientGone { id: 5 }).is_empty());
+    assert!(rig.give(Event::ClientDisconnected { id: 5 }).is_empty());
     assert!(rig.give(Event::Streaming { id: 5 }).is_empty());
     assert!(rig.give(Event::Wake { token: u64::MAX >> 1 }).is_empty());
     let counted = Event::Counted { name: 1, outcome: Outcome::Ok, total: 3.0 };
@@ -549,15 +550,15 @@
     let mut net = Net::new(all, 3, 5);
     // 60 units and a slack of 3 at 12 a second would take 5.75 s.
     net.pass(4900.0);
-    assert!(!net.rigs[0].limiter.settled(net.now));
+    assert!(!net.rigs[0].limiter.is_ready(net.now));
     net.pass(200.0);
-    assert!(net.rigs.iter().all(|rig| rig.limiter.settled(net.now)));
+    assert!(net.rigs.iter().all(|rig| rig.limiter.is_ready(net.now)));
     net.pass(3000.0);
     net.restart(1, settings(1), 3, 6);
-    assert!(!net.rigs[1].limiter.settled(net.now), "no word from anyone yet");
+    assert!(!net.rigs[1].limiter.is_ready(net.now), "no word from anyone yet");
     for id in 0..20 {
         net.give(0, Event::Request(Request { customer: id, ..request(id as u32, SAFE, RATED) }));
     }
     net.pass(100.0);
-    assert!(net.rigs[1].limiter.settled(net.now), "others serve");
+    assert!(net.rigs[1].limiter.is_ready(net.now), "others serve");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -20,7 +20,10 @@
     assert!(!failed(&rig.pass(2900.0)), "a late answer still earns something");
     let end = rig.pass(98.0);
     assert!(failed(&end) && !refused(&end), "it may have run: no promise");
-    assert!(rig.pass(5000.0).iter().all(|a| matches!(a, Action::Tell { .. })), "nothing after the end");
+    assert!(
+        rig.pass(5000.0).iter().all(|a| matches!(a, Action::SendMessage { .. })),
+        "nothing after the end"
+    );
 }
 
 #[test]
@@ -302,7 +305,7 @@
     for (class, called_off) in [(SAFE, true), (KEYED, false), (UNSAFE, false)] {
         let mut rig = Rig::new(settings(0), 2);
         assert_eq!(sent(&rig.ask(request(1, class, FREE))).len(), 1);
-        let out = rig.give(Event::ClientGone { id: 1 });
+        let out = rig.give(Event::ClientDisconnected { id: 1 });
         let cancels = out.iter().filter(|a| matches!(a, Action::Cancel { id: 1, attempt: 0 })).count();
         assert_eq!(cancels, usize::from(called_off), "class {class}");
         assert!(!out
@@ -316,7 +319,7 @@
     for id in 0..40 {
         rig.ask(request(id, SAFE, FREE));
         rig.pass(5.0);
-        rig.give(Event::ClientGone { id });
+        rig.give(Event::ClientDisconnected { id });
         rig.ended(id, 0, Outcome::Cancelled, 5.0);
     }
     assert_eq!(sent(&rig.ask(request(100, SAFE, FREE))).len(), 1);
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -64,7 +64,7 @@
                 };
                 (a.limiter_id, event)
             }
-            In::ClientGone { limiter_id, ticket } => (limiter_id, Event::ClientGone { id: ticket }),
+            In::ClientGone { limiter_id, ticket } => (limiter_id, Event::ClientDisconnected { id: ticket }),
             In::TimeoutFired { limiter_id, key_back } => (limiter_id, Event::Wake { token: key_back }),
             In::StatusBack { limiter_id, server, outcome, telemetry } => {
                 let event = Event::Probed {
@@ -75,7 +75,7 @@
                 (limiter_id, event)
             }
             In::Heard { limiter_id, who, body } => {
-                (limiter_id, Event::Heard { from: who, body: wire::from_hex(&body)? })
+                (limiter_id, Event::MessageReceived { from: who, body: wire::from_hex(&body)? })
             }
             In::Total { limiter_id, entry_name, outcome, sum } => {
                 let total = sum.unwrap_or_default();
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -449,7 +449,7 @@
         A::Wake { after_ms, token } => Out::Sleep { limiter_id, after_ms, key_back: token },
         A::Probe { server } => Out::Probe { limiter_id, server },
         A::CloseIdle { server } => Out::ShutIdle { limiter_id, server },
-        A::Tell { to, body } => {
+        A::SendMessage { to, body } => {
             let dest = to.map_or(Dest::All("*"), Dest::One);
             Out::Tell { limiter_id, dest, body: to_hex(&body) }
         }
