--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -1,74 +1,75 @@
-//! What is counted of requests and attempts: taken, ended, written to servers. Each process counts from 0.
+//! Counters of requests and attempts: received, finished, forwarded to servers. Each process counts from 0.
 
-/// How a request ended, as its client saw it.
+/// How a request ended, as seen by its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With a server's answer.
+    /// The client got the answer of a server.
     Succeeded,
-    /// Not served; trying again is harmless.
+    /// The request was not served, and repeating it is harmless.
     Declined,
-    /// With no promise, or with nobody there to hear.
+    /// The request failed without any guarantee that it did not run, or its client disconnected.
     Aborted,
 }
 
-/// The requests of one class.
+/// Counters of one request class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Class {
-    taken: u64,
-    ends: [u64; 3],
+struct ClassCounters {
+    received: u64,
+    /// Finished requests, indexed by [`RequestOutcome`].
+    finished: [u64; 3],
 }
 
-/// The counters: every request that is taken ends in exactly one count.
+/// Request and attempt counters. Every received request is counted as finished exactly once.
 #[derive(Debug, Clone, Default)]
 pub struct RequestCounters {
-    classes: Vec<Class>,
-    forwards: u64,
+    classes: Vec<ClassCounters>,
+    forwarded: u64,
 }
 
 impl RequestCounters {
-    /// Nothing counted, for so many classes.
+    /// Creates counters at 0 for the given number of classes.
     pub fn new(classes: usize) -> RequestCounters {
-        RequestCounters { classes: vec![Class::default(); classes], ..RequestCounters::default() }
+        RequestCounters { classes: vec![ClassCounters::default(); classes], ..RequestCounters::default() }
     }
 
-    /// A request of a class has come whole.
+    /// Counts a request that was received whole.
     pub fn record_received(&mut self, class: usize) {
         if let Some(c) = self.classes.get_mut(class) {
-            c.taken += 1;
+            c.received += 1;
         }
     }
 
-    /// A request that was taken has ended.
+    /// Counts the end of a received request.
     pub fn record_finished(&mut self, class: usize, outcome: RequestOutcome) {
         if let Some(c) = self.classes.get_mut(class) {
-            c.ends[outcome as usize] += 1;
+            c.finished[outcome as usize] += 1;
         }
     }
 
-    /// An attempt has been written whole to a server.
+    /// Counts an attempt that was written whole to a server.
     pub fn record_forwarded(&mut self) {
-        self.forwards += 1;
+        self.forwarded += 1;
     }
 
-    /// A front has ended a request itself: the engine never saw it.
+    /// Counts a request that a front end answered itself, without passing it to the engine.
     pub fn record_answered_locally(&mut self, class: usize, outcome: RequestOutcome) {
         self.record_received(class);
         self.record_finished(class, outcome);
     }
 
-    /// Attempts written whole to servers.
+    /// Returns the number of attempts that were written whole to servers.
     pub fn forwarded(&self) -> u64 {
-        self.forwards
+        self.forwarded
     }
 
-    /// How many requests of a class ended so.
+    /// Returns the number of requests of a class that ended with `outcome`.
     pub fn finished(&self, class: usize, outcome: RequestOutcome) -> u64 {
-        self.classes.get(class).map_or(0, |c| c.ends[outcome as usize])
+        self.classes.get(class).map_or(0, |c| c.finished[outcome as usize])
     }
 
-    /// Requests taken and not ended.
+    /// Returns the number of requests that were received and have not finished.
     pub fn outstanding(&self) -> u64 {
-        self.classes.iter().map(|c| c.taken - c.ends.iter().sum::<u64>()).sum()
+        self.classes.iter().map(|c| c.received - c.finished.iter().sum::<u64>()).sum()
     }
 }
 
@@ -77,7 +78,7 @@
     use super::*;
 
     #[test]
-    fn what_is_taken_is_outstanding_until_its_one_end() {
+    fn received_request_is_outstanding_until_it_finishes() {
         let mut counters = RequestCounters::new(2);
         for (class, outcome) in
             [(0, RequestOutcome::Succeeded), (0, RequestOutcome::Declined), (1, RequestOutcome::Aborted)]
--- a/crates/engine/src/outcomes.rs
+++ b/crates/engine/src/outcomes.rs
@@ -1,8 +1,9 @@
-//! The one table of outcomes: what an answer, or a proxy's word on why there is none, says of an attempt.
+//! Mapping of server responses and proxy failure flags to attempt outcomes.
 
 use fawnhill::Outcome;
 
-/// What an answer's status says. `unprocessed` tells that it carried `X-Unprocessed: 1`: turned away unseen.
+/// Returns the outcome of an attempt that was answered with `status`. `unprocessed` says whether the response carried
+/// `X-Unprocessed: 1`, by which a server states that it rejected the request without processing it.
 pub fn from_response(status: u16, unprocessed: bool) -> Outcome {
     match status {
         200 => Outcome::Ok,
@@ -11,27 +12,29 @@
     }
 }
 
-/// What the flags of a proxy's access log (`%RESPONSE_FLAGS%`, Envoy's "access logging") say of an attempt that got no
-/// answer from its server; nothing if they name no failure of the upstream. Where several are told, the one that
-/// leaves more open counts: an attempt that may have run is never taken for one that has not.
+/// Returns the outcome of an attempt that got no response from its server, by the response flags of a proxy
+/// (`%RESPONSE_FLAGS%` in Envoy's access logs), or `None` if no flag names an upstream failure.
+///
+/// Of several flags the most uncertain one counts, so that an attempt that may have run is never reported as one that
+/// has not.
 pub fn from_response_flags(flags: &str) -> Option<Outcome> {
-    let told = |names: &[&str]| flags.split(',').any(|flag| names.contains(&flag.trim()));
-    if told(&["UC", "UR", "UPE"]) {
+    let has_any = |names: &[&str]| flags.split(',').any(|flag| names.contains(&flag.trim()));
+    if has_any(&["UC", "UR", "UPE"]) {
         Some(Outcome::Severed)
-    } else if told(&["UT", "SI", "DT"]) {
+    } else if has_any(&["UT", "SI", "DT"]) {
         Some(Outcome::TimedOut)
-    } else if told(&["DC", "DR"]) {
+    } else if has_any(&["DC", "DR"]) {
         Some(Outcome::Cancelled)
-    } else if told(&["UF"]) {
+    } else if has_any(&["UF"]) {
         Some(Outcome::NoConnection)
-    } else if told(&["UH", "UO", "NR", "NC"]) {
+    } else if has_any(&["UH", "UO", "NR", "NC"]) {
         Some(Outcome::NotSent)
     } else {
         None
     }
 }
 
-/// The same for flags told as a bit field (Envoy's attribute `response.flags`).
+/// Same as [`from_response_flags`] for flags given as a bit field (Envoy's attribute `response.flags`).
 pub fn from_response_flag_bits(bits: u64) -> Option<Outcome> {
     const NAMES: [(u64, &str); 8] = [
         (0x2, "UH"),
@@ -52,7 +55,7 @@
     use super::*;
 
     #[test]
-    fn only_the_mark_makes_a_refusal_one_that_never_ran() {
+    fn only_an_unprocessed_response_counts_as_not_run() {
         assert_eq!(from_response(503, true), Outcome::Full);
         assert_eq!(from_response(504, true), Outcome::Full);
         assert_eq!(from_response(503, false), Outcome::Error);
@@ -61,7 +64,7 @@
     }
 
     #[test]
-    fn of_several_flags_the_more_doubtful_counts() {
+    fn most_uncertain_of_several_flags_counts() {
         assert_eq!(from_response_flags("UF"), Some(Outcome::NoConnection));
         assert_eq!(from_response_flags("URX,UF"), Some(Outcome::NoConnection));
         assert_eq!(from_response_flags("UF,UC"), Some(Outcome::Severed));
--- a/crates/external/src/lib.rs
+++ b/crates/external/src/lib.rs
@@ -1,35 +1,36 @@
-//! Requests that a proxy carries out and this limiter decides on: who presents which request, what came of each
-//! attempt, and which verdict stands.
+//! State machine for requests that a proxy carries out and on which this limiter decides: which stream presents which
+//! request, how each attempt ended, and which verdict applies.
 //!
-//! A request is known by its name (`X-Correlation-Id`). It may be *presented* several times: by a proxy whose filter
-//! runs once a try, by one that lost its stream, or twice at once. All presentations of its time belong to one
-//! request of the engine, so that units are taken once, effect classes hold, and never two attempts are out. This
-//! crate does *not* speak gRPC, read a clock or choose servers: [`ExternalProcessor::handle`] takes what a stream said, or what
-//! the engine asks, and gives what streams are to be told.
+//! A request is identified by its correlation id (`X-Correlation-Id`). It may be *presented* several times: by a proxy
+//! whose filter runs once per attempt, by a proxy that lost its stream, or on two streams at once. All presentations
+//! within the time budget of a request belong to one request of the engine, so that its units are charged once, its
+//! effect class is respected, and no two attempts are outstanding at the same time. This crate does *not* speak gRPC,
+//! read a clock or choose servers: [`ExternalProcessor::handle`] takes an event of a stream or an output of the engine
+//! and returns the replies to the streams.
 //!
 //! ```
 //! use fawnhill::{Class, Condition, Effect, KeyGroup, Outcome, Plan, Request, ServerEntry, Settings};
 //! use marldeal_engine::{Engine, Input as EngineInput};
-//! use marldeal_external::{ProcessorConfig, ExternalProcessor, Input, Action, Presentation, Verdict};
+//! use marldeal_external::{Action, ExternalProcessor, Input, Presentation, ProcessorConfig, Verdict};
 //!
-//! # let look = Class {
+//! # let lookup = Class {
 //! #     aim_ms: 1000.0, late_worth: 0.0, effect: Effect::Safe, group: KeyGroup::All, window_ms: 0.0,
 //! # };
 //! # let basic = Plan {
 //! #     rate: 4.0, burst: 8.0, open: 0, ceiling_rate: 0.0, ceiling_burst: 0.0, ceiling_slack: 0.0,
 //! # };
 //! # let settings = Settings {
-//! #     limiters: 1, position: 0, zone: 0, classes: vec![look], plans: vec![basic], round_ms: 1.0,
+//! #     limiters: 1, position: 0, zone: 0, classes: vec![lookup], plans: vec![basic], round_ms: 1.0,
 //! #     max_attempts: 3, connect_timeout_ms: 250.0, may_probe: false, may_tell: false, may_cancel: true,
 //! #     may_advise: false, messages_per_s: 0.0, must_subscribe: false, cold_share: 0.2, cold_ms: 10_000.0,
 //! #     fall_multiple: 3.0, fall_ms: 2000.0, firms: 10_000,
 //! # };
 //! let mut external = ExternalProcessor::new(ProcessorConfig::default(), &settings);
 //! let mut engine = Engine::new(settings, 42, 0.0)?;
-//! let node = ServerEntry {
-//!     server: "node-1".into(), zone: 0, cell: 0, condition: Condition::Serving, weight: 1.0, started: 0.0,
+//! let server = ServerEntry {
+//!     server: "server-1".into(), zone: 0, cell: 0, condition: Condition::Serving, weight: 1.0, started: 0.0,
 //! };
-//! engine.handle(0.0, EngineInput::Servers { whole: true, entries: [node].into() }, &mut Vec::new());
+//! engine.handle(0.0, EngineInput::Servers { whole: true, entries: [server].into() }, &mut Vec::new());
 //!
 //! let request = Request {
 //!     id: 0, class: 0, plan: 0, customer: 7, budget_ms: 3000.0, units: 1.0, spread: 1, first: 0,
@@ -55,37 +56,38 @@
 use marldeal_engine::timers::Timers;
 use marldeal_engine::{Answer, CorrelationId, Engine, Input as EngineInput, Output};
 
-/// A stream of a proxy; never used twice.
+/// Identifies a stream of a proxy. Ids are never reused.
 pub type StreamId = u64;
 
-/// How a proxy carries out a further attempt.
+/// How a proxy makes a further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryMode {
-    /// It presents the request again, on a new stream: its filter runs once a try.
+    /// The proxy presents the request again on a new stream, because its filter runs once per attempt.
     NewStream,
-    /// It goes on at once, on the same stream.
+    /// The proxy makes the further attempt at once, on the same stream.
     SameStream,
-    /// Not at all.
+    /// The proxy makes no further attempts.
     None,
 }
 
-/// What this part holds at most, and for how long.
+/// Capacity limits, time-outs and proxy behaviour of an [`ExternalProcessor`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProcessorConfig {
-    /// Requests without a final answer; further ones are turned away.
+    /// Maximum number of requests without a final answer. Further requests are rejected with [`Verdict::Busy`].
     pub max_open_requests: usize,
-    /// Verdicts that stand for later presentations; the oldest make way.
+    /// Maximum number of verdicts kept for later presentations. The oldest are evicted.
     pub max_standing_verdicts: usize,
-    /// How long a further attempt that was granted waits for the presentation that carries it out, and a request
-    /// whose stream has ended for its next one.
+    /// How long a granted retry waits for the presentation that carries it out, and how long a request whose stream
+    /// has closed waits for its next presentation.
     pub next_presentation_timeout_ms: Millis,
-    /// How long a presentation waits for the stream of the attempt before it to end.
+    /// How long a presentation waits for the stream of the previous attempt to close.
     pub handover_timeout_ms: Millis,
-    /// How long an attempt is taken to be out whose end nobody will tell.
+    /// How long an attempt counts as outstanding if its proxy cannot report the end.
     pub unreported_attempt_ms: Millis,
-    /// How further attempts are made.
+    /// How proxies make further attempts.
     pub retry_mode: RetryMode,
-    /// A final answer that comes while an attempt is out is told at once, unasked.
+    /// Whether a final answer that is given while an attempt is outstanding is sent to the stream at once, without
+    /// waiting for the proxy's next message.
     pub push_final_answers: bool,
 }
 
@@ -103,117 +105,121 @@
     }
 }
 
-/// A request as a proxy presents it.
+/// A request as presented by a proxy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Presentation {
-    /// What tells it from others.
+    /// Identifies the request.
     pub correlation_id: CorrelationId,
-    /// Its idempotency key.
+    /// The idempotency key, if the request has one.
     pub key: Option<Arc<[u8]>>,
-    /// `x-envoy-attempt-count`, from 1, where the proxy tells it.
+    /// `x-envoy-attempt-count`, from 1, if the proxy sends it.
     pub attempt: Option<u32>,
-    /// What it asks; the id is not looked at.
+    /// The request. Its `id` is ignored.
     pub request: Request,
 }
 
-/// What has happened.
+/// An event to handle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// A stream presents a request; a stream does so once.
+    /// A stream presents a request. Each stream does so once.
     Presented {
-        /// Which stream.
+        /// The stream.
         stream: StreamId,
         /// The request.
         presentation: Presentation,
     },
-    /// The attempt that a stream carries has ended.
+    /// The attempt of a stream has ended.
     Responded {
-        /// Which stream.
+        /// The stream.
         stream: StreamId,
-        /// How, by [`marldeal_engine::outcomes`].
+        /// The outcome, as mapped by [`marldeal_engine::outcomes`].
         outcome: Outcome,
     },
-    /// Nobody will tell what comes of the attempt that a stream carries: its proxy's protocol cannot. The module
-    /// hears neither of an answer nor of silence; the attempt holds its slots for [`ProcessorConfig::unreported_attempt_ms`].
+    /// The end of a stream's attempt will not be reported, because the protocol of the proxy has no means for it. The
+    /// decision module learns neither of a response nor of a time-out; the attempt occupies its slots for
+    /// [`ProcessorConfig::unreported_attempt_ms`].
     Unreported {
-        /// Which stream.
+        /// The stream.
         stream: StreamId,
     },
-    /// A stream has ended, in whatever way.
+    /// A stream has closed, for whatever reason.
     Closed {
-        /// Which stream.
+        /// The stream.
         stream: StreamId,
     },
-    /// The engine asks for something, after an input that came from elsewhere.
+    /// An output of the engine, produced by an input that did not go through [`ExternalProcessor::handle`].
     Engine(Output),
-    /// The moment that [`ExternalProcessor::next_due`] named has come.
+    /// The time returned by [`ExternalProcessor::next_due`] has come.
     TimerExpired,
 }
 
-/// An attempt that a proxy is to make.
+/// Permission for a proxy to make an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Grant {
-    /// Where to.
+    /// The server to send the attempt to.
     pub server: ServerId,
-    /// When it is given up, on the caller's clock.
+    /// When the attempt times out, on the caller's clock.
     pub deadline: Millis,
-    /// Which attempt of its request, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
 }
 
-/// Why a presentation is not taken. Promises nothing: the request of that name may be running.
+/// Why a presentation is rejected. A conflict says nothing about whether the request has run: one with the same
+/// correlation id may be running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Conflict {
-    /// A request of that name is open, here or at the direct front, and this is not its next attempt.
+    /// A request with this correlation id is open, here or at the direct front end, and the presentation is not its
+    /// next attempt.
     Open,
-    /// It has been served.
+    /// The request has been served.
     Served,
-    /// A request of that name asks something else.
+    /// The request with this correlation id has a different content.
     Mismatch,
 }
 
-/// What a stream is told. All but `Go`, and `Retry` where proxies loop, are the last word on it.
+/// Reply to a stream. It is the last reply of the stream unless it is [`Verdict::Admit`], or [`Verdict::Retry`] with
+/// [`RetryMode::SameStream`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// Let in: make this attempt.
+    /// The request is admitted: the proxy makes this attempt.
     Admit(Grant),
-    /// Answer to an outcome: another attempt.
+    /// Reply to an outcome: the proxy makes another attempt.
     Retry(Grant),
-    /// Answer to an outcome: the client gets the server's answer.
+    /// Reply to an outcome: the proxy passes the server's response to the client.
     PassThrough,
-    /// Final: trying again is harmless, after so many milliseconds if not 0.
+    /// Final: the request is refused, and repeating it is harmless.
     Refuse {
-        /// Advice; 0 for none.
+        /// Advised delay before the client repeats the request; 0 for no advice.
         retry_ms: Millis,
     },
-    /// Final: promises nothing.
+    /// Final: the request failed, and it may have run.
     Fail,
-    /// Not taken.
+    /// The presentation is rejected.
     Conflict(Conflict),
-    /// Not taken, nothing has run: too many are open.
+    /// The presentation is rejected because too many requests are open. Nothing has run.
     Busy,
 }
 
-/// What is to be done.
+/// An action for the caller to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Tell a stream.
+    /// Reply to a stream.
     Reply {
-        /// Which.
+        /// The stream.
         stream: StreamId,
-        /// What.
+        /// The reply.
         verdict: Verdict,
     },
-    /// The engine asks for something that concerns no request of a proxy.
+    /// Perform an output of the engine that does not concern a request of a proxy.
     Engine(Output),
 }
 
-/// What has happened since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counts {
-    /// Presentations.
+    /// Presentations received.
     pub presented: u64,
-    /// Requests that the module was asked about.
+    /// Requests passed to the engine for a decision.
     pub taken: u64,
     /// First attempts granted.
     pub let_in: u64,
@@ -221,38 +227,41 @@
     pub again: u64,
     /// Requests served.
     pub served: u64,
-    /// Requests refused by the module.
+    /// Requests refused by the decision module.
     pub refused: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Presentations that were in conflict with an open or served request.
+    /// Presentations rejected because of a conflict with an open or served request.
     pub conflicts: u64,
-    /// Presentations turned away for want of room.
+    /// Presentations rejected because too many requests were open.
     pub busy: u64,
-    /// Further attempts presented of requests not known here, failed because an earlier one may have run.
+    /// Presentations of further attempts of unknown requests, failed because an earlier attempt may have run.
     pub strangers: u64,
-    /// Streams that ended without an outcome while they carried an attempt.
+    /// Streams that closed without an outcome while their attempt was outstanding.
     pub unreported: u64,
 }
 
+/// The message to which a stream still awaits a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Asked {
-    Presented,
-    Responded,
-    /// Nothing: its attempt's time is up.
-    Nothing,
+enum PendingReply {
+    /// The presentation of the request.
+    Presentation,
+    /// The outcome of the attempt.
+    Outcome,
+    /// None: the attempt of the stream has timed out and its proxy has not reported an outcome.
+    None,
 }
 
 #[derive(Debug)]
 enum State {
-    /// The module holds it. `None`: its stream has ended.
-    Held(Option<(StreamId, Asked)>),
-    /// A stream carries this attempt.
-    Out(StreamId, u32),
-    /// This attempt waits for a presentation that carries it.
-    Offered(Grant),
-    /// The verdict stands.
-    Over(Answer),
+    /// The engine is deciding on the request. `None` if the stream of the last attempt has closed.
+    Deciding(Option<(StreamId, PendingReply)>),
+    /// The attempt with this number is outstanding on the stream.
+    Outstanding(StreamId, u32),
+    /// This further attempt is granted and waits for a presentation that carries it out.
+    RetryGranted(Grant),
+    /// The request has its final answer, which is kept for later presentations.
+    Finished(Answer),
 }
 
 #[derive(Debug)]
@@ -262,23 +271,24 @@
     request: Request,
     deadline: Millis,
     state: State,
-    /// Presentations that were let in or wait to be.
-    presented: u32,
-    /// When a first attempt was granted.
-    first_go: Option<Millis>,
-    /// When an orphan, an offer or a standing verdict is dropped.
-    until: Millis,
-    /// The next presentation, that came before the stream of the one before it has ended, and until when it waits.
-    parked: Option<(StreamId, Millis)>,
+    /// Number of accepted presentations, as counted by the proxy if it sends a count.
+    presentations: u32,
+    /// When the first attempt was granted.
+    first_granted: Option<Millis>,
+    /// When the request is given up for lack of a presentation, or its verdict is dropped.
+    expires: Millis,
+    /// The next presentation, received before the stream of the previous one closed, and until when it waits.
+    next_presentation: Option<(StreamId, Millis)>,
 }
 
 impl Entry {
-    /// A presentation more, by the proxy's own count where it tells one.
-    fn count(&mut self, req: Option<u32>) {
-        self.presented = req.unwrap_or(self.presented.saturating_add(1));
+    /// Counts an accepted presentation, by the proxy's own count if it sends one.
+    fn record_presentation(&mut self, attempt: Option<u32>) {
+        self.presentations = attempt.unwrap_or(self.presentations.saturating_add(1));
     }
 
-    fn same(&self, other: &Presentation) -> bool {
+    /// Returns whether a presentation has the same content as this request.
+    fn matches(&self, other: &Presentation) -> bool {
         let (a, b) = (&self.request, &other.request);
         self.key == other.key
             && (a.class, a.plan, a.customer, a.units.to_bits())
@@ -286,26 +296,28 @@
     }
 }
 
-/// All requests of proxies at one limiter.
+/// State machine for all requests of proxies at one limiter.
 pub struct ExternalProcessor {
-    bounds: ProcessorConfig,
+    config: ProcessorConfig,
     classes: Vec<Class>,
     entries: HashMap<CorrelationId, Entry>,
+    /// Correlation ids of open requests.
     ids: HashMap<RequestId, CorrelationId>,
-    /// What each stream presented; the id tells it from a later request of the same name.
+    /// The request presented by each stream. The request id distinguishes it from a later request with the same
+    /// correlation id.
     streams: HashMap<StreamId, (CorrelationId, RequestId)>,
-    /// Whose record is to be looked at.
+    /// Expiry times of entries and of waiting presentations.
     timers: Timers<CorrelationId>,
-    /// Names of standing verdicts, the oldest first; some may have been dropped or renewed since.
-    standing: VecDeque<(CorrelationId, RequestId)>,
-    /// Attempts whose end nobody will tell, and when they are taken to have ended; the soonest first.
-    blind: VecDeque<(Millis, RequestId, u32)>,
-    open: usize,
-    over: usize,
+    /// Finished requests, the oldest first. Some may have been dropped or replaced by a new request since.
+    finished: VecDeque<(CorrelationId, RequestId)>,
+    /// Attempts whose end will not be reported, with the time at which each is assumed to end, the earliest first.
+    unreported_attempts: VecDeque<(Millis, RequestId, u32)>,
+    open_count: usize,
+    finished_count: usize,
     counts: Counts,
 }
 
-/// One call's surroundings.
+/// Arguments and work queue of one call of [`ExternalProcessor::handle`].
 struct Context<'a> {
     now: Millis,
     engine: &'a mut Engine,
@@ -314,8 +326,8 @@
 }
 
 impl Context<'_> {
-    /// Gives the engine an input; what it asks is worked off after what it asked before.
-    fn tell(&mut self, input: EngineInput) -> Option<RequestId> {
+    /// Passes an input to the engine and queues its outputs behind earlier ones.
+    fn notify_engine(&mut self, input: EngineInput) -> Option<RequestId> {
         let mut outputs = Vec::new();
         let id = self.engine.handle(self.now, input, &mut outputs);
         self.queue.extend(outputs);
@@ -328,44 +340,45 @@
 }
 
 impl ExternalProcessor {
-    /// Nothing presented yet; `settings` are the engine's.
-    pub fn new(bounds: ProcessorConfig, settings: &Settings) -> ExternalProcessor {
+    /// Creates a state machine without requests. `settings` are those of the engine.
+    pub fn new(config: ProcessorConfig, settings: &Settings) -> ExternalProcessor {
         ExternalProcessor {
-            bounds,
+            config,
             classes: settings.classes.clone(),
             entries: HashMap::new(),
             ids: HashMap::new(),
             streams: HashMap::new(),
             timers: Timers::default(),
-            standing: VecDeque::new(),
-            blind: VecDeque::new(),
-            open: 0,
-            over: 0,
+            finished: VecDeque::new(),
+            unreported_attempts: VecDeque::new(),
+            open_count: 0,
+            finished_count: 0,
             counts: Counts::default(),
         }
     }
 
-    /// Requests of proxies that have no final answer yet.
+    /// Returns the number of requests of proxies without a final answer.
     pub fn open_requests(&self) -> usize {
-        self.open
+        self.open_count
     }
 
-    /// Verdicts that stand.
+    /// Returns the number of verdicts kept for later presentations.
     pub fn standing_verdicts(&self) -> usize {
-        self.over
+        self.finished_count
     }
 
-    /// Streams that are owed a word or carry an attempt.
+    /// Returns the number of streams that await a reply or carry an attempt.
     pub fn open_streams(&self) -> usize {
         self.streams.len()
     }
 
-    /// What has happened since the start.
+    /// Returns the counters since the start of the process.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Whether the engine's output concerns a request of a proxy, and so is to be given to [`ExternalProcessor::handle`].
+    /// Returns whether an output of the engine concerns a request of a proxy and has to be passed to
+    /// [`ExternalProcessor::handle`].
     pub fn owns(&self, output: &Output) -> bool {
         match output {
             Output::Send { id, .. } | Output::Stop { id, .. } | Output::Answer { id, .. } => {
@@ -375,19 +388,21 @@
         }
     }
 
-    /// When [`Input::TimerExpired`] is to come, at the latest.
+    /// Returns the time by which [`Input::TimerExpired`] has to be passed to [`ExternalProcessor::handle`].
     pub fn next_due(&mut self) -> Option<Millis> {
         let entries = &self.entries;
-        let next = self.timers.next_due(|at, name| {
-            entries.get(name).is_some_and(|r| {
-                let parked = r.parked.is_some_and(|(_, until)| Timers::<CorrelationId>::matches(at, until));
-                parked || Timers::<CorrelationId>::matches(at, r.until)
+        let next = self.timers.next_due(|at, correlation_id| {
+            entries.get(correlation_id).is_some_and(|e| {
+                let handover_due =
+                    e.next_presentation.is_some_and(|(_, until)| Timers::<CorrelationId>::matches(at, until));
+                handover_due || Timers::<CorrelationId>::matches(at, e.expires)
             })
         });
-        next.into_iter().chain(self.blind.front().map(|b| b.0)).min_by(f64::total_cmp)
+        next.into_iter().chain(self.unreported_attempts.front().map(|b| b.0)).min_by(f64::total_cmp)
     }
 
-    /// Takes in what has happened and adds to `out` what is to be done, in this order. `now` never goes back.
+    /// Handles an input and appends the resulting actions to `out`, in the order in which they are to be performed.
+    /// `now` must not decrease from call to call.
     pub fn handle(&mut self, now: Millis, input: Input, engine: &mut Engine, out: &mut Vec<Action>) {
         let mut cx = Context { now, engine, queue: VecDeque::new(), out };
         match input {
@@ -396,66 +411,71 @@
             Input::Unreported { stream } => self.unreported(stream, &mut cx),
             Input::Closed { stream } => self.closed(stream, &mut cx),
             Input::Engine(output) => cx.queue.push_back(output),
-            Input::TimerExpired => self.due(&mut cx),
+            Input::TimerExpired => self.expire_timers(&mut cx),
         }
-        self.work(&mut cx);
+        self.process_outputs(&mut cx);
     }
 
     fn presented(&mut self, stream: StreamId, req: Presentation, cx: &mut Context) {
         self.counts.presented += 1;
         let Some(entry) = self.entries.get_mut(&req.correlation_id) else { return self.add(stream, req, cx) };
-        if !entry.same(&req) {
-            return self.conflict(stream, Conflict::Mismatch, cx);
+        if !entry.matches(&req) {
+            return self.reply_conflict(stream, Conflict::Mismatch, cx);
         }
-        let next = req.attempt.is_some_and(|n| n.checked_sub(1) == Some(entry.presented));
+        let is_next_attempt = req.attempt.is_some_and(|n| n.checked_sub(1) == Some(entry.presentations));
         match entry.state {
-            State::Over(Answer::Refused { retry_ms }) => cx.reply(stream, Verdict::Refuse { retry_ms }),
-            State::Over(Answer::Failed) => cx.reply(stream, Verdict::Fail),
-            State::Over(Answer::Served) => self.conflict(stream, Conflict::Served, cx),
-            State::Held(None) => {
-                entry.count(req.attempt);
-                entry.until = f64::INFINITY;
-                entry.state = State::Held(Some((stream, Asked::Presented)));
+            State::Finished(Answer::Refused { retry_ms }) => cx.reply(stream, Verdict::Refuse { retry_ms }),
+            State::Finished(Answer::Failed) => cx.reply(stream, Verdict::Fail),
+            State::Finished(Answer::Served) => self.reply_conflict(stream, Conflict::Served, cx),
+            State::Deciding(None) => {
+                entry.record_presentation(req.attempt);
+                entry.expires = f64::INFINITY;
+                entry.state = State::Deciding(Some((stream, PendingReply::Presentation)));
                 self.streams.insert(stream, (req.correlation_id, entry.id));
             }
-            State::Offered(_) => {
-                entry.count(req.attempt);
-                let name = req.correlation_id;
-                self.take_up(&name, stream, cx);
+            State::RetryGranted(_) => {
+                entry.record_presentation(req.attempt);
+                let correlation_id = req.correlation_id;
+                self.start_granted_retry(&correlation_id, stream, cx);
             }
-            // The stream of the attempt before may only seem to be there still: its end can come a little later,
-            // on another connection.
-            State::Out(..) | State::Held(Some(_)) if next && entry.parked.is_none() => {
-                let until = cx.now + self.bounds.handover_timeout_ms;
-                entry.parked = Some((stream, until));
+            // The stream of the previous attempt may have closed already: its closing can arrive a little later, on
+            // another connection.
+            State::Outstanding(..) | State::Deciding(Some(_))
+                if is_next_attempt && entry.next_presentation.is_none() =>
+            {
+                let until = cx.now + self.config.handover_timeout_ms;
+                entry.next_presentation = Some((stream, until));
                 self.timers.push(until, req.correlation_id.clone());
                 self.streams.insert(stream, (req.correlation_id, entry.id));
             }
-            State::Out(..) | State::Held(Some(_)) => self.conflict(stream, Conflict::Open, cx),
+            State::Outstanding(..) | State::Deciding(Some(_)) => {
+                self.reply_conflict(stream, Conflict::Open, cx)
+            }
         }
     }
 
-    /// A presentation of a name that is not known here.
+    /// Handles a presentation whose correlation id is not known here.
     fn add(&mut self, stream: StreamId, req: Presentation, cx: &mut Context) {
         let Presentation { correlation_id, key, attempt, request } = req;
         let effect = self.classes.get(request.class).map_or(Effect::Unsafe, |c| c.effect);
-        // An earlier attempt may have run, when nobody here knows: only what may run any number of times goes on.
+        // An earlier attempt, unknown here, may have run. Only requests that may run any number of times proceed.
         if attempt.is_some_and(|n| n > 1) && effect != Effect::Safe {
             self.counts.strangers += 1;
             return cx.reply(stream, Verdict::Fail);
         }
-        if self.open >= self.bounds.max_open_requests {
+        if self.open_count >= self.config.max_open_requests {
             self.counts.busy += 1;
             return cx.reply(stream, Verdict::Busy);
         }
         let deadline = cx.now + request.budget_ms;
-        let Some(id) = cx
-            .tell(EngineInput::Request { correlation_id: correlation_id.clone(), request: request.clone() })
-        else {
-            return self.conflict(stream, Conflict::Open, cx);
+        let Some(id) = cx.notify_engine(EngineInput::Request {
+            correlation_id: correlation_id.clone(),
+            request: request.clone(),
+        }) else {
+            return self.reply_conflict(stream, Conflict::Open, cx);
         };
         self.counts.taken += 1;
-        self.open += 1;
+        self.open_count += 1;
         self.ids.insert(id, correlation_id.clone());
         self.streams.insert(stream, (correlation_id.clone(), id));
         let entry = Entry {
@@ -463,56 +483,56 @@
             key,
             request,
             deadline,
-            state: State::Held(Some((stream, Asked::Presented))),
-            presented: attempt.unwrap_or(1).max(1),
-            first_go: None,
-            until: f64::INFINITY,
-            parked: None,
+            state: State::Deciding(Some((stream, PendingReply::Presentation))),
+            presentations: attempt.unwrap_or(1).max(1),
+            first_granted: None,
+            expires: f64::INFINITY,
+            next_presentation: None,
         };
         self.entries.insert(correlation_id, entry);
     }
 
-    fn conflict(&mut self, stream: StreamId, why: Conflict, cx: &mut Context) {
+    fn reply_conflict(&mut self, stream: StreamId, why: Conflict, cx: &mut Context) {
         self.counts.conflicts += 1;
         cx.reply(stream, Verdict::Conflict(why));
     }
 
-    /// A stream takes up the attempt that is on offer, unless its server takes nothing new by now.
-    fn take_up(&mut self, name: &CorrelationId, stream: StreamId, cx: &mut Context) {
-        let Some(entry) = self.entries.get_mut(name) else { return };
-        let State::Offered(grant) = &entry.state else { return };
+    /// Starts the granted retry on a stream, unless its server no longer accepts new requests.
+    fn start_granted_retry(&mut self, correlation_id: &CorrelationId, stream: StreamId, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(correlation_id) else { return };
+        let State::RetryGranted(grant) = &entry.state else { return };
         let grant = grant.clone();
-        entry.until = f64::INFINITY;
-        self.streams.insert(stream, (name.clone(), entry.id));
+        entry.expires = f64::INFINITY;
+        self.streams.insert(stream, (correlation_id.clone(), entry.id));
         if cx.engine.accepts_requests(&grant.server) {
-            entry.state = State::Out(stream, grant.attempt);
+            entry.state = State::Outstanding(stream, grant.attempt);
             cx.reply(stream, Verdict::Admit(grant));
         } else {
-            entry.state = State::Held(Some((stream, Asked::Presented)));
-            cx.tell(EngineInput::attempt_ended(entry.id, grant.attempt, Outcome::NotSent));
+            entry.state = State::Deciding(Some((stream, PendingReply::Presentation)));
+            cx.notify_engine(EngineInput::attempt_ended(entry.id, grant.attempt, Outcome::NotSent));
         }
     }
 
     fn responded(&mut self, stream: StreamId, outcome: Outcome, cx: &mut Context) {
-        let Some((name, id)) = self.streams.get(&stream).cloned() else { return };
-        match self.entries.get_mut(&name).filter(|r| r.id == id) {
+        let Some((correlation_id, id)) = self.streams.get(&stream).cloned() else { return };
+        match self.entries.get_mut(&correlation_id).filter(|e| e.id == id) {
             Some(entry) => match entry.state {
-                State::Out(carrier, attempt) if carrier == stream => {
-                    entry.state = State::Held(Some((stream, Asked::Responded)));
-                    cx.tell(EngineInput::attempt_ended(entry.id, attempt, outcome));
+                State::Outstanding(current, attempt) if current == stream => {
+                    entry.state = State::Deciding(Some((stream, PendingReply::Outcome)));
+                    cx.notify_engine(EngineInput::attempt_ended(entry.id, attempt, outcome));
                 }
-                // Its attempt's time was up; the verdict to come is told in answer to this.
-                State::Held(Some((holder, Asked::Nothing))) if holder == stream => {
-                    entry.state = State::Held(Some((stream, Asked::Responded)));
+                // The attempt had timed out; the coming verdict is the reply to this outcome.
+                State::Deciding(Some((current, PendingReply::None))) if current == stream => {
+                    entry.state = State::Deciding(Some((stream, PendingReply::Outcome)));
                 }
-                // The module has given the request up meanwhile: its verdict stands, whatever came later.
-                State::Over(answer) => {
+                // The decision module has given up the request meanwhile: its verdict stays, whatever the outcome.
+                State::Finished(answer) => {
                     self.streams.remove(&stream);
-                    cx.reply(stream, verdict(answer));
+                    cx.reply(stream, final_verdict(answer));
                 }
                 _ => {}
             },
-            // Its verdict stands no more, and its name may be another's: what came late is promised nothing.
+            // The verdict was dropped, and the correlation id may belong to a new request: a late outcome fails.
             None => {
                 self.streams.remove(&stream);
                 cx.reply(stream, Verdict::Fail);
@@ -521,155 +541,157 @@
     }
 
     fn unreported(&mut self, stream: StreamId, cx: &mut Context) {
-        let Some((name, id)) = self.streams.get(&stream).cloned() else { return };
-        let Some(entry) = self.entries.get(&name).filter(|r| r.id == id) else { return };
-        let State::Out(carrier, attempt) = entry.state else { return };
-        if carrier != stream {
+        let Some((correlation_id, id)) = self.streams.get(&stream).cloned() else { return };
+        let Some(entry) = self.entries.get(&correlation_id).filter(|e| e.id == id) else { return };
+        let State::Outstanding(current, attempt) = entry.state else { return };
+        if current != stream {
             return;
         }
         self.streams.remove(&stream);
         self.counts.unreported += 1;
-        self.blind.push_back((cx.now + self.bounds.unreported_attempt_ms, id, attempt));
-        cx.tell(EngineInput::ClientDisconnected { id });
-        self.over(&name, Answer::Served, cx.now);
+        self.unreported_attempts.push_back((cx.now + self.config.unreported_attempt_ms, id, attempt));
+        cx.notify_engine(EngineInput::ClientDisconnected { id });
+        self.finish(&correlation_id, Answer::Served, cx.now);
     }
 
     fn closed(&mut self, stream: StreamId, cx: &mut Context) {
-        let Some((name, id)) = self.streams.remove(&stream) else { return };
-        let Some(entry) = self.entries.get_mut(&name).filter(|r| r.id == id) else { return };
-        if entry.parked.is_some_and(|(parked, _)| parked == stream) {
-            entry.parked = None;
+        let Some((correlation_id, id)) = self.streams.remove(&stream) else { return };
+        let Some(entry) = self.entries.get_mut(&correlation_id).filter(|e| e.id == id) else { return };
+        if entry.next_presentation.is_some_and(|(next_presentation, _)| next_presentation == stream) {
+            entry.next_presentation = None;
             return;
         }
         match entry.state {
-            // Nothing has gone out: nothing remains, unless the next presentation is here already.
-            State::Held(Some((holder, _)))
-                if holder == stream && entry.first_go.is_none() && entry.parked.is_none() =>
+            // No attempt was granted: nothing of the request remains, unless its next presentation is waiting.
+            State::Deciding(Some((current, _)))
+                if current == stream
+                    && entry.first_granted.is_none()
+                    && entry.next_presentation.is_none() =>
             {
                 let id = entry.id;
-                cx.tell(EngineInput::ClientDisconnected { id });
-                self.forget(&name);
+                cx.notify_engine(EngineInput::ClientDisconnected { id });
+                self.remove_entry(&correlation_id);
             }
-            State::Held(Some((holder, _))) if holder == stream => self.orphan(&name, cx),
-            State::Out(carrier, attempt) if carrier == stream => {
+            State::Deciding(Some((current, _))) if current == stream => self.stream_lost(&correlation_id, cx),
+            State::Outstanding(current, attempt) if current == stream => {
                 self.counts.unreported += 1;
                 let id = entry.id;
-                self.orphan(&name, cx);
-                // It may have run. Most often the client has left, which says nothing against the server.
-                cx.tell(EngineInput::attempt_ended(id, attempt, Outcome::Cancelled));
+                self.stream_lost(&correlation_id, cx);
+                // The attempt may have run. Usually the client has disconnected, which is no fault of the server.
+                cx.notify_engine(EngineInput::attempt_ended(id, attempt, Outcome::Cancelled));
             }
             _ => {}
         }
     }
 
-    /// The stream of a request has ended after an attempt: the next presentation may be on its way.
-    fn orphan(&mut self, name: &CorrelationId, cx: &mut Context) {
-        let Some(entry) = self.entries.get_mut(name) else { return };
-        if let Some((stream, _)) = entry.parked.take() {
-            entry.count(None);
-            entry.state = State::Held(Some((stream, Asked::Presented)));
+    /// Handles the closing of a stream after an attempt was granted: the next presentation may be on its way.
+    fn stream_lost(&mut self, correlation_id: &CorrelationId, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(correlation_id) else { return };
+        if let Some((stream, _)) = entry.next_presentation.take() {
+            entry.record_presentation(None);
+            entry.state = State::Deciding(Some((stream, PendingReply::Presentation)));
             return;
         }
-        entry.state = State::Held(None);
-        // Where proxies do not present again, the client has left.
-        if self.bounds.retry_mode != RetryMode::NewStream {
+        entry.state = State::Deciding(None);
+        // If proxies do not present requests again, the client has disconnected.
+        if self.config.retry_mode != RetryMode::NewStream {
             let id = entry.id;
-            cx.tell(EngineInput::ClientDisconnected { id });
-            self.over(name, Answer::Failed, cx.now);
+            cx.notify_engine(EngineInput::ClientDisconnected { id });
+            self.finish(correlation_id, Answer::Failed, cx.now);
             return;
         }
-        entry.until = (cx.now + self.bounds.next_presentation_timeout_ms).min(entry.deadline);
-        self.timers.push(entry.until, name.clone());
+        entry.expires = (cx.now + self.config.next_presentation_timeout_ms).min(entry.deadline);
+        self.timers.push(entry.expires, correlation_id.clone());
     }
 
-    fn work(&mut self, cx: &mut Context) {
+    fn process_outputs(&mut self, cx: &mut Context) {
         while let Some(output) = cx.queue.pop_front() {
             let (Output::Send { id, .. } | Output::Stop { id, .. } | Output::Answer { id, .. }) = &output
             else {
                 cx.out.push(Action::Engine(output));
                 continue;
             };
-            let Some(name) = self.ids.get(id).cloned() else {
-                // One that was forgotten owes the engine nothing; all others belong to another front.
+            let Some(correlation_id) = self.ids.get(id).cloned() else {
+                // The request belongs to the direct front end, or it was removed and needs no reply.
                 cx.out.push(Action::Engine(output));
                 continue;
             };
             match output {
                 Output::Send { attempt, server, deadline, .. } => {
-                    self.send(&name, Grant { server, deadline, attempt }, cx);
+                    self.send(&correlation_id, Grant { server, deadline, attempt }, cx);
                 }
-                Output::Stop { attempt, outcome, .. } => self.stop(&name, attempt, outcome, cx),
-                Output::Answer { answer, .. } => self.answer(&name, answer, cx),
+                Output::Stop { attempt, outcome, .. } => self.stop(&correlation_id, attempt, outcome, cx),
+                Output::Answer { answer, .. } => self.answer(&correlation_id, answer, cx),
                 _ => {}
             }
         }
     }
 
-    fn send(&mut self, name: &CorrelationId, grant: Grant, cx: &mut Context) {
-        let Some(entry) = self.entries.get_mut(name) else { return };
-        if entry.first_go.is_some() {
+    fn send(&mut self, correlation_id: &CorrelationId, grant: Grant, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(correlation_id) else { return };
+        if entry.first_granted.is_some() {
             self.counts.again += 1;
         } else {
             self.counts.let_in += 1;
-            entry.first_go = Some(cx.now);
+            entry.first_granted = Some(cx.now);
         }
         match entry.state {
-            State::Held(Some((stream, Asked::Presented))) => {
-                entry.state = State::Out(stream, grant.attempt);
+            State::Deciding(Some((stream, PendingReply::Presentation))) => {
+                entry.state = State::Outstanding(stream, grant.attempt);
                 cx.reply(stream, Verdict::Admit(grant));
             }
-            State::Held(Some((stream, Asked::Responded)))
-                if self.bounds.retry_mode == RetryMode::SameStream =>
+            State::Deciding(Some((stream, PendingReply::Outcome)))
+                if self.config.retry_mode == RetryMode::SameStream =>
             {
-                entry.state = State::Out(stream, grant.attempt);
+                entry.state = State::Outstanding(stream, grant.attempt);
                 cx.reply(stream, Verdict::Retry(grant));
             }
-            State::Held(holder) => {
-                let asked = holder.filter(|(_, asked)| *asked == Asked::Responded);
-                if self.bounds.retry_mode == RetryMode::None {
+            State::Deciding(current) => {
+                let awaiting_retry = current.filter(|(_, pending)| *pending == PendingReply::Outcome);
+                if self.config.retry_mode == RetryMode::None {
                     let input = EngineInput::attempt_ended(entry.id, grant.attempt, Outcome::NotSent);
-                    cx.tell(input);
+                    cx.notify_engine(input);
                     return;
                 }
-                // An offer outlives neither the request nor the time in which servers drop a repeat.
+                // The granted retry expires with the request, and with the window in which servers drop repeats.
                 let class = &self.classes[entry.request.class];
-                let window = match (class.effect, entry.first_go) {
+                let window = match (class.effect, entry.first_granted) {
                     (Effect::Keyed, Some(first)) => first + class.window_ms,
                     _ => f64::INFINITY,
                 };
-                entry.until =
-                    (cx.now + self.bounds.next_presentation_timeout_ms).min(entry.deadline).min(window);
-                self.timers.push(entry.until, name.clone());
-                entry.state = State::Offered(grant.clone());
-                if let Some((stream, _)) = asked {
+                entry.expires =
+                    (cx.now + self.config.next_presentation_timeout_ms).min(entry.deadline).min(window);
+                self.timers.push(entry.expires, correlation_id.clone());
+                entry.state = State::RetryGranted(grant.clone());
+                if let Some((stream, _)) = awaiting_retry {
                     self.streams.remove(&stream);
                     cx.reply(stream, Verdict::Retry(grant));
                 }
-                if let Some((stream, _)) = entry.parked.take() {
-                    entry.count(None);
-                    self.take_up(name, stream, cx);
+                if let Some((stream, _)) = entry.next_presentation.take() {
+                    entry.record_presentation(None);
+                    self.start_granted_retry(correlation_id, stream, cx);
                 }
             }
-            State::Out(..) | State::Offered(_) | State::Over(_) => {}
+            State::Outstanding(..) | State::RetryGranted(_) | State::Finished(_) => {}
         }
     }
 
-    fn stop(&mut self, name: &CorrelationId, attempt: u32, outcome: Outcome, cx: &mut Context) {
-        let Some(entry) = self.entries.get_mut(name) else { return };
+    fn stop(&mut self, correlation_id: &CorrelationId, attempt: u32, outcome: Outcome, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(correlation_id) else { return };
         match (&entry.state, outcome) {
-            // Nobody has reported in time: what the attempt holds comes free. The proxy was told the limit.
-            (State::Out(stream, out), Outcome::TimedOut) if *out == attempt => {
-                entry.state = State::Held(Some((*stream, Asked::Nothing)));
-                cx.tell(EngineInput::attempt_ended(entry.id, attempt, outcome));
+            // The proxy has not reported in time, although it knew the deadline: the attempt's slots are released.
+            (State::Outstanding(stream, out), Outcome::TimedOut) if *out == attempt => {
+                entry.state = State::Deciding(Some((*stream, PendingReply::None)));
+                cx.notify_engine(EngineInput::attempt_ended(entry.id, attempt, outcome));
             }
-            // A proxy cannot be made to leave a server and go to another: the attempt stays out until it reports.
-            // Where the request is over, the final answer that follows ends the attempt.
+            // A proxy cannot be made to abandon a server for another: the attempt stays outstanding until the proxy
+            // reports. If the request is over, the final answer that follows ends the attempt.
             _ => {}
         }
     }
 
-    fn answer(&mut self, name: &CorrelationId, answer: Answer, cx: &mut Context) {
-        let Some(entry) = self.entries.get_mut(name) else { return };
+    fn answer(&mut self, correlation_id: &CorrelationId, answer: Answer, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(correlation_id) else { return };
         match answer {
             Answer::Served => self.counts.served += 1,
             Answer::Refused { .. } => self.counts.refused += 1,
@@ -677,115 +699,118 @@
         }
         let id = entry.id;
         match &entry.state {
-            State::Held(Some((_, Asked::Nothing))) if !self.bounds.push_final_answers => {}
-            State::Held(Some((stream, asked))) => {
-                let (stream, asked) = (*stream, *asked);
+            State::Deciding(Some((_, PendingReply::None))) if !self.config.push_final_answers => {}
+            State::Deciding(Some((stream, pending))) => {
+                let (stream, pending) = (*stream, *pending);
                 self.streams.remove(&stream);
-                let verdict = match (answer, asked) {
-                    (Answer::Served, Asked::Responded) => Verdict::PassThrough,
-                    _ => verdict(answer),
+                let verdict = match (answer, pending) {
+                    (Answer::Served, PendingReply::Outcome) => Verdict::PassThrough,
+                    _ => final_verdict(answer),
                 };
                 cx.reply(stream, verdict);
             }
-            State::Out(stream, attempt) => {
+            State::Outstanding(stream, attempt) => {
                 let (stream, attempt) = (*stream, *attempt);
-                if self.bounds.push_final_answers {
+                if self.config.push_final_answers {
                     self.streams.remove(&stream);
-                    cx.reply(stream, verdict(answer));
+                    cx.reply(stream, final_verdict(answer));
                 }
-                cx.tell(EngineInput::attempt_ended(id, attempt, Outcome::Cancelled));
+                cx.notify_engine(EngineInput::attempt_ended(id, attempt, Outcome::Cancelled));
             }
-            State::Offered(grant) => {
+            State::RetryGranted(grant) => {
                 let input = EngineInput::attempt_ended(id, grant.attempt, Outcome::NotSent);
-                cx.tell(input);
+                cx.notify_engine(input);
             }
-            State::Held(None) | State::Over(_) => {}
+            State::Deciding(None) | State::Finished(_) => {}
         }
-        if let Some((stream, _)) = self.entries.get_mut(name).and_then(|r| r.parked.take()) {
+        if let Some((stream, _)) =
+            self.entries.get_mut(correlation_id).and_then(|e| e.next_presentation.take())
+        {
             self.streams.remove(&stream);
-            cx.reply(stream, verdict(answer));
+            cx.reply(stream, final_verdict(answer));
         }
-        self.over(name, answer, cx.now);
+        self.finish(correlation_id, answer, cx.now);
     }
 
-    /// The verdict stands from now on, for as long as the client could have waited.
-    fn over(&mut self, name: &CorrelationId, answer: Answer, now: Millis) {
-        let Some(entry) = self.entries.get_mut(name) else { return };
-        entry.state = State::Over(answer);
-        entry.until = entry.deadline.max(now);
-        self.timers.push(entry.until, name.clone());
+    /// Stores the final answer for later presentations, until the deadline of the request.
+    fn finish(&mut self, correlation_id: &CorrelationId, answer: Answer, now: Millis) {
+        let Some(entry) = self.entries.get_mut(correlation_id) else { return };
+        entry.state = State::Finished(answer);
+        entry.expires = entry.deadline.max(now);
+        self.timers.push(entry.expires, correlation_id.clone());
         self.ids.remove(&entry.id);
-        self.standing.push_back((name.clone(), entry.id));
-        self.open -= 1;
-        self.over += 1;
-        while self.over > self.bounds.max_standing_verdicts {
-            let Some((oldest, id)) = self.standing.pop_front() else { break };
-            if self.entries.get(&oldest).is_some_and(|r| r.id == id) {
-                self.forget(&oldest);
+        self.finished.push_back((correlation_id.clone(), entry.id));
+        self.open_count -= 1;
+        self.finished_count += 1;
+        while self.finished_count > self.config.max_standing_verdicts {
+            let Some((oldest, id)) = self.finished.pop_front() else { break };
+            if self.entries.get(&oldest).is_some_and(|e| e.id == id) {
+                self.remove_entry(&oldest);
             }
         }
     }
 
-    fn forget(&mut self, name: &CorrelationId) {
-        let Some(entry) = self.entries.remove(name) else { return };
-        if matches!(entry.state, State::Over(_)) {
-            self.over -= 1;
+    fn remove_entry(&mut self, correlation_id: &CorrelationId) {
+        let Some(entry) = self.entries.remove(correlation_id) else { return };
+        if matches!(entry.state, State::Finished(_)) {
+            self.finished_count -= 1;
         } else {
             self.ids.remove(&entry.id);
-            self.open -= 1;
+            self.open_count -= 1;
         }
-        // What was dropped before its turn leaves its place behind.
-        if self.standing.len() > 2 * self.over.max(64) {
+        // Removing an entry leaves its place in the queue behind; the queue is compacted from time to time.
+        if self.finished.len() > 2 * self.finished_count.max(64) {
             let entries = &self.entries;
-            self.standing.retain(|(n, id)| entries.get(n).is_some_and(|r| r.id == *id));
+            self.finished.retain(|(n, id)| entries.get(n).is_some_and(|e| e.id == *id));
         }
     }
 
-    fn due(&mut self, cx: &mut Context) {
-        while let Some((_, id, attempt)) = self.blind.front().copied().filter(|b| b.0 <= cx.now) {
-            self.blind.pop_front();
-            // Says nothing of the server, for nothing is known.
-            cx.tell(EngineInput::attempt_ended(id, attempt, Outcome::NotSent));
+    fn expire_timers(&mut self, cx: &mut Context) {
+        while let Some((_, id, attempt)) = self.unreported_attempts.front().copied().filter(|b| b.0 <= cx.now)
+        {
+            self.unreported_attempts.pop_front();
+            // Reported as not sent: nothing is known of the outcome, so that the server is not judged by it.
+            cx.notify_engine(EngineInput::attempt_ended(id, attempt, Outcome::NotSent));
         }
-        while let Some(name) = self.timers.pop(cx.now) {
-            self.look(&name, cx);
-            self.work(cx);
+        while let Some(correlation_id) = self.timers.pop(cx.now) {
+            self.check_expiry(&correlation_id, cx);
+            self.process_outputs(cx);
         }
     }
 
-    /// Ends what has waited for long enough.
-    fn look(&mut self, name: &CorrelationId, cx: &mut Context) {
-        let Some(entry) = self.entries.get_mut(name) else { return };
-        if let Some((stream, _)) = entry.parked.filter(|(_, until)| *until <= cx.now) {
-            entry.parked = None;
+    /// Expires the waiting presentation or the entry of a request if its time has come.
+    fn check_expiry(&mut self, correlation_id: &CorrelationId, cx: &mut Context) {
+        let Some(entry) = self.entries.get_mut(correlation_id) else { return };
+        if let Some((stream, _)) = entry.next_presentation.filter(|(_, until)| *until <= cx.now) {
+            entry.next_presentation = None;
             self.streams.remove(&stream);
             self.counts.conflicts += 1;
             cx.reply(stream, Verdict::Conflict(Conflict::Open));
         }
-        if entry.until > cx.now {
+        if entry.expires > cx.now {
             return;
         }
         let id = entry.id;
         match &entry.state {
-            State::Over(_) => self.forget(name),
-            // Nobody has come for it.
-            State::Offered(grant) => {
+            State::Finished(_) => self.remove_entry(correlation_id),
+            // No presentation has carried out the retry.
+            State::RetryGranted(grant) => {
                 let attempt = grant.attempt;
-                self.over(name, Answer::Failed, cx.now);
-                cx.tell(EngineInput::ClientDisconnected { id });
-                cx.tell(EngineInput::attempt_ended(id, attempt, Outcome::NotSent));
+                self.finish(correlation_id, Answer::Failed, cx.now);
+                cx.notify_engine(EngineInput::ClientDisconnected { id });
+                cx.notify_engine(EngineInput::attempt_ended(id, attempt, Outcome::NotSent));
             }
-            State::Held(None) => {
-                self.over(name, Answer::Failed, cx.now);
-                cx.tell(EngineInput::ClientDisconnected { id });
+            State::Deciding(None) => {
+                self.finish(correlation_id, Answer::Failed, cx.now);
+                cx.notify_engine(EngineInput::ClientDisconnected { id });
             }
-            State::Held(Some(_)) | State::Out(..) => {}
+            State::Deciding(Some(_)) | State::Outstanding(..) => {}
         }
     }
 }
 
-/// The final answer in the words that a stream is told. One that was served elsewhere cannot be given again.
-fn verdict(answer: Answer) -> Verdict {
+/// Returns the verdict for a final answer. A response that went to another stream cannot be given again.
+fn final_verdict(answer: Answer) -> Verdict {
     match answer {
         Answer::Served => Verdict::Conflict(Conflict::Served),
         Answer::Refused { retry_ms } => Verdict::Refuse { retry_ms },
