--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -276,12 +276,12 @@
     }
 
     /// Holds units of quotas ahead of need from now on ([`fawnhill::Limiter::enable_prefetch`]).
-    pub fn prefetch(&mut self, most: usize) {
-        self.limiter.enable_prefetch(most);
+    pub fn enable_prefetch(&mut self, max_customers: usize) {
+        self.limiter.enable_prefetch(max_customers);
     }
 
     /// What became of units held ahead; nothing where none are.
-    pub fn prefetched(&self) -> Option<fawnhill::PrefetchCounts> {
+    pub fn prefetch_counts(&self) -> Option<fawnhill::PrefetchCounts> {
         self.limiter.prefetch_counts()
     }
 
@@ -358,17 +358,17 @@
     }
 
     /// A request could be served: a server takes work, and the module is ready to let requests in.
-    pub fn ready(&self, now: Millis) -> bool {
+    pub fn is_ready(&self, now: Millis) -> bool {
         self.has_servers() && self.limiter.is_ready(now)
     }
 
     /// How many customers are remembered, and what became of others.
-    pub fn firms(&self) -> CustomerCounts {
+    pub fn customer_counts(&self) -> CustomerCounts {
         self.limiter.customer_counts()
     }
 
     /// New names come so fast that the module refuses those it has never seen.
-    pub fn flooding(&self) -> bool {
+    pub fn refuses_new_customers(&self) -> bool {
         self.limiter.refuses_new_customers()
     }
 
@@ -394,8 +394,8 @@
 
     /// Takes over what is believed of another process's snapshot. Only before the first request: what this one had
     /// learnt itself is replaced.
-    pub fn learn(&mut self, now: Millis, belief: Assessment) {
-        match belief {
+    pub fn restore(&mut self, now: Millis, assessment: Assessment) {
+        match assessment {
             Assessment::SameLimiter { knowledge, next_request } => {
                 self.next = self.next.max(next_request);
                 self.limiter.import_state(now, &knowledge, true);
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -127,7 +127,7 @@
     let (mut engine, mut out) = engine();
     let entries = (1..=3).map(|n| entry(n, Condition::Draining)).collect();
     engine.handle(1.0, Input::Servers { whole: false, entries }, &mut out);
-    assert!(!engine.ready(10_000.0) && !engine.accepts_requests(&Arc::from("s-1")));
+    assert!(!engine.is_ready(10_000.0) && !engine.accepts_requests(&Arc::from("s-1")));
     out.clear();
     engine.handle(2.0, Input::Request { correlation_id: (*b"c").into(), request: request(0, 1) }, &mut out);
     assert!(!out.iter().any(|o| matches!(o, Output::Send { .. })), "{out:?}");
--- a/crates/external/tests/cases.rs
+++ b/crates/external/tests/cases.rs
@@ -209,7 +209,9 @@
         }
         case.give(Input::Closed { stream: n });
         case.wait(0.5);
-        assert!(case.engine.firms().customers <= 10_000 && case.external.standing_verdicts() <= 100);
+        assert!(
+            case.engine.customer_counts().customers <= 10_000 && case.external.standing_verdicts() <= 100
+        );
         assert_eq!((case.external.open_requests(), case.external.open_streams()), (0, 0));
     }
     assert!(refused > 40_000, "{refused} of 50000 strangers");
--- a/crates/rehearsal/src/world/limiters.rs
+++ b/crates/rehearsal/src/world/limiters.rs
@@ -122,7 +122,7 @@
         l.engine = Engine::new(settings, seed, self.now).ok();
         if limiter < self.scenario.limiters.prefetch as usize {
             let most = self.scenario.limiters.firms as usize;
-            l.engine.iter_mut().for_each(|engine| engine.prefetch(most));
+            l.engine.iter_mut().for_each(|engine| engine.enable_prefetch(most));
         }
         (l.listening, l.armed) = (true, None);
         let entries: Arc<[ServerEntry]> =
--- a/crates/snapshot/tests/snapshot.rs
+++ b/crates/snapshot/tests/snapshot.rs
@@ -86,8 +86,8 @@
     let bytes = old.snapshot(now, SnapshotKind::Final).to_bytes(&settings());
     let mut new = engine(2, now + 20.0);
     let read = Snapshot::from_bytes(&bytes, &settings()).expect("whole");
-    new.learn(now + 30.0, assess(read, now + 30.0));
-    assert!(new.ready(now + 30.0), "its ceilings are as full as the old one's");
+    new.restore(now + 30.0, assess(read, now + 30.0));
+    assert!(new.is_ready(now + 30.0), "its ceilings are as full as the old one's");
     assert!((0..20).all(|n| !ask(&mut new, now + 31.0, n, 7)), "nothing is left");
     assert!(ask(&mut new, now + 32.0, 100, 8), "another firm has its own");
     // From then on it gets what the old one would have let it have.
@@ -104,7 +104,7 @@
 fn without_a_snapshot_the_burst_is_there_again() {
     let (_, now, _) = used();
     let mut new = engine(2, now);
-    assert!(!new.ready(now + 30.0));
+    assert!(!new.is_ready(now + 30.0));
     let let_in = (0..20).filter(|n| ask(&mut new, now + 10_000.0, *n, 7)).count();
     assert_eq!(let_in, 8);
 }
@@ -118,8 +118,8 @@
     let read = Snapshot::from_bytes(&bytes, &settings()).expect("whole");
     let belief = assess(read, now + 500.0);
     assert!(matches!(belief, Assessment::Hints { .. }));
-    new.learn(now + 500.0, belief);
-    assert!(!new.ready(now + 500.0));
+    new.restore(now + 500.0, belief);
+    assert!(!new.is_ready(now + 500.0));
     assert!(!ask(&mut new, now + 501.0, 1, 8));
 }
 
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -282,7 +282,7 @@
         let engine = &self.state.borrow().engine;
         // Beside a predecessor its accounts are still to come, as full as they are: nothing has to fill here first.
         let follows = self.follows.get() && self.phase() == Phase::Warming && engine.has_servers();
-        let able = told && (follows || engine.ready(now));
+        let able = told && (follows || engine.is_ready(now));
         self.life.borrow_mut().set_can_serve(now, able);
         able
     }
@@ -388,7 +388,7 @@
         };
         self.follows.set(!matches!(belief, Assessment::Expired { .. }));
         let mut state = self.state.borrow_mut();
-        state.engine.learn(now, belief);
+        state.engine.restore(now, belief);
         if state.rearm() {
             self.timers_changed.notify_one();
         }
@@ -415,7 +415,7 @@
 
     /// New names come so fast that the module refuses those it has never seen.
     pub fn flooding(&self) -> bool {
-        self.state.borrow().engine.flooding()
+        self.state.borrow().engine.refuses_new_customers()
     }
 
     /// Reads the configuration again; of what it says only where discovery is can change while serving. One that cannot be
@@ -546,7 +546,7 @@
 
     /// Holds units of quotas ahead of need, for so many customers at most.
     pub fn prefetch(&self, most: usize) {
-        self.state.borrow_mut().engine.prefetch(most);
+        self.state.borrow_mut().engine.enable_prefetch(most);
     }
 
     /// How long the answer to a request is kept from when it came: the class's window, in which servers drop its repeats.
