--- a/crates/permit/src/accepting.rs
+++ b/crates/permit/src/accepting.rs
@@ -1,29 +1,30 @@
-//! Whether a process that starts may accept connections.
+//! Decides whether a starting process may accept connections.
 
 use crate::Millis;
 
-/// An agent that says nothing is waited for so long, and for a part of the shortest time that a client wants its answer in.
-const MOST_WAIT_MS: Millis = 2000.0;
-const AIM_PART: f64 = 0.25;
+/// Longest wait for the first server list from a discovery agent that does not answer.
+const MAX_LIST_WAIT_MS: Millis = 2000.0;
+/// The wait is also limited to this fraction of the shortest target latency.
+const TARGET_LATENCY_FRACTION: f64 = 0.25;
 
-/// How far a start has come.
+/// Progress of a process's start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StartupState {
-    /// Discovery has told its list to this process.
+    /// This process has received a server list from discovery.
     pub list_received: bool,
-    /// The list has to be asked for at a registry: what that has counts once it has told it.
+    /// The server list has to be requested from a registry, and is binding only once the registry has sent it.
     pub uses_registry: bool,
-    /// Since the process began.
+    /// Time since the process started.
     pub elapsed_ms: Millis,
-    /// The shortest time in which a class wants its answer; infinite without classes.
+    /// Shortest target latency of any class; infinite if there are no classes.
     pub min_target_latency_ms: Millis,
 }
 
-/// Whether connections may be accepted: what an agent has counts as told from the first moment, so that a request served
-/// before its first word might go to a server that drains.
+/// Whether connections may be accepted. A list that a discovery agent holds is binding from the start, even before it
+/// has arrived: a request served earlier might be sent to a server that drains.
 pub fn may_accept(start: &StartupState) -> bool {
-    let most_ms = MOST_WAIT_MS.min(start.min_target_latency_ms * AIM_PART);
-    start.list_received || start.uses_registry || start.elapsed_ms > most_ms
+    let max_wait_ms = MAX_LIST_WAIT_MS.min(start.min_target_latency_ms * TARGET_LATENCY_FRACTION);
+    start.list_received || start.uses_registry || start.elapsed_ms > max_wait_ms
 }
 
 #[cfg(test)]
@@ -31,7 +32,7 @@
     use super::*;
 
     #[test]
-    fn the_agents_first_word_is_waited_for_a_part_of_the_shortest_aim() {
+    fn the_wait_for_the_first_list_is_limited_by_the_shortest_target_latency() {
         let start = StartupState {
             list_received: false,
             uses_registry: false,
--- a/crates/permit/src/closing.rs
+++ b/crates/permit/src/closing.rs
@@ -1,41 +1,42 @@
-//! Whether a client's connection may be closed now.
+//! Decides whether a client's connection may be closed now.
 
 /// Why a connection is to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Nothing has been asked on it for long, or the process ends.
+    /// No request has arrived on the connection for a long time, or the process is ending.
     Idle,
-    /// It makes way for another one.
+    /// The connection is evicted to make room for another one. The variant name appears in log lines.
     MakesWay,
-    /// A part of a request has come on it, and the rest does not follow in time.
+    /// Part of a request has arrived, and the rest did not follow in time.
     Stalled,
 }
 
-/// A client's connection.
+/// State of a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Connection {
-    /// A request of it has been read and has no final answer.
+    /// A request has been read and has no final answer yet.
     pub request_open: bool,
-    /// Bytes that it has sent lie unread.
+    /// The socket holds received bytes that have not been read.
     pub unread: bool,
-    /// It was kept for that before, and has been read since.
+    /// A close was already deferred because of unread bytes, and they have been read since.
     pub already_deferred: bool,
 }
 
-/// Why it stays open.
+/// Why a connection has to stay open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeepReason {
-    /// An answer is owed on it.
+    /// A request on the connection has not been answered.
     AnswerPending,
-    /// What lies unread may be a request: it has to be read first, and the close would reset it.
+    /// The unread bytes may be a request: they have to be read first, since closing now would reset the connection.
     UnreadData,
 }
 
-/// Whether a connection may be closed now. What lies unread is read first: while the process stood still the rest of a request
-/// may have come. One that stalled is kept for that once, since a sender that trickles would never end.
+/// Whether a connection may be closed now. Unread bytes are read first, since the rest of a request may have arrived
+/// while the process was stalled. A connection with a stalled request is spared for that reason only once: otherwise
+/// a client that sends its request in small pieces could keep it open for ever.
 ///
 /// # Errors
-/// Why not.
+/// The reason to keep the connection open, if it may not be closed.
 pub fn may_close(connection: Connection, why: CloseReason) -> Result<(), KeepReason> {
     match why {
         _ if connection.request_open => Err(KeepReason::AnswerPending),
@@ -53,7 +54,7 @@
     use super::*;
 
     #[test]
-    fn what_is_owed_or_unread_keeps_a_connection_open() {
+    fn a_pending_answer_or_unread_data_keeps_a_connection_open() {
         let of = |request_open, unread| Connection { request_open, unread, already_deferred: false };
         for why in [CloseReason::Idle, CloseReason::MakesWay, CloseReason::Stalled] {
             assert_eq!(may_close(of(true, false), why), Err(KeepReason::AnswerPending));
--- a/crates/permit/src/lib.rs
+++ b/crates/permit/src/lib.rs
@@ -1,9 +1,10 @@
-//! The one place that decides whether something may be sent, repeated, closed or accepted at this moment. It is asked at the
-//! last moment before the bytes go out, not when the decision was made: a process may stand still in between, and a
-//! connection may come up late. It does *not* read a clock, look at sockets or keep state: what is known, and as of when, is
-//! an argument, and where that is too old the answer names what has to be looked at first.
+//! Decides whether something may be sent, retried, closed or accepted at this moment; all such decisions are made here.
+//! The caller asks immediately before it acts, not when it plans the action: the process may stall in between, and a
+//! connection may be established late. The crate reads no clock, inspects no sockets and keeps no state. The caller
+//! passes in the facts and when they were established; if they are too old, the answer names the one to refresh first.
 //!
-//! [`violation`] holds what has happened against the same rules, by other facts than those that the decision was made by.
+//! [`violation`] checks afterwards what was written against the same rules, using facts gathered independently of the
+//! decision.
 //!
 //! ```
 //! use marldeal_permit::{may_send, Attempt, Check, ClientState, Denied, Effect, Verdict};
@@ -21,8 +22,8 @@
 //! assert_eq!(may_send(&attempt), Verdict::Allowed);
 //! let later = Attempt { now: 1500.0, ..attempt };
 //! assert_eq!(may_send(&later), Verdict::CheckFirst(Check::Client));
-//! let left = Attempt { client: ClientState::Disconnected, ..later };
-//! assert_eq!(may_send(&left), Verdict::Denied(Denied::ClientDisconnected));
+//! let disconnected = Attempt { client: ClientState::Disconnected, ..later };
+//! assert_eq!(may_send(&disconnected), Verdict::Denied(Denied::ClientDisconnected));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -39,5 +40,5 @@
     MAX_CLIENT_CHECK_AGE_MS, MAX_STALL_MS,
 };
 
-/// A moment or a length of time in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
--- a/crates/permit/src/sending.rs
+++ b/crates/permit/src/sending.rs
@@ -1,123 +1,124 @@
-//! Whether an attempt, first or further, may go out now.
+//! Decides whether an attempt, the first one or a retry, may be sent now.
 
 use std::fmt;
 
 use crate::Millis;
 
-/// A client that was connected so long ago may have left: an attempt that begins more than 100 ms after its close is a break,
-/// and word of the close may lie unread behind a full turn of the event loop.
+/// Maximum age of the last check that the client is connected. Starting an attempt more than 100 ms after the client
+/// has closed its connection is a violation, and a full turn of the event loop may pass before the close is read.
 pub const MAX_CLIENT_CHECK_AGE_MS: Millis = 50.0;
-/// A process may be held up for so long between reading its clock and writing.
+/// Longest stall that is allowed for between reading the clock and writing the request.
 pub const MAX_STALL_MS: Millis = 150.0;
-/// Share of the window in which servers drop repeats that being held up may cost at most, where the window is short.
+/// Largest fraction of a key's deduplication window that is reserved for a stall; applies to short windows.
 const MAX_STALL_FRACTION: f64 = 0.25;
 
-/// What a second execution of a request would do.
+/// Effect of executing a request a second time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// No harm.
+    /// A second execution is harmless.
     Safe,
-    /// None, as long as servers remember its key.
+    /// Servers drop a second execution as long as they remember the request's idempotency key.
     Keyed {
-        /// How long they do, from when it first may have run.
+        /// How long servers remember the key, counted from when the request may first have run.
         window_ms: Millis,
     },
-    /// Harm.
+    /// A second execution does harm.
     Unsafe,
 }
 
-/// The client that waits for the answer.
+/// State of the client that waits for the answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ClientState {
-    /// Its connection was open when it was last looked at.
+    /// The client's connection was open at the last check.
     Connected {
-        /// When that was.
+        /// Time of that check.
         checked_at: Millis,
     },
-    /// It has closed or reset its connection, or has its answer.
+    /// The client has closed or reset its connection, or has received its answer.
     Disconnected,
 }
 
-/// An attempt that is about to go out, and what is known.
+/// An attempt that is about to be sent, and the facts that the decision depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Attempt {
-    /// The time.
+    /// Current time.
     pub now: Millis,
-    /// Who waits for it.
+    /// State of the client that made the request.
     pub client: ClientState,
-    /// The server is in the list, where it was, and takes new work.
+    /// The server is listed under the same address as when it was picked, and takes new requests.
     pub server_accepts: bool,
-    /// All that discovery has told by now has been read.
+    /// Every server list update that discovery has sent so far has been read.
     pub server_list_current: bool,
-    /// When its client gives up.
+    /// Time at which the client gives up.
     pub deadline: Millis,
-    /// What a second execution would do.
+    /// Effect of a second execution of the request.
     pub effect: Effect,
-    /// When the first attempt that may have run went out.
+    /// When the first attempt that a server may have executed was sent, if there was one.
     pub may_have_run: Option<Millis>,
-    /// Another attempt of the same request is out.
+    /// Another attempt of the same request is outstanding.
     pub another_outstanding: bool,
 }
 
-/// What has to be looked at before the question can be answered.
+/// A fact that has to be refreshed before the question can be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Check {
-    /// Whether the client is still there.
+    /// Whether the client is still connected.
     Client,
-    /// What discovery has told and nobody has read.
+    /// Server list updates that discovery has sent and that have not been read yet.
     ServerList,
 }
 
-/// Why an attempt may not go out.
+/// Why an attempt may not be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// Nobody waits for it.
+    /// The client no longer waits for the answer.
     ClientDisconnected,
-    /// Its client's time is over.
+    /// The client's deadline has passed.
     DeadlinePassed,
-    /// The server drains, is gone, or is elsewhere.
+    /// The server drains, was removed, or has moved to another address.
     ServerUnavailable,
-    /// Two would be out at once.
+    /// Two attempts of the request would be outstanding at once.
     AnotherOutstanding,
-    /// Servers may have forgotten its key by the time it arrives.
+    /// Servers may have forgotten the idempotency key by the time the attempt arrives.
     KeyExpired,
-    /// An earlier attempt may have run, and a second execution would do harm.
+    /// An earlier attempt may have been executed, and a second execution would do harm.
     MayHaveRun,
 }
 
 impl fmt::Display for Denied {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Denied::ClientDisconnected => "its client has disconnected",
-            Denied::DeadlinePassed => "its deadline has passed",
-            Denied::ServerUnavailable => "the server takes nothing new",
-            Denied::AnotherOutstanding => "another attempt is out",
-            Denied::KeyExpired => "servers may have forgotten its key",
-            Denied::MayHaveRun => "an earlier attempt may have run",
+            Denied::ClientDisconnected => "the client has disconnected",
+            Denied::DeadlinePassed => "the deadline has passed",
+            Denied::ServerUnavailable => "the server takes no new requests",
+            Denied::AnotherOutstanding => "another attempt of the request is outstanding",
+            Denied::KeyExpired => "servers may have forgotten the idempotency key",
+            Denied::MayHaveRun => "an earlier attempt may have been executed",
         })
     }
 }
 
-/// The answer.
+/// Answer to the question whether an attempt may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may go out, if the bytes do so at once.
+    /// The attempt may be sent, provided that its bytes are written at once.
     Allowed,
-    /// Something has to be looked at; then to be asked again.
+    /// The named fact has to be refreshed, and the question asked again.
     CheckFirst(Check),
-    /// It may not.
+    /// The attempt may not be sent.
     Denied(Denied),
 }
 
-/// How much of a window in which servers drop repeats can be used: a process that is held up writes later than it decides.
+/// Usable part of the window in which servers remember an idempotency key. The rest covers a stall between the decision
+/// and the write.
 pub fn usable_window_ms(window_ms: Millis) -> Millis {
     window_ms - MAX_STALL_MS.min(window_ms * MAX_STALL_FRACTION)
 }
 
-/// Whether a further attempt may be made at all, `since` when the first one that may have run went out.
+/// Whether a retry may be made at all. `since` is when the first attempt that a server may have executed was sent.
 ///
 /// # Errors
-/// Why not.
+/// The reason, if a retry is not allowed.
 pub fn may_retry(now: Millis, effect: Effect, since: Option<Millis>) -> Result<(), Denied> {
     match (effect, since) {
         (_, None) | (Effect::Safe, _) => Ok(()),
@@ -127,7 +128,7 @@
     }
 }
 
-/// Whether an attempt may go out now. What rules it out for good comes before what has to be looked at.
+/// Whether an attempt may be sent now. Reasons that rule it out for allowed_attempt take precedence over facts to refresh.
 pub fn may_send(attempt: &Attempt) -> Verdict {
     let Attempt { now, effect, may_have_run, .. } = *attempt;
     if attempt.another_outstanding {
@@ -161,7 +162,7 @@
 
     use super::*;
 
-    fn good() -> Attempt {
+    fn allowed_attempt() -> Attempt {
         Attempt {
             now: 1000.0,
             client: ClientState::Connected { checked_at: 1000.0 },
@@ -175,27 +176,39 @@
     }
 
     #[test]
-    fn each_rule_alone_denies_or_asks_for_a_look() {
+    fn each_rule_alone_denies_or_requires_a_check() {
         let keyed = Effect::Keyed { window_ms: 1000.0 };
         let cases = [
-            (good(), Verdict::Allowed),
-            (Attempt { another_outstanding: true, ..good() }, Verdict::Denied(Denied::AnotherOutstanding)),
-            (Attempt { now: 2000.0, ..good() }, Verdict::Denied(Denied::DeadlinePassed)),
+            (allowed_attempt(), Verdict::Allowed),
             (
-                Attempt { client: ClientState::Disconnected, ..good() },
+                Attempt { another_outstanding: true, ..allowed_attempt() },
+                Verdict::Denied(Denied::AnotherOutstanding),
+            ),
+            (Attempt { now: 2000.0, ..allowed_attempt() }, Verdict::Denied(Denied::DeadlinePassed)),
+            (
+                Attempt { client: ClientState::Disconnected, ..allowed_attempt() },
                 Verdict::Denied(Denied::ClientDisconnected),
             ),
-            (Attempt { server_accepts: false, ..good() }, Verdict::Denied(Denied::ServerUnavailable)),
-            (Attempt { may_have_run: Some(999.0), ..good() }, Verdict::Denied(Denied::MayHaveRun)),
             (
-                Attempt { effect: keyed, may_have_run: Some(149.0), ..good() },
+                Attempt { server_accepts: false, ..allowed_attempt() },
+                Verdict::Denied(Denied::ServerUnavailable),
+            ),
+            (Attempt { may_have_run: Some(999.0), ..allowed_attempt() }, Verdict::Denied(Denied::MayHaveRun)),
+            (
+                Attempt { effect: keyed, may_have_run: Some(149.0), ..allowed_attempt() },
                 Verdict::Denied(Denied::KeyExpired),
             ),
-            (Attempt { effect: keyed, may_have_run: Some(151.0), ..good() }, Verdict::Allowed),
-            (Attempt { effect: Effect::Safe, may_have_run: Some(0.0), ..good() }, Verdict::Allowed),
-            (Attempt { server_list_current: false, ..good() }, Verdict::CheckFirst(Check::ServerList)),
+            (Attempt { effect: keyed, may_have_run: Some(151.0), ..allowed_attempt() }, Verdict::Allowed),
+            (
+                Attempt { effect: Effect::Safe, may_have_run: Some(0.0), ..allowed_attempt() },
+                Verdict::Allowed,
+            ),
+            (
+                Attempt { server_list_current: false, ..allowed_attempt() },
+                Verdict::CheckFirst(Check::ServerList),
+            ),
             (
-                Attempt { client: ClientState::Connected { checked_at: 949.0 }, ..good() },
+                Attempt { client: ClientState::Connected { checked_at: 949.0 }, ..allowed_attempt() },
                 Verdict::CheckFirst(Check::Client),
             ),
         ];
@@ -205,15 +218,16 @@
     }
 
     #[test]
-    fn a_short_window_keeps_three_quarters() {
+    fn three_quarters_of_a_short_window_are_usable() {
         assert_eq!((usable_window_ms(8000.0), usable_window_ms(400.0)), (7850.0, 300.0));
         assert_eq!(usable_window_ms(f64::INFINITY), f64::INFINITY);
     }
 
     proptest! {
-        /// Whatever is known, what is allowed keeps every rule, also if it is written as late as a process may be held up.
+        /// For arbitrary facts, an allowed attempt satisfies every rule, even if the write is delayed by the longest
+        /// stall that is allowed for.
         #[test]
-        fn what_is_allowed_keeps_every_rule(
+        fn an_allowed_attempt_satisfies_every_rule(
             now in 0.0..5000.0f64, checked_at in 0.0..5000.0f64, connected in any::<bool>(), accepts in any::<bool>(),
             read in any::<bool>(), deadline in 0.0..5000.0f64, window_ms in 1.0..9000.0f64, kind in 0u8..3,
             ran in prop::option::of(0.0..5000.0f64), another_outstanding in any::<bool>(),
--- a/crates/permit/src/violation.rs
+++ b/crates/permit/src/violation.rs
@@ -1,4 +1,4 @@
-//! What has happened, held against the rules while a process runs: counted, and told to whoever keeps the log.
+//! Checks attempts that have been written against the sending rules, and counts the violations.
 
 use std::fmt;
 
@@ -8,18 +8,18 @@
 /// A rule that was broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// An attempt was written for a request that had its final answer, or whose client had left.
+    /// An attempt was written for a request that had its final answer or whose client had disconnected.
     SentAfterEnd,
-    /// An attempt was written after its client's time, by more than a process may be held up.
+    /// An attempt was written after the client's deadline by more than [`MAX_STALL_MS`].
     SentAfterDeadline,
-    /// An attempt was written while another one was out.
+    /// An attempt was written while another one of the same request was outstanding.
     SentWhileOutstanding,
-    /// A request had no answer at its deadline and was given one by the backstop.
+    /// A request had no answer at its deadline and was answered by the backstop timer.
     AnsweredByBackstop,
 }
 
 impl Violation {
-    /// All of them.
+    /// All violations, in declaration order.
     pub const ALL: [Violation; 4] = [
         Violation::SentAfterEnd,
         Violation::SentAfterDeadline,
@@ -27,7 +27,7 @@
         Violation::AnsweredByBackstop,
     ];
 
-    /// Its name in logs and figures, the same from version to version.
+    /// Name in logs and metrics; stable across versions.
     pub fn name(self) -> &'static str {
         match self {
             Violation::SentAfterEnd => "sent_after_end",
@@ -44,21 +44,21 @@
     }
 }
 
-/// An attempt whose last byte has been written.
+/// State of a request when the last byte of one of its attempts has been written.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WrittenAttempt {
-    /// The time.
+    /// Current time.
     pub now: Millis,
-    /// Its request has no final answer yet, and its client has not left as far as is known.
+    /// The request has no final answer, and its client is not known to have disconnected.
     pub request_open: bool,
-    /// Attempts of its request that are out, itself among them.
+    /// Number of outstanding attempts of the request, including this one.
     pub outstanding: usize,
-    /// When its client gives up; infinite while a body is on its way.
+    /// Time at which the client gives up; infinite while a body is being transferred.
     pub deadline: Millis,
 }
 
 impl WrittenAttempt {
-    /// The rule that it breaks, if it breaks one.
+    /// The rule that the write violated, if any.
     pub fn violation(&self) -> Option<Violation> {
         if self.outstanding > 1 {
             return Some(Violation::SentWhileOutstanding);
@@ -70,22 +70,22 @@
     }
 }
 
-/// How often each rule was broken.
+/// Number of violations of each rule.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ViolationCounts([u64; Violation::ALL.len()]);
 
 impl ViolationCounts {
-    /// One more.
+    /// Counts one violation.
     pub fn record(&mut self, violation: Violation) {
         self.0[violation as usize] += 1;
     }
 
-    /// How often this one.
+    /// Number of violations of one rule.
     pub fn count(&self, violation: Violation) -> u64 {
         self.0[violation as usize]
     }
 
-    /// How often any.
+    /// Number of violations of all rules.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
@@ -96,14 +96,18 @@
     use super::*;
 
     #[test]
-    fn each_broken_rule_is_named_and_counted() {
-        let good = WrittenAttempt { now: 1000.0, request_open: true, outstanding: 1, deadline: 1000.0 };
-        assert_eq!(good.violation(), None);
-        assert_eq!(WrittenAttempt { now: 1150.0, ..good }.violation(), None, "held up as long as it may be");
+    fn each_violation_is_detected_and_counted() {
+        let valid = WrittenAttempt { now: 1000.0, request_open: true, outstanding: 1, deadline: 1000.0 };
+        assert_eq!(valid.violation(), None);
+        assert_eq!(
+            WrittenAttempt { now: 1150.0, ..valid }.violation(),
+            None,
+            "delayed by the longest stall that is allowed for"
+        );
         let cases = [
-            (WrittenAttempt { outstanding: 2, ..good }, Violation::SentWhileOutstanding),
-            (WrittenAttempt { request_open: false, ..good }, Violation::SentAfterEnd),
-            (WrittenAttempt { now: 1151.0, ..good }, Violation::SentAfterDeadline),
+            (WrittenAttempt { outstanding: 2, ..valid }, Violation::SentWhileOutstanding),
+            (WrittenAttempt { request_open: false, ..valid }, Violation::SentAfterEnd),
+            (WrittenAttempt { now: 1151.0, ..valid }, Violation::SentAfterDeadline),
         ];
         let mut counts = ViolationCounts::default();
         for (written, violation) in cases {
