--- a/crates/firms/src/frequency.rs
+++ b/crates/firms/src/frequency.rs
@@ -1,48 +1,48 @@
-//! How often a name was seen of late, in four bits a cell's worth and without a record of it.
+//! Estimates how often a key was used recently, with counters up to 15 and without a record per key.
 
-use crate::places;
+use crate::cell_indexes;
 
 const ROWS: usize = 4;
-const MOST: u8 = 15;
-/// Sightings, in tables full, after which all counts have been halved (TinyLFU, Einziger, Friedman and Manes 2017).
-const SAMPLE: usize = 10;
+const MAX_COUNT: u8 = 15;
+/// All counters are halved once in this many uses per key of the capacity (TinyLFU, Einziger, Friedman and Manes 2017).
+const AGING_USES_PER_KEY: usize = 10;
 
-/// A count-min sketch that ages: every so many sightings a few cells are halved, so that no call passes over all.
+/// A count-min sketch with aging. A few cells are halved at fixed intervals of uses, so that no call visits all cells.
 #[derive(Debug)]
-pub(crate) struct Frequency {
+pub(crate) struct FrequencySketch {
     bits: u32,
     cells: Vec<u8>,
-    hand: usize,
-    seen: usize,
+    aging_index: usize,
+    uses: usize,
 }
 
-impl Frequency {
-    pub(crate) fn new(names: usize) -> Frequency {
-        // Four rows of half a cell to a cell each for a name: 2 to 4 bytes.
-        let bits = (names.clamp(32, 1 << 25).next_power_of_two() / 2).trailing_zeros();
-        Frequency { bits, cells: vec![0; ROWS << bits], hand: 0, seen: 0 }
+impl FrequencySketch {
+    pub(crate) fn new(keys: usize) -> FrequencySketch {
+        // Four rows with 0.5 to 1 one-byte cell per key: 2 to 4 bytes per key.
+        let bits = (keys.clamp(32, 1 << 25).next_power_of_two() / 2).trailing_zeros();
+        FrequencySketch { bits, cells: vec![0; ROWS << bits], aging_index: 0, uses: 0 }
     }
 
-    pub(crate) fn add(&mut self, hash: u64) {
-        let least = self.of(hash);
-        if least < MOST {
-            // Conservative update (Estan and Varghese 2002): only the cells that hold the estimate grow.
-            for place in places(hash, ROWS, self.bits) {
-                self.cells[place] = self.cells[place].max(least + 1);
+    pub(crate) fn record(&mut self, hash: u64) {
+        let estimate = self.estimate(hash);
+        if estimate < MAX_COUNT {
+            // Conservative update (Estan and Varghese 2002): only the cells that equal the estimate are raised.
+            for index in cell_indexes(hash, ROWS, self.bits) {
+                self.cells[index] = self.cells[index].max(estimate + 1);
             }
         }
-        self.seen += 1;
-        if self.seen.is_multiple_of(4 * SAMPLE) {
-            // 8 cells each 40 sightings: 2 * names cells in `SAMPLE` * names sightings.
-            for cell in &mut self.cells[self.hand..self.hand + 2 * ROWS] {
+        self.uses += 1;
+        if self.uses.is_multiple_of(4 * AGING_USES_PER_KEY) {
+            // 8 cells per 40 uses: 2 * `keys` cells in `AGING_USES_PER_KEY` * `keys` uses.
+            for cell in &mut self.cells[self.aging_index..self.aging_index + 2 * ROWS] {
                 *cell /= 2;
             }
-            self.hand = (self.hand + 2 * ROWS) % self.cells.len();
+            self.aging_index = (self.aging_index + 2 * ROWS) % self.cells.len();
         }
     }
 
-    pub(crate) fn of(&self, hash: u64) -> u8 {
-        places(hash, ROWS, self.bits).map(|place| self.cells[place]).min().unwrap_or(0)
+    pub(crate) fn estimate(&self, hash: u64) -> u8 {
+        cell_indexes(hash, ROWS, self.bits).map(|index| self.cells[index]).min().unwrap_or(0)
     }
 
     pub(crate) fn bytes(&self) -> usize {
@@ -55,14 +55,14 @@
     use super::*;
 
     #[test]
-    fn counts_grow_with_sightings_and_fade_with_those_of_others() {
-        let mut seen = Frequency::new(64);
+    fn counts_grow_with_uses_and_fade_with_those_of_other_keys() {
+        let mut frequency = FrequencySketch::new(64);
         let spread = |n: u64| n.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        (0..9).for_each(|_| seen.add(spread(1)));
-        assert!(seen.of(spread(1)) >= 8);
-        (0..64 * SAMPLE as u64 * 8).for_each(|n| seen.add(spread(n % 7 + 100)));
-        assert!(seen.of(spread(1)) <= 1, "{}", seen.of(spread(1)));
-        // At most, or halved a moment ago.
-        assert!(seen.of(spread(100)) >= MOST / 2, "{}", seen.of(spread(100)));
+        (0..9).for_each(|_| frequency.record(spread(1)));
+        assert!(frequency.estimate(spread(1)) >= 8);
+        (0..64 * AGING_USES_PER_KEY as u64 * 8).for_each(|n| frequency.record(spread(n % 7 + 100)));
+        assert!(frequency.estimate(spread(1)) <= 1, "{}", frequency.estimate(spread(1)));
+        // The maximum, or half of it right after an aging step.
+        assert!(frequency.estimate(spread(100)) >= MAX_COUNT / 2, "{}", frequency.estimate(spread(100)));
     }
 }
--- a/crates/firms/src/lib.rs
+++ b/crates/firms/src/lib.rs
@@ -1,26 +1,27 @@
-//! State kept by name, in fixed memory: a [`Table`] of the names in use, a [`DeficitSketch`] sketch of what the forgotten
-//! ones still owe, and a filter of the names seen [`RecentKeys`].
+//! Per-key state in fixed memory: a [`Table`] of records for the keys in use, a [`DeficitSketch`] with the deficits of
+//! evicted keys, and [`RecentKeys`], a filter of the keys used recently.
 //!
-//! All take any flood of names in constant time and memory. They do *not* decide what a record means, whether it may
-//! go or what its debt is: the caller says so when asked, and brings the time with each call. They read no clock and
-//! draw no random numbers: the same seed and calls give the same records in the same order.
+//! Each handles any number of distinct keys in constant time per call and constant memory. They do *not* decide what a
+//! record means, whether it may be evicted or how large its deficit is: the caller supplies this, and the time with
+//! each call. They read no clock and draw no random numbers: the same seed and calls give the same records in the same
+//! order.
 //!
 //! ```
 //! use marldeal_firms::{DeficitSketch, Evictability, Table};
 //!
-//! // Two names at most. What a name spent fills again within its debt's milliseconds.
+//! // The table holds two keys. Each record is the time until which its key has a deficit.
 //! let mut table = Table::new(2, 42);
-//! let mut debts = DeficitSketch::new(1024, 42);
-//! for name in [1u64, 2, 3] {
-//!     if let Some((gone, full_at, _)) = table.evict_if_full(|_, _| Evictability::WithDeficit) {
-//!         debts.record(&gone, full_at);
+//! let mut deficits = DeficitSketch::new(1024, 42);
+//! for key in [1u64, 2, 3] {
+//!     if let Some((evicted, full_at, _)) = table.evict_if_full(|_, _| Evictability::WithDeficit) {
+//!         deficits.record(&evicted, full_at);
 //!     }
-//!     table.insert(0.0, name, 500.0).expect("room was made");
+//!     table.insert(0.0, key, 500.0).expect("a record was evicted");
 //! }
 //! assert_eq!(table.len(), 2);
-//! // The first one was forgotten, what it owes was not.
+//! // The first record was evicted; its deficit is still known.
 //! assert!(table.get(&1u64).is_none());
-//! assert!(debts.deficit_until(&1u64) >= 500.0);
+//! assert!(deficits.deficit_until(&1u64) >= 500.0);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -38,17 +39,17 @@
 pub use recent::RecentKeys;
 pub use table::{Evictability, Table};
 
-/// A moment in milliseconds of the caller's clock.
+/// A point in time in milliseconds of the caller's clock.
 pub type Millis = f64;
 
-/// A hash that nobody without the seed can make collide (SipHash-1-3, Aumasson and Bernstein 2012).
+/// A keyed hash: without the seed nobody can construct collisions (SipHash-1-3, Aumasson and Bernstein 2012).
 #[derive(Debug, Clone, Copy)]
-struct Keyed(u64, u64);
+struct KeyedHash(u64, u64);
 
-impl Keyed {
-    /// `salt` keeps apart what shares a seed.
-    fn new(seed: u64, salt: u64) -> Keyed {
-        Keyed(seed, salt)
+impl KeyedHash {
+    /// `salt` gives structures that share a seed different hashes.
+    fn new(seed: u64, salt: u64) -> KeyedHash {
+        KeyedHash(seed, salt)
     }
 
     fn hash<K: Hash>(self, key: &K) -> u64 {
@@ -58,13 +59,13 @@
     }
 }
 
-/// Places of one hash in `rows` rows of `1 << bits` cells each (Kirsch and Mitzenmacher 2006: two halves of one hash
-/// serve as well as a hash for each row).
-fn places(hash: u64, rows: usize, bits: u32) -> impl Iterator<Item = usize> {
-    let (one, two) = (hash as u32, (hash >> 32) as u32 | 1);
+/// Cell indexes of a hash in `rows` rows of `1 << bits` cells each. Two halves of one hash serve as well as a separate
+/// hash for each row (Kirsch and Mitzenmacher 2006).
+fn cell_indexes(hash: u64, rows: usize, bits: u32) -> impl Iterator<Item = usize> {
+    let (first, second) = (hash as u32, (hash >> 32) as u32 | 1);
     let mask = (1usize << bits) - 1;
     (0..rows).map(move |row| {
-        let at = one.wrapping_add((row as u32).wrapping_mul(two)) as usize;
-        (row << bits) + (at & mask)
+        let column = first.wrapping_add((row as u32).wrapping_mul(second)) as usize;
+        (row << bits) + (column & mask)
     })
 }
--- a/crates/firms/src/table.rs
+++ b/crates/firms/src/table.rs
@@ -1,28 +1,28 @@
-//! A table of a bounded number of names, each call in constant time.
+//! A key-value table with a bounded number of records; each call takes constant time.
 
 use std::fmt::{self, Debug, Formatter};
 use std::hash::Hash;
 
-use crate::frequency::Frequency;
-use crate::{Keyed, Millis};
+use crate::frequency::FrequencySketch;
+use crate::{KeyedHash, Millis};
 
-/// No slot.
+/// Index that refers to no slot.
 const NONE: u32 = u32::MAX;
-/// Records in one piece of memory; pieces come and go one at a time, so that nothing is ever copied as a whole.
-const CHUNK: usize = 1024;
-/// Share of the table that names seen again may hold; the rest is for those seen once, which a scan turns over.
-const PROTECTED: f64 = 0.8;
-/// Records looked at for one to forget.
-const LOOKS: usize = 8;
-
-/// What becomes of a record that is to go.
+/// Records in one allocated chunk. Chunks are allocated and freed one at a time, so the table is never copied whole.
+const CHUNK_RECORDS: usize = 1024;
+/// Fraction of the table that keys used repeatedly may occupy. The rest is for keys used once, which a scan replaces.
+const PROTECTED_FRACTION: f64 = 0.8;
+/// Records examined in each list when one has to be evicted.
+const MAX_EXAMINED: usize = 8;
+
+/// Whether and at what cost a record can be evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evictability {
-    /// Nothing is lost by forgetting it.
+    /// Evicting the record loses no information.
     Lossless,
-    /// It owes something, which must be carried on elsewhere.
+    /// The record has a deficit, which the caller must store elsewhere.
     WithDeficit,
-    /// It must stay.
+    /// The record must not be evicted.
     Pinned,
 }
 
@@ -30,16 +30,16 @@
 struct Slot<K, V> {
     key: K,
     value: V,
-    /// When it was last put to the young end of its list.
-    stamp: Millis,
-    /// Next in its bucket.
-    chain: u32,
+    /// When the record was last moved to the young end of its list.
+    moved_at: Millis,
+    /// Next slot in the same bucket.
+    next_in_bucket: u32,
     older: u32,
     younger: u32,
     protected: bool,
 }
 
-/// A list through the slots by age.
+/// A doubly linked list through the slots, ordered by age.
 #[derive(Debug, Clone, Copy)]
 struct List {
     oldest: u32,
@@ -47,23 +47,24 @@
     len: usize,
 }
 
-/// Records by name, at most so many. A segmented LRU (Karedla, Love and Wherry 1994): a new name is on probation, one
-/// that is seen there again moves to the protected part, and where that is full, only if it has been seen more often
-/// of late than the one it would displace (TinyLFU). What is to go is looked for among the oldest on probation.
+/// A bounded map with a segmented LRU policy (Karedla, Love and Wherry 1994). A new key is on probation; if it is used
+/// again there, it moves to the protected segment. If that segment is full, the key must have been used more often
+/// recently than the one it would displace (TinyLFU). Records to evict are looked for first among the oldest on
+/// probation.
 ///
-/// Memory: 2 to 4 bytes of buckets and as many of frequencies for each name it may hold, which the system gives only
-/// once touched, and the records that it does hold, in pieces of 1,024.
+/// Memory: 2 to 4 bytes of buckets and as many of frequency counters for each key of the capacity, which the operating
+/// system provides only once they are touched, and the records actually held, in chunks of 1,024.
 pub struct Table<K, V> {
-    hash: Keyed,
+    hash: KeyedHash,
     capacity: usize,
     buckets: Vec<u32>,
     chunks: Vec<Vec<Slot<K, V>>>,
     len: usize,
     lists: [List; 2],
-    seen: Option<Frequency>,
+    frequencies: Option<FrequencySketch>,
 }
 
-/// The records alone, in the order of [`Table::iter`].
+/// Prints the records only, in the order of [`Table::iter`].
 impl<K: Copy + Eq + Hash + Debug, V: Debug> Debug for Table<K, V> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.debug_map().entries(self.iter()).finish()
@@ -71,59 +72,59 @@
 }
 
 impl<K: Copy + Eq + Hash, V> Table<K, V> {
-    /// A table of `most` records that keeps the names in use.
+    /// A table of at most `capacity` records that keeps the keys in use.
     pub fn new(capacity: usize, seed: u64) -> Self {
-        Table { seen: Some(Frequency::new(capacity)), ..Table::fifo(capacity, seed) }
+        Table { frequencies: Some(FrequencySketch::new(capacity)), ..Table::fifo(capacity, seed) }
     }
 
-    /// A table of `most` records that are never seen again, such as names in the order in which they came.
+    /// A table of at most `capacity` records whose keys are not used again, evicted in insertion order.
     pub fn fifo(capacity: usize, seed: u64) -> Self {
         let capacity = capacity.clamp(1, 1 << 30);
         Table {
-            hash: Keyed::new(seed, 0x7ab1),
+            hash: KeyedHash::new(seed, 0x7ab1),
             capacity,
-            // Zeroed: the system gives these pages as they are touched. A bucket holds a slot's number and one.
-            // One or two records to a bucket when full.
+            // Zeroed memory becomes resident only once it is touched. A bucket holds a slot's index plus one, and a
+            // full table has one or two records per bucket.
             buckets: vec![0; (capacity.next_power_of_two() / 2).max(1)],
             chunks: Vec::new(),
             len: 0,
             lists: [List { oldest: NONE, youngest: NONE, len: 0 }; 2],
-            seen: None,
+            frequencies: None,
         }
     }
 
-    /// Records held.
+    /// Number of records held.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none is held.
+    /// Whether the table holds no record.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Most records held.
+    /// Maximum number of records.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Bytes held at most by the whole table when full.
+    /// Memory of the whole table when it is full, in bytes.
     pub fn max_bytes(&self) -> usize {
-        let fixed = self.buckets.len() * 4 + self.seen.as_ref().map_or(0, Frequency::bytes);
-        fixed + self.capacity.next_multiple_of(CHUNK) * std::mem::size_of::<Slot<K, V>>()
+        let fixed = self.buckets.len() * 4 + self.frequencies.as_ref().map_or(0, FrequencySketch::bytes);
+        fixed + self.capacity.next_multiple_of(CHUNK_RECORDS) * std::mem::size_of::<Slot<K, V>>()
     }
 
-    /// Bytes of the pieces that hold records at present.
+    /// Memory of the chunks that hold records at present, in bytes.
     pub fn record_bytes(&self) -> usize {
-        self.chunks.len() * CHUNK * std::mem::size_of::<Slot<K, V>>()
+        self.chunks.len() * CHUNK_RECORDS * std::mem::size_of::<Slot<K, V>>()
     }
 
-    fn slot(&self, at: u32) -> &Slot<K, V> {
-        &self.chunks[at as usize / CHUNK][at as usize % CHUNK]
+    fn slot(&self, index: u32) -> &Slot<K, V> {
+        &self.chunks[index as usize / CHUNK_RECORDS][index as usize % CHUNK_RECORDS]
     }
 
-    fn slot_mut(&mut self, at: u32) -> &mut Slot<K, V> {
-        &mut self.chunks[at as usize / CHUNK][at as usize % CHUNK]
+    fn slot_mut(&mut self, index: u32) -> &mut Slot<K, V> {
+        &mut self.chunks[index as usize / CHUNK_RECORDS][index as usize % CHUNK_RECORDS]
     }
 
     fn bucket(&self, hash: u64) -> usize {
@@ -131,170 +132,178 @@
     }
 
     fn find(&self, hash: u64, key: &K) -> Option<u32> {
-        let mut at = self.buckets[self.bucket(hash)].wrapping_sub(1);
-        while at != NONE {
-            let slot = self.slot(at);
+        let mut index = self.buckets[self.bucket(hash)].wrapping_sub(1);
+        while index != NONE {
+            let slot = self.slot(index);
             if slot.key == *key {
-                return Some(at);
+                return Some(index);
             }
-            at = slot.chain;
+            index = slot.next_in_bucket;
         }
         None
     }
 
-    /// A record, as it is.
+    /// Returns a record without changing its age.
     pub fn get(&self, key: &K) -> Option<&V> {
-        self.find(self.hash.hash(key), key).map(|at| &self.slot(at).value)
+        self.find(self.hash.hash(key), key).map(|index| &self.slot(index).value)
     }
 
-    /// A record, to be changed; its age stays.
+    /// Returns a record for modification without changing its age.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
-        let at = self.find(self.hash.hash(key), key)?;
-        Some(&mut self.slot_mut(at).value)
+        let index = self.find(self.hash.hash(key), key)?;
+        Some(&mut self.slot_mut(index).value)
     }
 
-    /// A record that is in use at `now`. A name that is not held counts as seen as well.
+    /// Returns a record and marks it as used at `now`. The use is counted even if the key is not in the table.
     pub fn touch(&mut self, now: Millis, key: &K) -> Option<&mut V> {
         let hash = self.hash.hash(key);
-        if let Some(seen) = &mut self.seen {
-            seen.add(hash);
+        if let Some(frequencies) = &mut self.frequencies {
+            frequencies.record(hash);
         }
-        let at = self.find(hash, key)?;
-        let protected = self.slot(at).protected || self.protects(hash);
-        self.unlink(at);
-        self.link(now, at, protected);
-        Some(&mut self.slot_mut(at).value)
+        let index = self.find(hash, key)?;
+        let protected = self.slot(index).protected || self.try_promote(hash);
+        self.unlink(index);
+        self.link(now, index, protected);
+        Some(&mut self.slot_mut(index).value)
     }
 
-    /// Whether a name seen again on probation moves up; where there is no place, the one that has not been used for
-    /// longest makes room if it is seen less.
-    fn protects(&mut self, hash: u64) -> bool {
+    /// Whether a key that was used again on probation moves to the protected segment. If the segment is full, its
+    /// least recently used record is demoted, provided that its key has been used less often.
+    fn try_promote(&mut self, hash: u64) -> bool {
         let list = self.lists[1];
-        if (list.len as f64) < self.capacity as f64 * PROTECTED {
+        if (list.len as f64) < self.capacity as f64 * PROTECTED_FRACTION {
             return true;
         }
-        let Some(seen) = &self.seen else { return false };
+        let Some(frequencies) = &self.frequencies else { return false };
         let Some(last) = (list.oldest != NONE).then(|| self.slot(list.oldest)) else { return false };
-        if seen.of(hash) <= seen.of(self.hash.hash(&last.key)) {
+        if frequencies.estimate(hash) <= frequencies.estimate(self.hash.hash(&last.key)) {
             return false;
         }
-        let (at, stamp) = (list.oldest, last.stamp);
-        self.unlink(at);
-        self.link(stamp, at, false);
+        let (index, moved_at) = (list.oldest, last.moved_at);
+        self.unlink(index);
+        self.link(moved_at, index, false);
         true
     }
 
-    /// Adds a record for a name that is not held. Given back if there is no room.
+    /// Adds a record for a key that is not in the table.
     ///
     /// # Errors
-    /// The value, if the table is full or holds the name.
+    /// Returns the value if the table is full or holds the key.
     pub fn insert(&mut self, now: Millis, key: K, value: V) -> Result<&mut V, V> {
         let hash = self.hash.hash(&key);
         if self.len >= self.capacity || self.find(hash, &key).is_some() {
             return Err(value);
         }
-        let (bucket, at) = (self.bucket(hash), self.len as u32);
-        if self.len.is_multiple_of(CHUNK) && self.chunks.len() * CHUNK == self.len {
-            self.chunks.push(Vec::with_capacity(CHUNK));
+        let (bucket, index) = (self.bucket(hash), self.len as u32);
+        if self.len.is_multiple_of(CHUNK_RECORDS) && self.chunks.len() * CHUNK_RECORDS == self.len {
+            self.chunks.push(Vec::with_capacity(CHUNK_RECORDS));
         }
-        let chain = self.buckets[bucket].wrapping_sub(1);
-        let slot = Slot { key, value, stamp: now, chain, older: NONE, younger: NONE, protected: false };
-        self.chunks[self.len / CHUNK].push(slot);
-        self.buckets[bucket] = at + 1;
+        let next_in_bucket = self.buckets[bucket].wrapping_sub(1);
+        let slot =
+            Slot { key, value, moved_at: now, next_in_bucket, older: NONE, younger: NONE, protected: false };
+        self.chunks[self.len / CHUNK_RECORDS].push(slot);
+        self.buckets[bucket] = index + 1;
         self.len += 1;
-        // One that was forgotten a moment ago need not prove itself again.
-        let back = self.seen.as_ref().is_some_and(|seen| seen.of(hash) > 1) && self.protects(hash);
-        self.link(now, at, back);
-        Ok(&mut self.slot_mut(at).value)
+        // A key that was used before, but evicted, can return to the protected segment at once.
+        let protected = self.frequencies.as_ref().is_some_and(|frequencies| frequencies.estimate(hash) > 1)
+            && self.try_promote(hash);
+        self.link(now, index, protected);
+        Ok(&mut self.slot_mut(index).value)
     }
 
-    /// Takes a record out.
+    /// Removes a record and returns its value.
     pub fn remove(&mut self, key: &K) -> Option<V> {
-        let at = self.find(self.hash.hash(key), key)?;
-        Some(self.take(at).1)
+        let index = self.find(self.hash.hash(key), key)?;
+        Some(self.remove_slot(index).1)
     }
 
-    /// Where the table is full, forgets one record and gives it back with its fate, for its debt to be carried on:
-    /// among the oldest on probation, then among the oldest of all, the first that is full again, else the oldest that
-    /// may go. Nothing if there is room, or if all that was looked at must stay.
-    pub fn evict_if_full(&mut self, weigh: impl Fn(&K, &V) -> Evictability) -> Option<(K, V, Evictability)> {
+    /// Evicts one record if the table is full, and returns it with its evictability, so that the caller can store its
+    /// deficit. Of the oldest records on probation, and then of the oldest protected ones, it evicts the first
+    /// that is lossless, else the oldest that is not pinned. Returns `None` if the table is not full or if all records
+    /// that were examined are pinned.
+    pub fn evict_if_full(
+        &mut self,
+        classify: impl Fn(&K, &V) -> Evictability,
+    ) -> Option<(K, V, Evictability)> {
         if self.len < self.capacity {
             return None;
         }
         for list in 0..2 {
-            let (mut at, mut owes, mut looks) = (self.lists[list].oldest, None, 0);
-            while at != NONE && looks < LOOKS {
-                let slot = self.slot(at);
-                match weigh(&slot.key, &slot.value) {
+            let (mut index, mut with_deficit, mut examined) = (self.lists[list].oldest, None, 0);
+            while index != NONE && examined < MAX_EXAMINED {
+                let slot = self.slot(index);
+                match classify(&slot.key, &slot.value) {
                     Evictability::Lossless => {
-                        let (key, value) = self.take(at);
+                        let (key, value) = self.remove_slot(index);
                         return Some((key, value, Evictability::Lossless));
                     }
-                    Evictability::WithDeficit => owes = owes.or(Some(at)),
+                    Evictability::WithDeficit => with_deficit = with_deficit.or(Some(index)),
                     Evictability::Pinned => {}
                 }
-                (at, looks) = (self.slot(at).younger, looks + 1);
+                (index, examined) = (self.slot(index).younger, examined + 1);
             }
-            if let Some(at) = owes {
-                let (key, value) = self.take(at);
+            if let Some(index) = with_deficit {
+                let (key, value) = self.remove_slot(index);
                 return Some((key, value, Evictability::WithDeficit));
             }
-            // What must stay goes to the young end, so that the next call sees others.
-            for _ in 0..looks {
-                let (at, stamp) = (self.lists[list].oldest, self.slot(self.lists[list].oldest).stamp);
-                self.unlink(at);
-                self.link(stamp.max(self.youngest_stamp(list)), at, list == 1);
+            // Pinned records move to the young end, so that the next call examines others.
+            for _ in 0..examined {
+                let (index, moved_at) =
+                    (self.lists[list].oldest, self.slot(self.lists[list].oldest).moved_at);
+                self.unlink(index);
+                self.link(moved_at.max(self.youngest_moved_at(list)), index, list == 1);
             }
         }
         None
     }
 
-    fn youngest_stamp(&self, list: usize) -> Millis {
-        let at = self.lists[list].youngest;
-        if at == NONE {
+    fn youngest_moved_at(&self, list: usize) -> Millis {
+        let index = self.lists[list].youngest;
+        if index == NONE {
             f64::NEG_INFINITY
         } else {
-            self.slot(at).stamp
+            self.slot(index).moved_at
         }
     }
 
-    /// Drops records that were last used at `before` or earlier, if nothing is lost by it; one that owes or must stay is
-    /// put to the young end as of `now`, to be asked about again when it is old. Looks at `at_most` records, and says
-    /// at how many.
+    /// Removes lossless records that were last used at `used_until` or earlier. A record with a deficit or a pinned one
+    /// moves to the young end as of `now`, and is examined again once it is that old. Examines at most `max_records`
+    /// records, and returns how many it examined.
     pub fn expire(
         &mut self,
         now: Millis,
-        before: Millis,
-        at_most: usize,
-        weigh: impl Fn(&K, &V) -> Evictability,
+        used_until: Millis,
+        max_records: usize,
+        classify: impl Fn(&K, &V) -> Evictability,
     ) -> usize {
-        let mut looked = 0;
+        let mut examined = 0;
         for list in 0..2 {
-            while looked < at_most {
-                let at = self.lists[list].oldest;
-                if at == NONE || self.slot(at).stamp > before {
+            while examined < max_records {
+                let index = self.lists[list].oldest;
+                if index == NONE || self.slot(index).moved_at > used_until {
                     break;
                 }
-                looked += 1;
-                let slot = self.slot(at);
-                if weigh(&slot.key, &slot.value) == Evictability::Lossless {
-                    self.take(at);
+                examined += 1;
+                let slot = self.slot(index);
+                if classify(&slot.key, &slot.value) == Evictability::Lossless {
+                    self.remove_slot(index);
                 } else {
-                    self.unlink(at);
-                    self.link(now, at, list == 1);
+                    self.unlink(index);
+                    self.link(now, index, list == 1);
                 }
             }
         }
-        looked
+        examined
     }
 
-    /// All records, in an order that follows from the calls alone. For tests and figures: it walks.
+    /// All records, in an order that depends only on the preceding calls. For tests and statistics: it visits the
+    /// whole table.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.chunks.iter().flatten().map(|slot| (&slot.key, &slot.value))
     }
 
-    fn unlink(&mut self, at: u32) {
-        let slot = self.slot(at);
+    fn unlink(&mut self, index: u32) {
+        let slot = self.slot(index);
         let (older, younger, list) = (slot.older, slot.younger, usize::from(slot.protected));
         match older {
             NONE => self.lists[list].oldest = younger,
@@ -307,60 +316,61 @@
         self.lists[list].len -= 1;
     }
 
-    fn link(&mut self, now: Millis, at: u32, protected: bool) {
+    fn link(&mut self, moved_at: Millis, index: u32, protected: bool) {
         let list = usize::from(protected);
         let youngest = self.lists[list].youngest;
-        let slot = self.slot_mut(at);
-        (slot.stamp, slot.older, slot.younger, slot.protected) = (now, youngest, NONE, protected);
+        let slot = self.slot_mut(index);
+        (slot.moved_at, slot.older, slot.younger, slot.protected) = (moved_at, youngest, NONE, protected);
         match youngest {
-            NONE => self.lists[list].oldest = at,
-            youngest => self.slot_mut(youngest).younger = at,
+            NONE => self.lists[list].oldest = index,
+            youngest => self.slot_mut(youngest).younger = index,
         }
-        self.lists[list].youngest = at;
+        self.lists[list].youngest = index;
         self.lists[list].len += 1;
     }
 
-    /// Points whatever leads to slot `from`, its bucket or the one before it in the chain, to `to`.
-    fn lead(&mut self, key: &K, from: u32, to: u32) {
+    /// Redirects the reference to slot `from`, in its bucket or in the slot before it in the chain, to `to`.
+    fn redirect(&mut self, key: &K, from: u32, to: u32) {
         let bucket = self.bucket(self.hash.hash(key));
-        let mut at = self.buckets[bucket].wrapping_sub(1);
-        if at == from {
+        let mut index = self.buckets[bucket].wrapping_sub(1);
+        if index == from {
             self.buckets[bucket] = to.wrapping_add(1);
             return;
         }
-        while self.slot(at).chain != from {
-            at = self.slot(at).chain;
+        while self.slot(index).next_in_bucket != from {
+            index = self.slot(index).next_in_bucket;
         }
-        self.slot_mut(at).chain = to;
+        self.slot_mut(index).next_in_bucket = to;
     }
 
-    /// Takes a slot out and moves the last one into its place, so that records lie close and pieces can be given back.
-    fn take(&mut self, at: u32) -> (K, V) {
-        self.unlink(at);
-        let (key, chain) = (self.slot(at).key, self.slot(at).chain);
-        self.lead(&key, at, chain);
+    /// Removes a slot and moves the last one into its place, so that records stay contiguous and chunks can be freed.
+    fn remove_slot(&mut self, index: u32) -> (K, V) {
+        self.unlink(index);
+        let (key, next_in_bucket) = (self.slot(index).key, self.slot(index).next_in_bucket);
+        self.redirect(&key, index, next_in_bucket);
         let last = (self.len - 1) as u32;
-        if at != last {
+        if index != last {
             let moved = self.slot(last);
             let (key, older, younger, list) =
                 (moved.key, moved.older, moved.younger, usize::from(moved.protected));
-            self.lead(&key, last, at);
+            self.redirect(&key, last, index);
             match older {
-                NONE => self.lists[list].oldest = at,
-                older => self.slot_mut(older).younger = at,
+                NONE => self.lists[list].oldest = index,
+                older => self.slot_mut(older).younger = index,
             }
             match younger {
-                NONE => self.lists[list].youngest = at,
-                younger => self.slot_mut(younger).older = at,
+                NONE => self.lists[list].youngest = index,
+                younger => self.slot_mut(younger).older = index,
             }
         }
-        let mut slot = self.chunks[last as usize / CHUNK].pop().expect("the last slot is there");
-        if at != last {
-            std::mem::swap(&mut slot, self.slot_mut(at));
+        let mut slot =
+            self.chunks[last as usize / CHUNK_RECORDS].pop().expect("the last chunk holds the last slot");
+        if index != last {
+            std::mem::swap(&mut slot, self.slot_mut(index));
         }
         self.len -= 1;
-        // One empty piece is kept, so that a table that goes up and down by one does not allocate each time.
-        if self.chunks.len() > self.len.div_ceil(CHUNK) + 1 {
+        // One empty chunk is kept, so that a table whose size varies by one does not allocate each time.
+        if self.chunks.len() > self.len.div_ceil(CHUNK_RECORDS) + 1 {
             self.chunks.pop();
         }
         (slot.key, slot.value)
@@ -373,7 +383,7 @@
     use proptest::prelude::*;
     use std::collections::BTreeMap;
 
-    /// Each record is found, is on one list once, and lists are in the order of their stamps.
+    /// Checks that each record is found and on exactly one list, and that the protected list is in the order of use.
     fn check(table: &Table<u64, u64>, model: &BTreeMap<u64, u64>) {
         assert_eq!(table.len(), model.len());
         for (key, value) in model {
@@ -381,55 +391,56 @@
         }
         let mut linked = 0;
         for (list, ends) in table.lists.iter().enumerate() {
-            let (mut at, mut before, mut stamp) = (ends.oldest, NONE, f64::NEG_INFINITY);
-            while at != NONE {
-                let slot = table.slot(at);
-                assert_eq!((slot.older, usize::from(slot.protected)), (before, list));
-                assert!(list == 0 || slot.stamp >= stamp, "the protected part is in the order of use");
-                (before, at, stamp, linked) = (at, slot.younger, slot.stamp, linked + 1);
+            let (mut index, mut previous, mut moved_at) = (ends.oldest, NONE, f64::NEG_INFINITY);
+            while index != NONE {
+                let slot = table.slot(index);
+                assert_eq!((slot.older, usize::from(slot.protected)), (previous, list));
+                assert!(list == 0 || slot.moved_at >= moved_at, "the protected list is in the order of use");
+                (previous, index, moved_at, linked) = (index, slot.younger, slot.moved_at, linked + 1);
             }
-            assert_eq!(ends.youngest, before);
+            assert_eq!(ends.youngest, previous);
         }
         assert_eq!(linked, table.len());
-        assert!(table.chunks.len() <= table.len().div_ceil(CHUNK) + 1);
+        assert!(table.chunks.len() <= table.len().div_ceil(CHUNK_RECORDS) + 1);
     }
 
     proptest! {
-        /// Against a plain map, with every way a record comes, moves and goes; one in five must stay, one in three owes.
+        /// Compares the table with a plain map over random calls. A fifth of the keys are pinned, and a third of the
+        /// others have a deficit.
         #[test]
         fn behaves_as_a_bounded_map(
             seed in any::<u64>(),
-            most in 1usize..40,
-            calls in proptest::collection::vec((0u8..6, 0u64..60), 1..400),
+            capacity in 1usize..40,
+            operations in proptest::collection::vec((0u8..6, 0u64..60), 1..400),
         ) {
-            let fate = |key: &u64, _: &u64| match key {
+            let classify = |key: &u64, _: &u64| match key {
                 key if key % 5 == 0 => Evictability::Pinned,
                 key if key % 3 == 0 => Evictability::WithDeficit,
                 _ => Evictability::Lossless,
             };
-            let (mut table, mut model) = (Table::new(most, seed), BTreeMap::new());
-            for (n, (call, key)) in calls.into_iter().enumerate() {
+            let (mut table, mut model) = (Table::new(capacity, seed), BTreeMap::new());
+            for (n, (operation, key)) in operations.into_iter().enumerate() {
                 let now = n as f64;
-                match call {
+                match operation {
                     0 | 1 => {
-                        let had = model.contains_key(&key);
-                        if let Some((gone, value, how)) = (!had).then(|| table.evict_if_full(fate)).flatten() {
-                            prop_assert_eq!(fate(&gone, &value), how);
-                            prop_assert!(how != Evictability::Pinned);
-                            prop_assert_eq!(model.remove(&gone), Some(value));
+                        let present = model.contains_key(&key);
+                        if let Some((evicted, value, evictability)) = (!present).then(|| table.evict_if_full(classify)).flatten() {
+                            prop_assert_eq!(classify(&evicted, &value), evictability);
+                            prop_assert!(evictability != Evictability::Pinned);
+                            prop_assert_eq!(model.remove(&evicted), Some(value));
                         }
-                        let done = table.insert(now, key, now as u64).is_ok();
-                        prop_assert_eq!(done, !had && model.len() < most);
-                        if done {
+                        let inserted = table.insert(now, key, now as u64).is_ok();
+                        prop_assert_eq!(inserted, !present && model.len() < capacity);
+                        if inserted {
                             model.insert(key, now as u64);
                         }
                     }
                     2 => prop_assert_eq!(table.remove(&key), model.remove(&key)),
                     3 => {
-                        let looked = table.expire(now, now - 20.0, 3, fate);
-                        prop_assert!(looked <= 3);
+                        let examined = table.expire(now, now - 20.0, 3, classify);
+                        prop_assert!(examined <= 3);
                         let kept: BTreeMap<u64, u64> = table.iter().map(|(k, v)| (*k, *v)).collect();
-                        prop_assert!(model.iter().all(|(k, v)| kept.contains_key(k) || fate(k, v) == Evictability::Lossless));
+                        prop_assert!(model.iter().all(|(k, v)| kept.contains_key(k) || classify(k, v) == Evictability::Lossless));
                         model = kept;
                     }
                     _ => {
@@ -444,35 +455,35 @@
         }
     }
 
-    /// Names that come once do not push out those that are used, nor do names that come twice.
+    /// Keys that occur once or twice do not evict those that are in use.
     #[test]
-    fn a_scan_does_not_win_against_names_in_use() {
+    fn a_scan_does_not_evict_keys_in_use() {
         for times in [1, 2] {
             let mut table = Table::new(1000, 3);
             let mut now = 0.0;
-            let mut add = |table: &mut Table<u64, ()>, key: u64| {
+            let mut use_key = |table: &mut Table<u64, ()>, key: u64| {
                 now += 1.0;
                 if table.touch(now, &key).is_none() {
                     table.evict_if_full(|_, _| Evictability::Lossless);
                     assert!(table.insert(now, key, ()).is_ok());
                 }
             };
-            // 300 names in use, each once a round, beside a scan that would turn the table over in each round.
+            // 300 keys are used once a round, beside a scan that would replace the whole table in each round.
             for round in 0..50u64 {
                 for key in 0..300 {
-                    add(&mut table, key);
+                    use_key(&mut table, key);
                     for n in 0..4 {
-                        (0..times).for_each(|_| add(&mut table, 1_000_000 + (round * 300 + key) * 4 + n));
+                        (0..times).for_each(|_| use_key(&mut table, 1_000_000 + (round * 300 + key) * 4 + n));
                     }
                 }
             }
             let kept = (0..300).filter(|key| table.get(key).is_some()).count();
-            assert!(kept >= 270, "{kept} of 300 kept beside names that come {times} times");
+            assert!(kept >= 270, "{kept} of 300 kept beside keys that occur {times} times");
         }
     }
 
     #[test]
-    fn pieces_are_given_back() {
+    fn empty_chunks_are_freed() {
         let mut table = Table::fifo(100_000, 1);
         (0..100_000u64).for_each(|key| assert!(table.insert(0.0, key, [0u64; 4]).is_ok()));
         let full = table.record_bytes();
@@ -486,12 +497,12 @@
     }
 
     #[test]
-    fn one_seed_gives_one_order() {
+    fn the_same_seed_gives_the_same_order() {
         let run = || {
             let mut table = Table::new(50, 9);
-            for key in 0..500u64 {
-                let name = key * key % 97;
-                if table.touch(key as f64, &name).is_none() {
+            for step in 0..500u64 {
+                let key = step * step % 97;
+                if table.touch(step as f64, &key).is_none() {
                     table.evict_if_full(|k, _| {
                         if k % 7 == 0 {
                             Evictability::Pinned
@@ -499,7 +510,7 @@
                             Evictability::WithDeficit
                         }
                     });
-                    let _ = table.insert(key as f64, name, key);
+                    let _ = table.insert(step as f64, key, step);
                 }
             }
             table.iter().map(|(k, v)| (*k, *v)).collect::<Vec<_>>()
