--- a/crates/lifecycle/src/eviction.rs
+++ b/crates/lifecycle/src/eviction.rs
@@ -1,91 +1,99 @@
-//! Which connection makes way when there is no room for another.
+//! Selects the connection to close when the connection limit is reached.
 
 use crate::Millis;
 
-/// What a connection is at.
+/// What a connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Activity {
-    /// A request of it is taken in or answered.
+    /// A request is being processed or answered.
     RequestOpen,
-    /// It has been answered and asks nothing.
+    /// The last request has been answered, and no other one has begun.
     Idle,
-    /// A request has begun on it, or is owed by one that has just connected.
+    /// Part of a request has arrived, or the client has just connected and has not sent its first request.
     PartialRequest,
 }
 
-/// One connection.
+/// A connection that may be closed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// What it is at.
+    /// What the connection is doing.
     pub activity: Activity,
-    /// For how long no byte has come or gone, in milliseconds.
+    /// Time since the last byte was received or sent, in milliseconds.
     pub inactive_ms: Millis,
 }
 
-/// An idle connection may be asked on again at any moment: within this time it is worth more than one that has begun a
-/// request and stands still. It may also still be writing its answer.
-const IDLE: [Millis; 2] = [1000.0, 100.0];
-/// A slow client writes piece by piece: one that has written nothing for so long is rather one that never will.
-const HALF: [Millis; 2] = [500.0, 100.0];
+/// Inactivity thresholds of idle connections: long and short. The next request may arrive at any moment, so below the
+/// long threshold an idle connection is kept rather than one with a stalled partial request. Below the short one the
+/// connection may still be writing its answer.
+const IDLE_THRESHOLDS_MS: [Millis; 2] = [1000.0, 100.0];
+/// Inactivity thresholds of connections with a partial request: long and short. A slow client sends its request piece
+/// by piece; one that has sent nothing for the long threshold will probably never finish it.
+const PARTIAL_REQUEST_THRESHOLDS_MS: [Millis; 2] = [500.0, 100.0];
 
 impl Candidate {
-    /// How soon it makes way: the greatest first; nothing for one that must stay.
+    /// Eviction rank: the candidate with the greatest rank is closed first. `None` if the connection must be kept.
     fn rank(self) -> Option<(u8, Millis)> {
-        let after = |rank: u8, from: Millis| (self.inactive_ms >= from).then_some((rank, self.inactive_ms));
+        let rank_if_inactive =
+            |rank: u8, threshold: Millis| (self.inactive_ms >= threshold).then_some((rank, self.inactive_ms));
         match self.activity {
             Activity::RequestOpen => None,
-            Activity::Idle => after(3, IDLE[0]).or(after(1, IDLE[1])),
-            Activity::PartialRequest => after(2, HALF[0]).or(after(0, HALF[1])),
+            Activity::Idle => {
+                rank_if_inactive(3, IDLE_THRESHOLDS_MS[0]).or(rank_if_inactive(1, IDLE_THRESHOLDS_MS[1]))
+            }
+            Activity::PartialRequest => rank_if_inactive(2, PARTIAL_REQUEST_THRESHOLDS_MS[0])
+                .or(rank_if_inactive(0, PARTIAL_REQUEST_THRESHOLDS_MS[1])),
         }
     }
 }
 
-/// The place of the one that makes way first: idle for long, then half a request that stands inactive_ms, then the others, the
-/// longest still first. One with an open request never does, nor one that has only just done something.
-pub fn select_candidate(all: impl Iterator<Item = Candidate>) -> Option<usize> {
-    let ranked = all.enumerate().filter_map(|(at, standing)| Some((at, standing.rank()?)));
-    let most = ranked.max_by(|(_, a), (_, b)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-    most.map(|(at, _)| at)
+/// Index of the connection to close: first those idle for long, then those with a stalled partial request, then
+/// others; within each group the longest inactive first. Connections with an open request and those active a moment
+/// ago are never selected.
+pub fn select_candidate(candidates: impl Iterator<Item = Candidate>) -> Option<usize> {
+    let ranked = candidates.enumerate().filter_map(|(index, candidate)| Some((index, candidate.rank()?)));
+    let selected = ranked.max_by(|(_, a), (_, b)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
+    selected.map(|(index, _)| index)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn first(all: &[(Activity, Millis)]) -> Option<usize> {
+    fn select(candidates: &[(Activity, Millis)]) -> Option<usize> {
         select_candidate(
-            all.iter()
+            candidates
+                .iter()
                 .map(|(activity, inactive_ms)| Candidate { activity: *activity, inactive_ms: *inactive_ms }),
         )
     }
 
-    /// Guards against a crowd that asked once and stayed, for which slow but honest clients made way.
+    /// Guards against closing the connections of slow clients in favour of many idle ones that sent only one request.
     #[test]
-    fn a_slow_request_stays_while_idle_ones_can_go() {
+    fn a_slow_request_is_kept_while_idle_connections_can_be_closed() {
         assert_eq!(
-            first(&[(Activity::PartialRequest, 300.0), (Activity::Idle, 1200.0), (Activity::Idle, 5000.0)]),
+            select(&[(Activity::PartialRequest, 300.0), (Activity::Idle, 1200.0), (Activity::Idle, 5000.0)]),
             Some(2)
         );
-        assert_eq!(first(&[(Activity::PartialRequest, 2000.0), (Activity::Idle, 1200.0)]), Some(1));
-        // One that stands still goes before one that was asked on a moment ago.
+        assert_eq!(select(&[(Activity::PartialRequest, 2000.0), (Activity::Idle, 1200.0)]), Some(1));
+        // A stalled partial request is closed before a connection that was used recently.
         assert_eq!(
-            first(&[
+            select(&[
                 (Activity::Idle, 400.0),
                 (Activity::PartialRequest, 600.0),
                 (Activity::PartialRequest, 200.0)
             ]),
             Some(1)
         );
-        assert_eq!(first(&[(Activity::PartialRequest, 400.0), (Activity::Idle, 150.0)]), Some(1));
-        assert_eq!(first(&[(Activity::PartialRequest, 200.0), (Activity::PartialRequest, 300.0)]), Some(1));
+        assert_eq!(select(&[(Activity::PartialRequest, 400.0), (Activity::Idle, 150.0)]), Some(1));
+        assert_eq!(select(&[(Activity::PartialRequest, 200.0), (Activity::PartialRequest, 300.0)]), Some(1));
     }
 
     #[test]
-    fn an_open_request_never_makes_way_nor_one_that_just_moved() {
+    fn connections_with_an_open_request_or_recent_activity_are_never_selected() {
         assert_eq!(
-            first(&[(Activity::RequestOpen, 1e9), (Activity::Idle, 99.0), (Activity::PartialRequest, 99.0)]),
+            select(&[(Activity::RequestOpen, 1e9), (Activity::Idle, 99.0), (Activity::PartialRequest, 99.0)]),
             None
         );
-        assert_eq!(first(&[]), None);
+        assert_eq!(select(&[]), None);
     }
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,7 +1,8 @@
-//! The phases of a limiter's life, and what each allows: readiness, accepting, keeping connections, closing idle ones and
-//! the end. It does *not* read a clock, count requests or hold sockets: the time and what is owed are arguments.
+//! Lifecycle phases of a limiter, and what each allows: readiness, accepting connections, keep-alive, closing idle
+//! connections and exit. The crate does *not* read a clock, count requests or hold sockets: the time and the amount of
+//! unfinished work are arguments.
 //!
-//! | phase | ready | accepts | keeps connections after an answer | closes idle ones |
+//! | phase | ready | accepts connections | keeps connections after an answer | closes idle connections |
 //! | --- | --- | --- | --- | --- |
 //! | warming | no | no: the predecessor does | yes | no |
 //! | starting | no | yes | yes | no |
@@ -13,13 +14,13 @@
 //! ```
 //! use marldeal_lifecycle::{Command, Lifecycle, Phase, Timings};
 //!
-//! let mut life = Lifecycle::new(Timings::default());
-//! life.set_can_serve(0.0, true);
-//! assert_eq!(life.handle(10.0, Command::Standby), Ok(Phase::Standby));
-//! assert!(!life.is_ready() && life.accepts_connections(10.0) && !life.keeps_alive(10.0) && !life.closes_idle(10.0));
-//! assert!(life.closes_idle(1010.0));
-//! assert_eq!(life.handle(2000.0, Command::Active), Ok(Phase::Serving));
-//! assert!(life.is_ready());
+//! let mut lifecycle = Lifecycle::new(Timings::default());
+//! lifecycle.set_can_serve(0.0, true);
+//! assert_eq!(lifecycle.handle(10.0, Command::Standby), Ok(Phase::Standby));
+//! assert!(!lifecycle.is_ready() && lifecycle.accepts_connections(10.0) && !lifecycle.keeps_alive(10.0) && !lifecycle.closes_idle(10.0));
+//! assert!(lifecycle.closes_idle(1010.0));
+//! assert_eq!(lifecycle.handle(2000.0, Command::Active), Ok(Phase::Serving));
+//! assert!(lifecycle.is_ready());
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -29,23 +30,23 @@
 
 use std::fmt;
 
-/// A moment or a length of time in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// What a limiter is at.
+/// Lifecycle phase of a limiter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Beside a predecessor that still accepts.
+    /// Runs beside a predecessor that still accepts connections.
     Warming,
-    /// Not able to serve yet.
+    /// Accepts connections, but cannot serve requests yet.
     Starting,
-    /// Takes clients.
+    /// Serves clients.
     Serving,
-    /// Sends its clients away and runs on.
+    /// Sends its clients away, but keeps running.
     Standby,
-    /// Another process has taken its place: finishes what it has.
+    /// Has been replaced by another process; finishes its requests and exits.
     HandingOver,
-    /// Finishes what it has, and ends.
+    /// Finishes its requests and exits.
     Stopping,
 }
 
@@ -62,22 +63,22 @@
     }
 }
 
-/// What the operator, the platform or a successor wants.
+/// Command from the operator, the platform or a successor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
-    /// Send clients away, run on.
+    /// Send clients away, but keep running.
     Standby,
-    /// Take clients again.
+    /// Serve clients again.
     Active,
-    /// The predecessor accepts no more, or is gone: take its place.
+    /// The predecessor no longer accepts connections or has exited: take its place.
     TakeOver,
-    /// A successor accepts from now on: finish and end.
+    /// A successor accepts connections from now on: finish the requests and exit.
     HandOver,
-    /// Finish and end.
+    /// Finish the requests and exit.
     Stop,
 }
 
-/// Why a command changes nothing: the process ends, and nothing brings it back.
+/// Error of a command that has no effect because the process is ending, which cannot be undone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AlreadyEnding(pub Phase);
 
@@ -87,19 +88,19 @@
     }
 }
 
-/// How long each step lasts, in milliseconds.
+/// Durations of the lifecycle steps, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Timings {
-    /// Clients come for so long after the first word that this limiter is not ready.
+    /// How long new clients may still arrive after the limiter first reported that it is not ready.
     pub readiness_lag_ms: Millis,
-    /// In standby idle connections are closed after this time.
+    /// Time in standby after which idle connections are closed.
     pub standby_idle_ms: Millis,
-    /// After a stop requests are taken for so long, since each can still be answered then.
+    /// How long requests are still accepted after a stop; each of them can be answered before the process is killed.
     pub drain_ms: Millis,
-    /// After a stop nothing is waited for any longer.
+    /// Longest time from a stop to the exit; requests that are unanswered then are abandoned.
     pub max_stop_ms: Millis,
-    /// The platform ends the process so long after a stop at the earliest, less what an answer needs to be written; infinite
-    /// where the settings do not tell.
+    /// Earliest time after a stop at which the platform kills the process, less the time needed to write an answer;
+    /// infinite if the settings do not specify it.
     pub kill_after_ms: Millis,
 }
 
@@ -115,48 +116,57 @@
     }
 }
 
-/// A limiter's life.
+/// Lifecycle state machine of a limiter.
 #[derive(Debug, Clone)]
 pub struct Lifecycle {
-    times: Timings,
+    timings: Timings,
     phase: Phase,
-    since: Millis,
-    /// The word to end may have come then already, while the process stood still.
-    told: Millis,
-    /// The standby that came before the end began then.
-    away: Option<Millis>,
-    able: bool,
+    phase_since: Millis,
+    /// Earliest time at which the command that began the present phase may have arrived. It is before `phase_since` if
+    /// the process was stalled.
+    commanded_at: Millis,
+    /// When the standby that preceded the present phase began; minus infinity if the process was only warming up.
+    standby_since: Option<Millis>,
+    can_serve: bool,
 }
 
 impl Lifecycle {
-    /// A limiter that starts.
-    pub fn new(times: Timings) -> Lifecycle {
-        Lifecycle { times, phase: Phase::Starting, since: 0.0, told: 0.0, away: None, able: false }
+    /// Lifecycle of a limiter that starts.
+    pub fn new(timings: Timings) -> Lifecycle {
+        Lifecycle {
+            timings,
+            phase: Phase::Starting,
+            phase_since: 0.0,
+            commanded_at: 0.0,
+            standby_since: None,
+            can_serve: false,
+        }
     }
 
-    /// A limiter that starts beside one that serves in the same place.
-    pub fn beside_predecessor(times: Timings) -> Lifecycle {
-        Lifecycle { phase: Phase::Warming, ..Lifecycle::new(times) }
+    /// Lifecycle of a limiter that starts beside the one it is going to replace.
+    pub fn beside_predecessor(timings: Timings) -> Lifecycle {
+        Lifecycle { phase: Phase::Warming, ..Lifecycle::new(timings) }
     }
 
-    /// What it is at.
+    /// The present phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether a request could be served now; the first yes ends the start.
-    pub fn set_can_serve(&mut self, now: Millis, able: bool) {
-        self.able = able;
-        if able && self.phase == Phase::Starting {
-            (self.phase, self.since) = (Phase::Serving, now);
+    /// Sets whether a request could be served now. The first time that it could ends the starting phase.
+    pub fn set_can_serve(&mut self, now: Millis, can_serve: bool) {
+        self.can_serve = can_serve;
+        if can_serve && self.phase == Phase::Starting {
+            (self.phase, self.phase_since) = (Phase::Serving, now);
         }
     }
 
-    /// Takes a command and tells the phase that follows. One that asks for what is so already changes nothing. A stop or
-    /// a hand-over stands: what follows it is an error, but for a stop of one that hands over, which is at its end anyway.
+    /// Applies a command and returns the resulting phase. A command that asks for the present phase changes nothing.
+    /// A stop or a hand-over cannot be undone: later commands are errors, except for repetitions, a stop during a
+    /// hand-over, which changes nothing, and a hand-over during a stop.
     ///
     /// # Errors
-    /// The process is ending.
+    /// [`AlreadyEnding`] if the process is ending.
     pub fn handle(&mut self, now: Millis, command: Command) -> Result<Phase, AlreadyEnding> {
         let next = match (self.phase, command) {
             (Phase::Stopping, Command::Stop) | (Phase::HandingOver, Command::Stop | Command::HandOver) => {
@@ -164,99 +174,103 @@
             }
             (Phase::Stopping, Command::HandOver) => Phase::HandingOver,
             (Phase::Stopping | Phase::HandingOver, _) => return Err(AlreadyEnding(self.phase)),
-            (Phase::Warming, Command::TakeOver) if self.able => Phase::Serving,
+            (Phase::Warming, Command::TakeOver) if self.can_serve => Phase::Serving,
             (Phase::Warming, Command::TakeOver) => Phase::Starting,
             (phase, Command::TakeOver) => phase,
-            // One that warms up has no clients to send away: it says so by staying as it is.
+            // A warming process has no clients to send away, so the phase stays as it is.
             (Phase::Warming, Command::Standby | Command::Active) => Phase::Warming,
             (_, Command::Standby) => Phase::Standby,
-            (Phase::Standby, Command::Active) if !self.able => Phase::Starting,
+            (Phase::Standby, Command::Active) if !self.can_serve => Phase::Starting,
             (Phase::Standby, Command::Active) => Phase::Serving,
             (phase, Command::Active) => phase,
             (_, Command::HandOver) => Phase::HandingOver,
             (_, Command::Stop) => Phase::Stopping,
         };
         if next != self.phase {
-            self.away = match self.phase {
-                Phase::Standby => Some(self.since),
-                // Clients were never sent to it.
+            self.standby_since = match self.phase {
+                Phase::Standby => Some(self.phase_since),
+                // A warming process has never received clients.
                 Phase::Warming => Some(f64::NEG_INFINITY),
                 _ => None,
             };
-            (self.phase, self.since, self.told) = (next, now, now);
+            (self.phase, self.phase_since, self.commanded_at) = (next, now, now);
         }
         Ok(next)
     }
 
-    /// The command that began the present phase may have come so long before it was read: whoever sent it counts from then.
-    pub fn backdate_command(&mut self, waited_ms: Millis) {
-        self.told = self.since - waited_ms.max(0.0);
+    /// Sets how long the command that began the present phase may have waited before it was read. The platform counts
+    /// the time to the kill from when it sent the command.
+    pub fn backdate_command(&mut self, delay_ms: Millis) {
+        self.commanded_at = self.phase_since - delay_ms.max(0.0);
     }
 
-    /// Clients may come.
+    /// Whether new clients may be sent to this limiter.
     pub fn is_ready(&self) -> bool {
-        self.phase == Phase::Serving && self.able
+        self.phase == Phase::Serving && self.can_serve
     }
 
-    /// New connections are accepted. After a stop only while the front may not know of it: those that come later are not
-    /// its clients', and would take the place of the connections that these go on using.
+    /// Whether new connections are accepted. After a stop this holds only while the front end may not have noticed it:
+    /// later connections are not from clients it routed, and would displace connections that those keep using.
     pub fn accepts_connections(&self, now: Millis) -> bool {
         match self.phase {
             Phase::Starting | Phase::Serving | Phase::Standby => true,
-            Phase::Stopping => !self.over(now) && now - self.since < self.times.readiness_lag_ms,
+            Phase::Stopping => {
+                !self.drain_over(now) && now - self.phase_since < self.timings.readiness_lag_ms
+            }
             Phase::Warming | Phase::HandingOver => false,
         }
     }
 
-    /// New connections are turned away: what they ask is refused at once, so that no request in the queue of connections ends
-    /// in a reset, and they take no place for longer than that. One that only warmed up leaves them to its predecessor, whose
-    /// queue it is.
+    /// Whether requests on new connections are refused at once. The connections are still accepted, so that a request
+    /// in the listen queue is not reset, but they occupy a place only until the refusal. A process that was only
+    /// warming up leaves them to its predecessor, which owns the listen queue.
     pub fn rejects_connections(&self, now: Millis) -> bool {
-        let warmed_up = self.away == Some(f64::NEG_INFINITY);
+        let warmed_up = self.standby_since == Some(f64::NEG_INFINITY);
         self.phase == Phase::Stopping && !warmed_up && !self.accepts_connections(now)
     }
 
-    /// How long an answer may still take before the process may be ended from outside; infinite while it is not to end.
+    /// Time left for an answer before the platform may kill the process; infinite unless the process is stopping.
     pub fn remaining_ms(&self, now: Millis) -> Millis {
         match self.phase {
-            Phase::Stopping => (self.told + self.times.kill_after_ms - now).max(0.0),
+            Phase::Stopping => (self.commanded_at + self.timings.kill_after_ms - now).max(0.0),
             _ => f64::INFINITY,
         }
     }
 
-    /// A connection stays open after an answer.
+    /// Whether a connection stays open after an answer.
     pub fn keeps_alive(&self, now: Millis) -> bool {
         match self.phase {
             Phase::Warming | Phase::Starting | Phase::Serving => true,
             Phase::Standby | Phase::HandingOver => false,
-            Phase::Stopping => self.away.is_none() && !self.over(now),
+            Phase::Stopping => self.standby_since.is_none() && !self.drain_over(now),
         }
     }
 
-    /// Connections on which nothing is asked are closed.
+    /// Whether idle connections are closed.
     pub fn closes_idle(&self, now: Millis) -> bool {
         match self.phase {
             Phase::Warming | Phase::Starting | Phase::Serving => false,
-            Phase::Standby => now - self.since >= self.times.standby_idle_ms,
-            Phase::Stopping | Phase::HandingOver => self.over(now),
+            Phase::Standby => now - self.phase_since >= self.timings.standby_idle_ms,
+            Phase::Stopping | Phase::HandingOver => self.drain_over(now),
         }
     }
 
-    /// The process may end: no more requests can come, and what was taken is answered or not waited for any longer. One
-    /// that hands over need not wait once it holds no connection any more.
-    pub fn may_exit(&self, now: Millis, owes: bool, holds: bool) -> bool {
-        let over = match self.phase {
-            Phase::Stopping => self.over(now),
-            Phase::HandingOver => self.over(now) || !holds,
+    /// Whether the process may exit: no more requests can arrive, and the accepted ones are answered or abandoned. A
+    /// process that hands over may exit early once it has no connections.
+    pub fn may_exit(&self, now: Millis, answers_pending: bool, has_connections: bool) -> bool {
+        let drained = match self.phase {
+            Phase::Stopping => self.drain_over(now),
+            Phase::HandingOver => self.drain_over(now) || !has_connections,
             _ => return false,
         };
-        over && (!owes || now - self.since >= self.times.max_stop_ms)
+        drained && (!answers_pending || now - self.phase_since >= self.timings.max_stop_ms)
     }
 
-    /// The time in which an ending process takes requests has passed.
-    fn over(&self, now: Millis) -> bool {
-        let front_knows = self.away.is_some_and(|at| now - at >= self.times.readiness_lag_ms);
-        now - self.since >= self.times.drain_ms || (self.phase == Phase::Stopping && front_knows)
+    /// Whether the time in which an ending process accepts requests has passed.
+    fn drain_over(&self, now: Millis) -> bool {
+        let standby_noticed =
+            self.standby_since.is_some_and(|since| now - since >= self.timings.readiness_lag_ms);
+        now - self.phase_since >= self.timings.drain_ms || (self.phase == Phase::Stopping && standby_noticed)
     }
 }
 
@@ -266,159 +280,169 @@
     use proptest::prelude::*;
 
     fn serving() -> Lifecycle {
-        let mut life = Lifecycle::new(Timings::default());
-        life.set_can_serve(0.0, true);
-        life
+        let mut lifecycle = Lifecycle::new(Timings::default());
+        lifecycle.set_can_serve(0.0, true);
+        lifecycle
     }
 
     #[test]
-    fn commands_twice_and_out_of_turn_have_stated_results() {
-        let mut life = serving();
-        assert_eq!(life.handle(1.0, Command::Active), Ok(Phase::Serving));
-        assert_eq!(life.handle(2.0, Command::Standby), Ok(Phase::Standby));
-        assert_eq!(life.handle(900.0, Command::Standby), Ok(Phase::Standby));
-        // The second word does not begin the drain anew.
-        assert!(life.closes_idle(1002.0));
-        assert_eq!(life.handle(1500.0, Command::Stop), Ok(Phase::Stopping));
-        // The front knows: nothing is waited for.
+    fn repeated_and_out_of_order_commands_have_defined_results() {
+        let mut lifecycle = serving();
+        assert_eq!(lifecycle.handle(1.0, Command::Active), Ok(Phase::Serving));
+        assert_eq!(lifecycle.handle(2.0, Command::Standby), Ok(Phase::Standby));
+        assert_eq!(lifecycle.handle(900.0, Command::Standby), Ok(Phase::Standby));
+        // The repeated command does not restart the drain.
+        assert!(lifecycle.closes_idle(1002.0));
+        assert_eq!(lifecycle.handle(1500.0, Command::Stop), Ok(Phase::Stopping));
+        // The front end already knows, so there is no drain time.
         assert!(
-            !life.accepts_connections(1500.0)
-                && life.may_exit(1500.0, false, true)
-                && !life.may_exit(1500.0, true, true)
+            !lifecycle.accepts_connections(1500.0)
+                && lifecycle.may_exit(1500.0, false, true)
+                && !lifecycle.may_exit(1500.0, true, true)
         );
-        assert_eq!(life.handle(1600.0, Command::Active), Err(AlreadyEnding(Phase::Stopping)));
-        assert_eq!(life.handle(1600.0, Command::Standby), Err(AlreadyEnding(Phase::Stopping)));
-        assert_eq!(life.handle(1600.0, Command::Stop), Ok(Phase::Stopping));
+        assert_eq!(lifecycle.handle(1600.0, Command::Active), Err(AlreadyEnding(Phase::Stopping)));
+        assert_eq!(lifecycle.handle(1600.0, Command::Standby), Err(AlreadyEnding(Phase::Stopping)));
+        assert_eq!(lifecycle.handle(1600.0, Command::Stop), Ok(Phase::Stopping));
     }
 
     #[test]
-    fn a_stop_serves_on_while_clients_may_still_come() {
-        let mut life = serving();
-        assert_eq!(life.handle(0.0, Command::Stop), Ok(Phase::Stopping));
+    fn a_stopping_limiter_serves_while_clients_may_still_arrive() {
+        let mut lifecycle = serving();
+        assert_eq!(lifecycle.handle(0.0, Command::Stop), Ok(Phase::Stopping));
+        assert!(
+            !lifecycle.is_ready()
+                && lifecycle.accepts_connections(599.0)
+                && lifecycle.keeps_alive(599.0)
+                && !lifecycle.may_exit(599.0, false, false)
+        );
         assert!(
-            !life.is_ready()
-                && life.accepts_connections(599.0)
-                && life.keeps_alive(599.0)
-                && !life.may_exit(599.0, false, false)
+            !lifecycle.accepts_connections(600.0)
+                && !lifecycle.keeps_alive(600.0)
+                && lifecycle.closes_idle(600.0)
         );
-        assert!(!life.accepts_connections(600.0) && !life.keeps_alive(600.0) && life.closes_idle(600.0));
         assert!(
-            life.may_exit(600.0, false, true)
-                && !life.may_exit(600.0, true, true)
-                && life.may_exit(20_000.0, true, true)
+            lifecycle.may_exit(600.0, false, true)
+                && !lifecycle.may_exit(600.0, true, true)
+                && lifecycle.may_exit(20_000.0, true, true)
         );
     }
 
-    /// Guards against crowds that take the places of kept connections while a limiter stops.
+    /// Guards against many new connections that displace the kept ones while a limiter stops.
     #[test]
-    fn a_stop_keeps_connections_longer_than_it_accepts_new_ones() {
-        let mut life = Lifecycle::new(Timings { drain_ms: 2400.0, ..Timings::default() });
-        life.set_can_serve(0.0, true);
-        assert_eq!(life.handle(0.0, Command::Stop), Ok(Phase::Stopping));
-        assert!(life.accepts_connections(599.0) && !life.accepts_connections(600.0));
-        assert!(life.keeps_alive(2399.0) && !life.closes_idle(2399.0) && life.closes_idle(2400.0));
+    fn a_stopping_limiter_keeps_connections_longer_than_it_accepts_new_ones() {
+        let mut lifecycle = Lifecycle::new(Timings { drain_ms: 2400.0, ..Timings::default() });
+        lifecycle.set_can_serve(0.0, true);
+        assert_eq!(lifecycle.handle(0.0, Command::Stop), Ok(Phase::Stopping));
+        assert!(lifecycle.accepts_connections(599.0) && !lifecycle.accepts_connections(600.0));
+        assert!(
+            lifecycle.keeps_alive(2399.0) && !lifecycle.closes_idle(2399.0) && lifecycle.closes_idle(2400.0)
+        );
     }
 
-    /// Guards against what lies in the queue of connections being reset, and against an answer that would come after the end.
+    /// Guards against resets of connections in the listen queue, and against answers that would be written after the
+    /// process is killed.
     #[test]
-    fn a_stop_turns_late_connections_away_and_leaves_each_answer_its_time() {
-        let mut life =
+    fn a_stopping_limiter_rejects_late_connections_and_limits_the_time_of_answers() {
+        let mut lifecycle =
             Lifecycle::new(Timings { drain_ms: 900.0, kill_after_ms: 3400.0, ..Timings::default() });
-        life.set_can_serve(0.0, true);
-        assert!(!life.rejects_connections(0.0) && life.remaining_ms(5.0) == f64::INFINITY);
-        assert_eq!(life.handle(100.0, Command::Stop), Ok(Phase::Stopping));
+        lifecycle.set_can_serve(0.0, true);
+        assert!(!lifecycle.rejects_connections(0.0) && lifecycle.remaining_ms(5.0) == f64::INFINITY);
+        assert_eq!(lifecycle.handle(100.0, Command::Stop), Ok(Phase::Stopping));
         assert!(
-            !life.rejects_connections(699.0)
-                && life.rejects_connections(700.0)
-                && life.rejects_connections(5000.0)
+            !lifecycle.rejects_connections(699.0)
+                && lifecycle.rejects_connections(700.0)
+                && lifecycle.rejects_connections(5000.0)
         );
         assert_eq!(
-            (life.remaining_ms(100.0), life.remaining_ms(3400.0), life.remaining_ms(4000.0)),
+            (lifecycle.remaining_ms(100.0), lifecycle.remaining_ms(3400.0), lifecycle.remaining_ms(4000.0)),
             (3400.0, 100.0, 0.0)
         );
     }
 
-    /// Guards against answers after SIGKILL where SIGTERM came while the process stood still.
+    /// Guards against answers that are planned for after SIGKILL because SIGTERM arrived while the process was stalled.
     #[test]
-    fn a_stop_that_lay_unread_leaves_less_time() {
-        let mut life = Lifecycle::new(Timings { kill_after_ms: 3400.0, ..Timings::default() });
-        life.set_can_serve(0.0, true);
-        assert_eq!(life.handle(2000.0, Command::Stop), Ok(Phase::Stopping));
-        life.backdate_command(1500.0);
-        assert_eq!(life.remaining_ms(2000.0), 1900.0);
-        assert!(life.accepts_connections(2599.0), "clients come as long as ever");
+    fn a_stop_that_was_read_late_leaves_less_time() {
+        let mut lifecycle = Lifecycle::new(Timings { kill_after_ms: 3400.0, ..Timings::default() });
+        lifecycle.set_can_serve(0.0, true);
+        assert_eq!(lifecycle.handle(2000.0, Command::Stop), Ok(Phase::Stopping));
+        lifecycle.backdate_command(1500.0);
+        assert_eq!(lifecycle.remaining_ms(2000.0), 1900.0);
+        assert!(
+            lifecycle.accepts_connections(2599.0),
+            "new connections are accepted as long as without the delay"
+        );
     }
 
     #[test]
-    fn one_that_hands_over_accepts_nothing_and_closes_with_each_answer() {
-        let mut life = serving();
-        assert_eq!(life.handle(0.0, Command::HandOver), Ok(Phase::HandingOver));
+    fn a_limiter_that_hands_over_accepts_nothing_and_closes_after_each_answer() {
+        let mut lifecycle = serving();
+        assert_eq!(lifecycle.handle(0.0, Command::HandOver), Ok(Phase::HandingOver));
         assert!(
-            !life.accepts_connections(0.0)
-                && !life.keeps_alive(0.0)
-                && !life.closes_idle(599.0)
-                && life.closes_idle(600.0)
+            !lifecycle.accepts_connections(0.0)
+                && !lifecycle.keeps_alive(0.0)
+                && !lifecycle.closes_idle(599.0)
+                && lifecycle.closes_idle(600.0)
         );
         assert!(
-            life.may_exit(1.0, false, false)
-                && !life.may_exit(1.0, false, true)
-                && !life.may_exit(1.0, true, true)
+            lifecycle.may_exit(1.0, false, false)
+                && !lifecycle.may_exit(1.0, false, true)
+                && !lifecycle.may_exit(1.0, true, true)
         );
-        assert_eq!(life.handle(5.0, Command::Stop), Ok(Phase::HandingOver));
-        assert!(life.handle(5.0, Command::Active).is_err());
+        assert_eq!(lifecycle.handle(5.0, Command::Stop), Ok(Phase::HandingOver));
+        assert!(lifecycle.handle(5.0, Command::Active).is_err());
     }
 
     #[test]
-    fn beside_a_predecessor_nothing_is_accepted_until_its_place_is_taken() {
-        let mut life = Lifecycle::beside_predecessor(Timings::default());
-        life.set_can_serve(0.0, true);
-        assert!(!life.is_ready() && !life.accepts_connections(0.0));
-        assert_eq!(life.handle(1.0, Command::Standby), Ok(Phase::Warming));
-        assert_eq!(life.handle(2.0, Command::TakeOver), Ok(Phase::Serving));
-        assert!(life.is_ready() && life.accepts_connections(2.0));
-        assert_eq!(life.handle(3.0, Command::TakeOver), Ok(Phase::Serving));
-        let mut stopped = Lifecycle::beside_predecessor(Timings::default());
-        assert_eq!(stopped.handle(0.0, Command::Stop), Ok(Phase::Stopping));
+    fn beside_a_predecessor_nothing_is_accepted_before_the_take_over() {
+        let mut lifecycle = Lifecycle::beside_predecessor(Timings::default());
+        lifecycle.set_can_serve(0.0, true);
+        assert!(!lifecycle.is_ready() && !lifecycle.accepts_connections(0.0));
+        assert_eq!(lifecycle.handle(1.0, Command::Standby), Ok(Phase::Warming));
+        assert_eq!(lifecycle.handle(2.0, Command::TakeOver), Ok(Phase::Serving));
+        assert!(lifecycle.is_ready() && lifecycle.accepts_connections(2.0));
+        assert_eq!(lifecycle.handle(3.0, Command::TakeOver), Ok(Phase::Serving));
+        let mut stopped_while_warming = Lifecycle::beside_predecessor(Timings::default());
+        assert_eq!(stopped_while_warming.handle(0.0, Command::Stop), Ok(Phase::Stopping));
         assert!(
-            !stopped.accepts_connections(0.0)
-                && !stopped.rejects_connections(0.0)
-                && stopped.may_exit(0.0, false, true)
+            !stopped_while_warming.accepts_connections(0.0)
+                && !stopped_while_warming.rejects_connections(0.0)
+                && stopped_while_warming.may_exit(0.0, false, true)
         );
-        assert!(stopped.handle(1.0, Command::TakeOver).is_err());
+        assert!(stopped_while_warming.handle(1.0, Command::TakeOver).is_err());
     }
 
     #[test]
-    fn standby_before_the_first_yes_stays_and_active_returns_to_the_start() {
-        let mut life = Lifecycle::new(Timings::default());
-        assert_eq!(life.handle(0.0, Command::Standby), Ok(Phase::Standby));
-        life.set_can_serve(1.0, false);
-        assert_eq!(life.handle(2.0, Command::Active), Ok(Phase::Starting));
-        life.set_can_serve(3.0, true);
-        assert!(life.is_ready());
+    fn standby_during_the_start_stays_and_active_returns_to_starting() {
+        let mut lifecycle = Lifecycle::new(Timings::default());
+        assert_eq!(lifecycle.handle(0.0, Command::Standby), Ok(Phase::Standby));
+        lifecycle.set_can_serve(1.0, false);
+        assert_eq!(lifecycle.handle(2.0, Command::Active), Ok(Phase::Starting));
+        lifecycle.set_can_serve(3.0, true);
+        assert!(lifecycle.is_ready());
     }
 
     proptest! {
-        /// Whatever is commanded: ready means that it accepts and keeps; one that ends never serves again; an idle
-        /// connection is closed within a second of standby and stays closed until `active`.
+        /// For any sequence of commands: a ready limiter accepts and keeps connections, an ending one never serves
+        /// again, and idle connections are closed from one second after the start of a standby until `active`.
         #[test]
-        fn no_order_of_commands_breaks_it(steps in prop::collection::vec((0u8..5, 0.0..700.0f64, any::<bool>()), 1..40)) {
-            let mut life = Lifecycle::new(Timings::default());
-            let (mut now, mut ended, mut away): (f64, bool, Option<f64>) = (0.0, false, None);
-            for (what, wait, able) in steps {
-                now += wait;
-                life.set_can_serve(now, able);
-                let command = [Command::Standby, Command::Active, Command::HandOver, Command::Stop].get(usize::from(what));
-                let said = command.map(|c| life.handle(now, *c));
-                ended |= matches!(life.phase(), Phase::Stopping | Phase::HandingOver);
-                prop_assert_eq!(ended, matches!(life.phase(), Phase::Stopping | Phase::HandingOver));
-                if said == Some(Ok(Phase::Standby)) { away = away.or(Some(now)); }
-                if !ended && life.phase() != Phase::Standby { away = None; }
-                if let Some(from) = away {
-                    prop_assert!(!life.is_ready() && !life.keeps_alive(now));
-                    prop_assert!(ended || life.closes_idle(now) == (now - from >= 1000.0));
+        fn invariants_hold_for_any_sequence_of_commands(steps in prop::collection::vec((0u8..5, 0.0..700.0f64, any::<bool>()), 1..40)) {
+            let mut lifecycle = Lifecycle::new(Timings::default());
+            let (mut now, mut ended, mut standby_since): (f64, bool, Option<f64>) = (0.0, false, None);
+            for (command_index, step_ms, can_serve) in steps {
+                now += step_ms;
+                lifecycle.set_can_serve(now, can_serve);
+                let command = [Command::Standby, Command::Active, Command::HandOver, Command::Stop].get(usize::from(command_index));
+                let result = command.map(|c| lifecycle.handle(now, *c));
+                ended |= matches!(lifecycle.phase(), Phase::Stopping | Phase::HandingOver);
+                prop_assert_eq!(ended, matches!(lifecycle.phase(), Phase::Stopping | Phase::HandingOver));
+                if result == Some(Ok(Phase::Standby)) { standby_since = standby_since.or(Some(now)); }
+                if !ended && lifecycle.phase() != Phase::Standby { standby_since = None; }
+                if let Some(from) = standby_since {
+                    prop_assert!(!lifecycle.is_ready() && !lifecycle.keeps_alive(now));
+                    prop_assert!(ended || lifecycle.closes_idle(now) == (now - from >= 1000.0));
                 }
-                prop_assert!(!life.is_ready() || (life.accepts_connections(now) && life.keeps_alive(now) && !life.closes_idle(now)));
-                prop_assert!(!life.may_exit(now, true, false) || ended);
+                prop_assert!(!lifecycle.is_ready() || (lifecycle.accepts_connections(now) && lifecycle.keeps_alive(now) && !lifecycle.closes_idle(now)));
+                prop_assert!(!lifecycle.may_exit(now, true, false) || ended);
             }
         }
     }
