--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,38 +1,39 @@
-//! Open requests, attempts and due times round the decision module: [`Input`] in, [`Output`] out.
+//! Tracks open requests, attempts and timers around the decision module: [`Input`] in, [`Output`] out.
 //!
-//! The engine is the only caller of [`fawnhill::Limiter::handle`]. It gives requests their ids, keeps two attempts of
-//! one request from being out at once, ends a request at its deadline should the module not have, and knows when it
-//! must be called again. It does *not* open sockets, read a clock, start threads or draw random numbers of its own:
-//! the time is an argument of every call and the seed one of [`Engine::new`], so that sockets, a virtual clock and a
-//! recorded run drive the same code.
+//! The engine is the only caller of [`fawnhill::Limiter::handle`]. It assigns request ids, prevents two attempts of one
+//! request from being outstanding at the same time, ends a request at its deadline if the decision module has not done
+//! so, and knows when it has to be called again. It does *not* open sockets, read a clock, start threads or draw random
+//! numbers of its own: the time is an argument of every call and the seed is an argument of [`Engine::new`], so that
+//! sockets, a virtual clock and a recorded run drive the same code.
 //!
 //! ```
 //! use fawnhill::{Class, Condition, Effect, KeyGroup, Outcome, Plan, Request, ServerEntry, Settings};
 //! use marldeal_engine::{Answer, Engine, Input, Output};
 //!
-//! # let look = Class {
+//! # let lookup = Class {
 //! #     aim_ms: 1000.0, late_worth: 0.0, effect: Effect::Safe, group: KeyGroup::All, window_ms: 0.0,
 //! # };
 //! # let basic = Plan {
 //! #     rate: 4.0, burst: 8.0, open: 0, ceiling_rate: 0.0, ceiling_burst: 0.0, ceiling_slack: 0.0,
 //! # };
 //! # let settings = Settings {
-//! #     limiters: 1, position: 0, zone: 0, classes: vec![look], plans: vec![basic], round_ms: 1.0,
+//! #     limiters: 1, position: 0, zone: 0, classes: vec![lookup], plans: vec![basic], round_ms: 1.0,
 //! #     max_attempts: 3, connect_timeout_ms: 250.0, may_probe: false, may_tell: false, may_cancel: true,
 //! #     may_advise: false, messages_per_s: 0.0, must_subscribe: false, cold_share: 0.2, cold_ms: 10_000.0,
 //! #     fall_multiple: 3.0, fall_ms: 2000.0, firms: 10_000,
 //! # };
 //! let mut engine = Engine::new(settings, 42, 0.0)?;
 //! let mut out = Vec::new();
-//! let node = ServerEntry {
-//!     server: "node-1".into(), zone: 0, cell: 0, condition: Condition::Serving, weight: 1.0, started: 0.0,
+//! let server = ServerEntry {
+//!     server: "server-1".into(), zone: 0, cell: 0, condition: Condition::Serving, weight: 1.0, started: 0.0,
 //! };
-//! engine.handle(0.0, Input::Servers { whole: true, entries: [node].into() }, &mut out);
+//! engine.handle(0.0, Input::Servers { whole: true, entries: [server].into() }, &mut out);
 //!
 //! let request = Request {
 //!     id: 0, class: 0, plan: 0, customer: 7, budget_ms: 3000.0, units: 1.0, spread: 1, first: 0,
 //! };
-//! let id = engine.handle(5.0, Input::Request { correlation_id: (*b"c-1").into(), request }, &mut out).expect("a new name");
+//! let input = Input::Request { correlation_id: (*b"c-1").into(), request };
+//! let id = engine.handle(5.0, input, &mut out).expect("no request with this correlation id is open");
 //! assert!(matches!(out.last(), Some(Output::Send { attempt: 0, .. })));
 //!
 //! out.clear();
@@ -45,8 +46,8 @@
 #![warn(missing_docs)]
 
 pub mod counters;
+mod fault_injection;
 pub mod outcomes;
-mod tampered;
 pub mod timers;
 
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -62,203 +63,212 @@
 use marldeal_snapshot::{Assessment, Snapshot, SnapshotKind};
 use timers::Timers;
 
-/// What tells one client's request from another while it is open, such as the value of `X-Correlation-Id`.
+/// Identifies a client's request among the open ones, such as the value of `X-Correlation-Id`.
 pub type CorrelationId = Arc<[u8]>;
 
-/// What has happened outside.
+/// An event for the engine to handle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// The roster: all of it, or the changed lines.
+    /// The server list was received, in whole or as changes.
     Servers {
-        /// True for the whole roster, false for changes to it.
+        /// True for the whole list, false for changes to it.
         whole: bool,
-        /// The lines.
+        /// The entries.
         entries: Arc<[ServerEntry]>,
     },
-    /// The roster could not be asked for.
+    /// The server list could not be fetched.
     ServerListFailed,
-    /// A request has come whole. Its `id` is not looked at: the engine gives it one. One without any time left is refused
-    /// at once, and the module never hears of it.
+    /// A request was received whole. Its `id` is ignored; the engine assigns one. A request without remaining time
+    /// budget is refused at once and is not passed to the decision module.
     Request {
-        /// Its name; a second request of that name is not taken while the first is open.
+        /// Correlation id. A second request with the same id is rejected while the first is open.
         correlation_id: CorrelationId,
-        /// What it asks.
+        /// The request.
         request: Request,
     },
-    /// An attempt has ended: nothing more of it can reach a server.
+    /// An attempt has ended: nothing of it can reach a server any more.
     AttemptEnded {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which of its attempts, from 0.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// True units, where the answer told them.
+        /// The actual size of the request in units, if the response stated it.
         units: Option<f64>,
-        /// Load report that came along.
+        /// The load report sent with the response.
         load: Load,
     },
-    /// The body of a request that was just taken is still to come, and goes to a server as it comes: the request gets one
-    /// attempt, and its time counts from [`Input::Written`].
+    /// The body of a request that was just received is still being uploaded and is streamed to a server. The request
+    /// gets a single attempt, and its time budget starts at [`Input::Written`].
     Uploading {
-        /// Which request.
+        /// The request.
         id: RequestId,
     },
-    /// The last byte of an attempt has been written to its server.
+    /// The last byte of an attempt was written to its server.
     Written {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// An attempt's answer is too long to be read whole first: it is passed on as it comes. No deadline applies any more.
+    /// The response of an attempt is too long to be buffered and is streamed to the client. No deadline applies any
+    /// more.
     Streaming {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// The client has left: nothing is owed.
+    /// The client of a request has disconnected: no answer is needed.
     ClientDisconnected {
-        /// Which request.
+        /// The request.
         id: RequestId,
     },
-    /// A peer has told something.
+    /// A message was received from a peer.
     MessageReceived {
         /// The sender's position.
         from: u32,
-        /// What it told.
+        /// The message.
         body: Vec<u8>,
     },
-    /// The moment that [`Engine::next_due`] open_correlation_ids has come.
+    /// The time returned by [`Engine::next_due`] has come.
     TimerExpired,
 }
 
 impl Input {
-    /// The end of an attempt that told neither units nor load.
+    /// Returns the end of an attempt for which neither units nor load were reported.
     pub fn attempt_ended(id: RequestId, attempt: u32, outcome: Outcome) -> Input {
         Input::AttemptEnded { id, attempt, outcome, units: None, load: Load::default() }
     }
 }
 
-/// The one final answer to a request.
+/// The final answer to a request. Each request gets exactly one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer {
-    /// The attempt that ended last served it.
+    /// The request was served by the attempt that ended last.
     Served,
-    /// Not served; trying again is harmless.
+    /// The request was not served, and repeating it is harmless.
     Refused {
-        /// When to try again, in milliseconds from now; 0 for no advice.
+        /// Advised delay before the client repeats the request, in milliseconds; 0 for no advice.
         retry_ms: Millis,
     },
-    /// An error that promises nothing.
+    /// The request failed, and it may have run.
     Failed,
 }
 
-/// What is to be done outside.
+/// An action for the caller to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Start an attempt. [`Input::AttemptEnded`] is owed for it.
+    /// Start an attempt. The caller must report its end with [`Input::AttemptEnded`].
     Send {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which of its attempts, from 0.
+        /// Number of the attempt within its request, from 0.
         attempt: u32,
-        /// Where to.
+        /// The server to send the attempt to.
         server: ServerId,
-        /// When it is given up, on the caller's clock.
+        /// When the attempt times out, on the caller's clock.
         deadline: Millis,
     },
-    /// Call an attempt off; [`Input::AttemptEnded`] is still owed, once nothing more of it can reach a server.
+    /// Cancel an attempt. The caller must still report [`Input::AttemptEnded`], once nothing of the attempt can reach a
+    /// server any more.
     Stop {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt.
         attempt: u32,
-        /// The outcome to report, unless another came first.
+        /// The outcome to report, unless the attempt ended otherwise before.
         outcome: Outcome,
     },
-    /// Give the final answer: the first and only one of its request.
+    /// Give the final answer to a request.
     Answer {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// What to say.
+        /// The answer.
         answer: Answer,
     },
-    /// Tell peers something, 256 bytes at most.
+    /// Send a message of at most 256 bytes to peers.
     SendMessage {
-        /// A position, or none for all peers.
+        /// Position of the receiver, or `None` for all peers.
         to: Option<u32>,
-        /// What.
+        /// The message.
         body: Vec<u8>,
     },
     /// Close idle connections to a server.
     CloseIdle {
-        /// Which.
+        /// The server.
         server: ServerId,
     },
-    /// Keep the watch on the roster fresh.
+    /// Refresh the subscription to the server list.
     RefreshWatch,
-    /// Ask for the whole roster once.
+    /// Fetch the whole server list once.
     FetchServerList,
-    /// One line for the operator.
+    /// Write a line to the operator's log.
     Log(String),
 }
 
-/// Numbers of requests end here and begin anew; the module has a use for those above ([`fawnhill::Limiter::enable_prefetch`]).
-const MOST_ID: RequestId = (1 << 31) - 1;
+/// Largest request id; ids start again at 0 after it. The decision module uses the ids above it
+/// ([`fawnhill::Limiter::enable_prefetch`]).
+const MAX_REQUEST_ID: RequestId = (1 << 31) - 1;
 
-struct Open {
+/// A request without a final answer.
+struct OpenRequest {
     correlation_id: CorrelationId,
     class: usize,
     deadline: Millis,
-    /// Its whole time, which counts from the last byte where the body is still to come.
+    /// The whole time budget, which starts at the last byte if the body is still being uploaded.
     budget_ms: Millis,
     uploading: bool,
-    /// Its answer is being passed on.
+    /// The response is being streamed to the client.
     streaming: bool,
-    attempts: u32,
-    /// An attempt is out.
-    out: bool,
+    attempt_count: u32,
+    /// An attempt is outstanding.
+    outstanding: bool,
 }
 
-/// An attempt that is out.
-struct Out {
+/// An outstanding attempt.
+struct Attempt {
     sent: Millis,
-    /// Its answer is passed on since then.
-    began: Option<Millis>,
-    /// It is given up then.
+    /// When its response began to be streamed to the client.
+    streaming_since: Option<Millis>,
+    /// When the attempt times out.
     deadline: Millis,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Timer {
+    /// A wake-up requested by the decision module.
     Wake(u64),
-    /// An attempt's time is up.
-    Cap(RequestId, u32),
-    /// The client's time is up.
+    /// The time-out of an attempt.
+    AttemptTimeout(RequestId, u32),
+    /// The deadline of a request.
     Deadline(RequestId),
 }
 
-/// The decision module with its open requests, attempts and due times.
+/// The decision module with its open requests, attempts and timers.
 pub struct Engine {
     limiter: Limiter,
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    timers: Timers<Due>,
-    open: HashMap<RequestId, Open>,
+    timers: Timers<Timer>,
+    requests: HashMap<RequestId, OpenRequest>,
     open_correlation_ids: HashSet<CorrelationId>,
-    /// Attempts that are out.
-    out: HashMap<(RequestId, u32), Out>,
-    /// Whether each server of the roster takes new work.
+    /// Outstanding attempts.
+    attempts: HashMap<(RequestId, u32), Attempt>,
+    /// Whether each server of the list accepts new requests.
     servers: HashMap<ServerId, bool>,
-    next: RequestId,
+    next_id: RequestId,
     counters: RequestCounters,
-    echoes: tampered::Echoes,
+    peer_history: fault_injection::PeerHistory,
 }
 
 impl Engine {
-    /// An engine whose module has just started at `now`. The error names the setting that cannot be served.
+    /// Creates an engine whose decision module starts at `now`. `seed` seeds its random numbers.
+    ///
+    /// # Errors
+    ///
+    /// Returns a message that names the setting that is not supported.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Engine, String> {
         Ok(Engine {
             counters: RequestCounters::new(settings.classes.len()),
@@ -266,138 +276,146 @@
             events: VecDeque::new(),
             actions: Vec::new(),
             timers: Timers::default(),
-            open: HashMap::new(),
+            requests: HashMap::new(),
             open_correlation_ids: HashSet::new(),
-            out: HashMap::new(),
+            attempts: HashMap::new(),
             servers: HashMap::new(),
-            next: 0,
-            echoes: tampered::Echoes::default(),
+            next_id: 0,
+            peer_history: fault_injection::PeerHistory::default(),
         })
     }
 
-    /// Holds units of quotas ahead of need from now on ([`fawnhill::Limiter::enable_prefetch`]).
+    /// Prefetches quota units for up to `max_customers` customers from now on
+    /// ([`fawnhill::Limiter::enable_prefetch`]).
     pub fn enable_prefetch(&mut self, max_customers: usize) {
         self.limiter.enable_prefetch(max_customers);
     }
 
-    /// What became of units held ahead; nothing where none are.
+    /// Returns the counters of prefetched units, or `None` if prefetching is off.
     pub fn prefetch_counts(&self) -> Option<fawnhill::PrefetchCounts> {
         self.limiter.prefetch_counts()
     }
 
-    /// Takes in what has happened and adds to `out` what is to be done, in this order. The id that a request got, if
-    /// it was taken: one is not while another of its name is open, for two at the servers could not be told apart.
+    /// Handles an input and appends the resulting outputs to `out`, in the order in which they are to be performed.
+    /// Returns the id of an accepted request. A request is rejected while another with the same correlation id is open,
+    /// because the servers could not distinguish the two.
     ///
-    /// `now` never goes back from call to call.
+    /// `now` must not decrease from call to call.
     pub fn handle(&mut self, now: Millis, input: Input, out: &mut Vec<Output>) -> Option<RequestId> {
-        let mut taken = None;
+        let mut opened = None;
         match input {
             Input::Servers { whole, entries } => {
-                self.roster(whole, entries);
+                self.update_servers(whole, entries);
                 if planted::is_active(Fault::Shout) {
                     out.push(Output::SendMessage { to: None, body: Vec::new() });
                 }
             }
             Input::ServerListFailed => self.events.push_back(Event::ListFailed),
             Input::Request { correlation_id, request } => {
-                let late = request.budget_ms <= 0.0;
-                taken = self.take(now, correlation_id, request);
-                // Its client's time is over, and nothing of it has gone out: to ask again does no harm.
-                if let Some(id) = taken.filter(|id| late && self.settle(*id, RequestOutcome::Declined)) {
+                let expired = request.budget_ms <= 0.0;
+                opened = self.open_request(now, correlation_id, request);
+                // The client's time is over and no attempt was made: repeating the request is harmless.
+                if let Some(id) = opened.filter(|id| expired && self.finish(*id, RequestOutcome::Declined)) {
                     out.push(Output::Answer { id, answer: Answer::Refused { retry_ms: 0.0 } });
                 }
             }
             Input::AttemptEnded { id, attempt, outcome, units, load } => {
-                self.ended(now, id, attempt, outcome, units, load, out);
+                self.attempt_ended(now, id, attempt, outcome, units, load, out);
             }
             Input::Uploading { id } => {
-                if let Some(open) = self.open.get_mut(&id) {
-                    open.uploading = true;
-                    if open.out {
-                        self.upload_begins(id);
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.uploading = true;
+                    if request.outstanding {
+                        self.suspend_deadline(id);
                     }
                 }
             }
-            Input::Written { id, attempt } => self.written(now, id, attempt),
-            Input::Streaming { id, attempt } => self.streams(now, id, attempt),
+            Input::Written { id, attempt } => self.attempt_written(now, id, attempt),
+            Input::Streaming { id, attempt } => self.response_streaming(now, id, attempt),
             Input::ClientDisconnected { id } => {
-                if self.settle(id, RequestOutcome::Aborted) {
+                if self.finish(id, RequestOutcome::Aborted) {
                     self.events.push_back(Event::ClientDisconnected { id });
                 }
             }
             Input::MessageReceived { from, body } => {
                 if planted::is_active(Fault::Echo) {
-                    self.echo(now, from, &body);
+                    self.replay_messages(now, from, &body);
                 }
                 self.events.push_back(Event::MessageReceived { from, body });
             }
-            Input::TimerExpired => self.fire(now, out),
+            Input::TimerExpired => self.expire_timers(now, out),
         }
-        self.work(now, out);
-        taken
+        self.process_events(now, out);
+        opened
     }
 
-    /// When [`Input::TimerExpired`] is to come, at the latest.
+    /// Returns the time by which [`Input::TimerExpired`] has to be passed to [`Engine::handle`].
     pub fn next_due(&mut self) -> Option<Millis> {
-        let Engine { timers, limiter, out, open, .. } = self;
-        timers.next_due(|_, what| match what {
-            Due::Wake(token) => limiter.wake_is_needed(*token),
-            Due::Cap(id, attempt) => out.contains_key(&(*id, *attempt)),
-            Due::Deadline(id) => open.contains_key(id),
+        let Engine { timers, limiter, attempts, requests, .. } = self;
+        timers.next_due(|_, timer| match timer {
+            Timer::Wake(token) => limiter.wake_is_needed(*token),
+            Timer::AttemptTimeout(id, attempt) => attempts.contains_key(&(*id, *attempt)),
+            Timer::Deadline(id) => requests.contains_key(id),
         })
     }
 
-    /// Whether a server of the roster takes new work.
+    /// Returns whether a server is on the server list and accepts new requests.
     pub fn accepts_requests(&self, server: &ServerId) -> bool {
-        self.servers.get(server).is_some_and(|takes| *takes || planted::is_active(Fault::Drain))
+        self.servers.get(server).is_some_and(|accepts| *accepts || planted::is_active(Fault::Drain))
     }
 
-    /// A server of the roster takes new work.
+    /// Returns whether any server of the list accepts new requests.
     pub fn has_servers(&self) -> bool {
-        self.servers.values().any(|takes| *takes)
+        self.servers.values().any(|accepts| *accepts)
     }
 
-    /// A request could be served: a server takes work, and the module is ready to let requests in.
+    /// Returns whether a request could be served: a server accepts requests, and the decision module is ready to admit
+    /// them.
     pub fn is_ready(&self, now: Millis) -> bool {
         self.has_servers() && self.limiter.is_ready(now)
     }
 
-    /// How many customers are remembered, and what became of others.
+    /// Returns how many customers are tracked, and what became of others.
     pub fn customer_counts(&self) -> CustomerCounts {
         self.limiter.customer_counts()
     }
 
-    /// New names come so fast that the module refuses those it has never seen.
+    /// Returns whether new customers arrive so fast that the decision module refuses unknown ones.
     pub fn refuses_new_customers(&self) -> bool {
         self.limiter.refuses_new_customers()
     }
 
-    /// What has been counted of requests and attempts.
+    /// Returns the request and attempt counters.
     pub fn counters(&self) -> &RequestCounters {
         &self.counters
     }
 
-    /// For what is counted outside: attempts as they are written, requests that a front ended itself.
+    /// Returns the counters for events outside the engine, such as requests that a front end answered itself.
     pub fn counters_mut(&mut self) -> &mut RequestCounters {
         &mut self.counters
     }
 
-    /// Servers of the roster that the module avoids now.
+    /// Returns the number of servers of the list that are ejected at `now`.
     pub fn ejected_servers(&self, now: Millis) -> usize {
         self.limiter.avoided_servers(now)
     }
 
-    /// What is known at `now`, for another process to go on with; `grade` says what this one does from here on.
+    /// Returns the state at `now` for a successor process. `kind` says what this process does from here on.
     pub fn snapshot(&self, now: Millis, kind: SnapshotKind) -> Snapshot {
-        Snapshot { kind, written_ms: now, next_request: self.next, knowledge: self.limiter.export_state(now) }
+        Snapshot {
+            kind,
+            written_ms: now,
+            next_request: self.next_id,
+            knowledge: self.limiter.export_state(now),
+        }
     }
 
-    /// Takes over what is believed of another process's snapshot. Only before the first request: what this one had
-    /// learnt itself is replaced.
+    /// Restores state from the snapshot of another process. To be called before the first request only, because the
+    /// state learnt by this process is replaced.
     pub fn restore(&mut self, now: Millis, assessment: Assessment) {
         match assessment {
             Assessment::SameLimiter { knowledge, next_request } => {
-                self.next = self.next.max(next_request);
+                self.next_id = self.next_id.max(next_request);
                 self.limiter.import_state(now, &knowledge, true);
             }
             Assessment::Hints { knowledge } => self.limiter.import_state(now, &knowledge, false),
@@ -405,17 +423,17 @@
         }
     }
 
-    /// Requests that have no final answer yet.
+    /// Returns the number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
-        self.open.len()
+        self.requests.len()
     }
 
-    /// Attempts that are out.
+    /// Returns the number of outstanding attempts.
     pub fn outstanding_attempts(&self) -> usize {
-        self.out.len()
+        self.attempts.len()
     }
 
-    fn roster(&mut self, whole: bool, entries: Arc<[ServerEntry]>) {
+    fn update_servers(&mut self, whole: bool, entries: Arc<[ServerEntry]>) {
         if whole {
             self.servers.clear();
         }
@@ -423,15 +441,15 @@
             match entry.condition {
                 Condition::Gone => drop(self.servers.remove(&entry.server)),
                 condition => {
-                    let takes = condition == Condition::Serving;
-                    self.servers.insert(entry.server.clone(), takes);
+                    let accepts = condition == Condition::Serving;
+                    self.servers.insert(entry.server.clone(), accepts);
                 }
             }
         }
         self.events.push_back(Event::Servers { whole, entries });
     }
 
-    fn take(
+    fn open_request(
         &mut self,
         now: Millis,
         correlation_id: CorrelationId,
@@ -440,72 +458,73 @@
         if !self.open_correlation_ids.insert(correlation_id.clone()) {
             return None;
         }
-        let id = self.next;
-        self.next = self.next.wrapping_add(1) & MOST_ID;
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1) & MAX_REQUEST_ID;
         request.id = id;
         let deadline = now + request.budget_ms;
         self.counters.record_received(request.class);
-        self.open.insert(
+        self.requests.insert(
             id,
-            Open {
+            OpenRequest {
                 correlation_id,
                 class: request.class,
                 deadline,
                 budget_ms: request.budget_ms,
                 uploading: false,
                 streaming: false,
-                attempts: 0,
-                out: false,
+                attempt_count: 0,
+                outstanding: false,
             },
         );
-        self.timers.push(deadline, Due::Deadline(id));
+        self.timers.push(deadline, Timer::Deadline(id));
         if request.budget_ms > 0.0 {
             self.events.push_back(Event::Request(request));
         }
         Some(id)
     }
 
-    /// The clock of a request stands still while its body comes: the client's time counts from the last byte.
-    fn upload_begins(&mut self, id: RequestId) {
-        if let Some(open) = self.open.get_mut(&id) {
-            open.deadline = f64::INFINITY;
-            let attempt = open.attempts - 1;
-            self.out.entry((id, attempt)).and_modify(|out| out.deadline = f64::INFINITY);
+    /// Suspends the deadline of a request while its body is uploaded: the time budget starts at the last byte.
+    fn suspend_deadline(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.deadline = f64::INFINITY;
+            let attempt = request.attempt_count - 1;
+            self.attempts.entry((id, attempt)).and_modify(|a| a.deadline = f64::INFINITY);
             self.events.push_back(Event::Streaming { id });
         }
     }
 
-    fn written(&mut self, now: Millis, id: RequestId, attempt: u32) {
+    fn attempt_written(&mut self, now: Millis, id: RequestId, attempt: u32) {
         self.counters.record_forwarded();
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.uploading && open.out) else { return };
+        let Some(open) = self.requests.get_mut(&id).filter(|r| r.uploading && r.outstanding) else { return };
         open.uploading = false;
         open.deadline = now + open.budget_ms;
-        self.timers.push(open.deadline, Due::Deadline(id));
-        // How long the client took to send says nothing of the server.
+        self.timers.push(open.deadline, Timer::Deadline(id));
+        // The duration of the upload depends on the client and must not count as response time of the server.
         let deadline = open.deadline;
-        self.out.entry((id, attempt)).and_modify(|out| (out.sent, out.deadline) = (now, deadline));
+        self.attempts.entry((id, attempt)).and_modify(|a| (a.sent, a.deadline) = (now, deadline));
     }
 
-    fn streams(&mut self, now: Millis, id: RequestId, attempt: u32) {
-        let Some(out) = self.out.get_mut(&(id, attempt)) else { return };
-        let Some(open) = self.open.get_mut(&id) else { return };
-        (out.began, out.deadline) = (Some(now), f64::INFINITY);
-        open.streaming = true;
-        open.deadline = f64::INFINITY;
+    fn response_streaming(&mut self, now: Millis, id: RequestId, attempt: u32) {
+        let Some(attempt) = self.attempts.get_mut(&(id, attempt)) else { return };
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        (attempt.streaming_since, attempt.deadline) = (Some(now), f64::INFINITY);
+        request.streaming = true;
+        request.deadline = f64::INFINITY;
         self.events.push_back(Event::Streaming { id });
     }
 
-    /// Takes a request off the open ones and counts its end; false if it was not open.
-    fn settle(&mut self, id: RequestId, outcome: RequestOutcome) -> bool {
-        let Some(open) = self.open.remove(&id) else { return false };
-        self.open_correlation_ids.remove(&open.correlation_id);
-        self.counters.record_finished(open.class, outcome);
+    /// Removes an open request and counts its end. Returns false if the request was not open.
+    fn finish(&mut self, id: RequestId, outcome: RequestOutcome) -> bool {
+        let Some(request) = self.requests.remove(&id) else { return false };
+        self.open_correlation_ids.remove(&request.correlation_id);
+        self.counters.record_finished(request.class, outcome);
         true
     }
 
-    /// An answer in time is the final one; for a request that is over the module hears of the outcome all the same.
+    /// Handles the end of an attempt. A successful response in time is the final answer. The decision module is notified
+    /// of the outcome even if the request has finished already.
     #[allow(clippy::too_many_arguments)]
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -515,76 +534,78 @@
         load: Load,
         out: &mut Vec<Output>,
     ) {
-        let Some(gone) = self.out.remove(&(id, attempt)) else { return };
+        let Some(ended) = self.attempts.remove(&(id, attempt)) else { return };
         let mut settled = true;
-        if let Some(open) = self.open.get_mut(&id) {
-            open.out = false;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.outstanding = false;
             settled = false;
         }
-        if outcome == Outcome::Ok && self.settle(id, RequestOutcome::Succeeded) {
+        if outcome == Outcome::Ok && self.finish(id, RequestOutcome::Succeeded) {
             settled = true;
             out.push(Output::Answer { id, answer: Answer::Served });
         }
-        let took_ms = gone.began.unwrap_or(now) - gone.sent;
+        let took_ms = ended.streaming_since.unwrap_or(now) - ended.sent;
         self.events.push_back(Event::AttemptEnded { id, attempt, outcome, took_ms, settled, units, load });
     }
 
-    /// Fires all that is due.
-    fn fire(&mut self, now: Millis, out: &mut Vec<Output>) {
-        while let Some(what) = self.timers.pop(now) {
-            match what {
-                Due::Wake(token) => self.events.push_back(Event::Wake { token }),
-                Due::Cap(id, attempt) => {
-                    if self.out.get(&(id, attempt)).is_some_and(|out| out.deadline <= now) {
+    /// Handles all expired timers.
+    fn expire_timers(&mut self, now: Millis, out: &mut Vec<Output>) {
+        while let Some(timer) = self.timers.pop(now) {
+            match timer {
+                Timer::Wake(token) => self.events.push_back(Event::Wake { token }),
+                Timer::AttemptTimeout(id, attempt) => {
+                    if self.attempts.get(&(id, attempt)).is_some_and(|a| a.deadline <= now) {
                         self.stop(id, attempt, Outcome::TimedOut, out);
                     }
                 }
-                // The backstop: the module ends its requests before this. Nothing is sent after it.
-                Due::Deadline(id) => {
-                    if self.open.get(&id).is_some_and(|open| open.deadline > now) {
+                // Safeguard: the decision module normally ends its requests earlier. Nothing is sent after the deadline.
+                Timer::Deadline(id) => {
+                    if self.requests.get(&id).is_some_and(|r| r.deadline > now) {
                         continue;
                     }
-                    if let Some(open) = self.open.get(&id).filter(|open| open.out) {
-                        self.stop(id, open.attempts - 1, Outcome::TimedOut, out);
+                    if let Some(request) = self.requests.get(&id).filter(|r| r.outstanding) {
+                        self.stop(id, request.attempt_count - 1, Outcome::TimedOut, out);
                     }
-                    if self.settle(id, RequestOutcome::Aborted) {
-                        out.push(Output::Log(format!("request {id}: failed at its deadline")));
+                    if self.finish(id, RequestOutcome::Aborted) {
+                        out.push(Output::Log(format!("request {id}: failed, its deadline has passed")));
                         out.push(Output::Answer { id, answer: Answer::Failed });
                         self.events.push_back(Event::ClientDisconnected { id });
                     }
                 }
             }
-            self.work(now, out);
+            self.process_events(now, out);
         }
     }
 
-    fn work(&mut self, now: Millis, out: &mut Vec<Output>) {
+    fn process_events(&mut self, now: Millis, out: &mut Vec<Output>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.limiter.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.perform(now, action, out);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now: Millis, action: Action, out: &mut Vec<Output>) {
+    fn perform(&mut self, now: Millis, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::Send { id, server, cap_ms } => self.send(now, id, server, cap_ms, out),
             Action::Cancel { id, attempt } => self.stop(id, attempt, Outcome::Cancelled, out),
-            Action::Refuse { id, .. } | Action::Fail { id } if self.thaws(now, id) => self.thaw(now, id, out),
+            Action::Refuse { id, .. } | Action::Fail { id } if self.sends_late(now, id) => {
+                self.send_late(now, id, out)
+            }
             Action::Refuse { id, retry_ms } => self.answer(id, Answer::Refused { retry_ms }, out),
             Action::Fail { id } => self.answer(id, Answer::Failed, out),
-            Action::Wake { after_ms, token } => self.timers.push(now + after_ms.max(0.0), Due::Wake(token)),
+            Action::Wake { after_ms, token } => self.timers.push(now + after_ms.max(0.0), Timer::Wake(token)),
             Action::SendMessage { to, body } => out.push(Output::SendMessage { to, body }),
             Action::CloseIdle { server } => out.push(Output::CloseIdle { server }),
-            // The watch is always on; asking again only freshens it.
+            // The subscription is always open; subscribing again only refreshes it.
             Action::Subscribe(_) => out.push(Output::RefreshWatch),
             Action::FetchList => out.push(Output::FetchServerList),
             Action::Log(line) => out.push(Output::Log(line)),
-            // Servers may not be probed here, and limiters talk as peers: the module does neither. Should it,
-            // it hears at once that nothing was sent.
+            // Servers may not be probed here, and limiters exchange messages instead of sharing counters, so that the
+            // decision module requests neither. If it does, it is notified at once that nothing was sent.
             Action::Probe { server } => self.events.push_back(Event::Probed {
                 server,
                 outcome: Outcome::NotSent,
@@ -597,13 +618,13 @@
     }
 
     fn send(&mut self, now: Millis, id: RequestId, server: ServerId, cap_ms: Millis, out: &mut Vec<Output>) {
-        let takes = self.accepts_requests(&server);
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let attempt = open.attempts;
-        open.attempts += 1;
-        if open.out || !takes {
-            if open.out {
-                let line = format!("request {id}: a second attempt beside the first was not sent");
+        let accepts = self.accepts_requests(&server);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let attempt = request.attempt_count;
+        request.attempt_count += 1;
+        if request.outstanding || !accepts {
+            if request.outstanding {
+                let line = format!("request {id}: attempt not sent, another attempt is outstanding");
                 out.push(Output::Log(line));
             }
             self.events.push_back(Event::AttemptEnded {
@@ -617,33 +638,33 @@
             });
             return;
         }
-        open.out = true;
-        let deadline = if cap_ms > 0.0 { open.deadline.min(now + cap_ms) } else { open.deadline };
-        let uploading = open.uploading;
-        self.out.insert((id, attempt), Out { sent: now, began: None, deadline });
-        self.timers.push(deadline, Due::Cap(id, attempt));
+        request.outstanding = true;
+        let deadline = if cap_ms > 0.0 { request.deadline.min(now + cap_ms) } else { request.deadline };
+        let uploading = request.uploading;
+        self.attempts.insert((id, attempt), Attempt { sent: now, streaming_since: None, deadline });
+        self.timers.push(deadline, Timer::AttemptTimeout(id, attempt));
         out.push(Output::Send { id, attempt, server, deadline });
         if uploading {
-            self.upload_begins(id);
+            self.suspend_deadline(id);
         }
     }
 
     fn stop(&mut self, id: RequestId, attempt: u32, outcome: Outcome, out: &mut Vec<Output>) {
-        if self.out.contains_key(&(id, attempt)) {
+        if self.attempts.contains_key(&(id, attempt)) {
             out.push(Output::Stop { id, attempt, outcome });
         }
     }
 
     fn answer(&mut self, id: RequestId, answer: Answer, out: &mut Vec<Output>) {
-        // A client that has a part of an answer can only be cut off: that is no refusal.
-        let streaming = self.open.get(&id).is_some_and(|open| open.streaming);
-        let end = match answer {
+        // A client that has received part of a response can only be disconnected, which counts as aborted.
+        let streaming = self.requests.get(&id).is_some_and(|r| r.streaming);
+        let outcome = match answer {
             _ if streaming => RequestOutcome::Aborted,
             Answer::Served => RequestOutcome::Succeeded,
             Answer::Refused { .. } => RequestOutcome::Declined,
             Answer::Failed => RequestOutcome::Aborted,
         };
-        if self.settle(id, end) && !(planted::is_active(Fault::Answer) && id.is_multiple_of(500)) {
+        if self.finish(id, outcome) && !(planted::is_active(Fault::Answer) && id.is_multiple_of(500)) {
             out.push(Output::Answer { id, answer });
         }
     }
