--- a/wirehost/src/lib.rs
+++ b/wirehost/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings and messages that the operators write, in the module's terms. The real limiter reads the same
-//! settings from its configuration.
+//! Adapter between a simulator's JSON lines and the decision module: the message and settings types, and their
+//! translation into the module's types. The limiter process reads the same settings from its configuration file.
 #![forbid(unsafe_code)]
 
 pub mod wire;
--- a/wirehost/tests/wire.rs
+++ b/wirehost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter against batches written here.
+//! Runs the adapter as a process on hand-written batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -15,12 +15,12 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("failed to start the adapter");
     let mut text = lines.join("\n");
     text.push('\n');
-    // A write may fail once the adapter has given up; its exit is what counts.
-    let _ = child.stdin.take().expect("piped").write_all(text.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    // The write may fail if the adapter has already exited on an error; the tests check its exit status.
+    let _ = child.stdin.take().expect("standard input is piped").write_all(text.as_bytes());
+    child.wait_with_output().expect("failed to wait for the adapter")
 }
 
 fn batch(turn: u32, events: &str) -> String {
@@ -29,10 +29,10 @@
 
 fn start() -> String {
     let setup = SETUP.replace('\n', "");
-    let line = |a: &str| {
+    let server_entry = |a: &str| {
         format!(r#"{{"Server":"{a}","Site":"a","Machine":"m","Stripe":0,"Condition":"in_service"}}"#)
     };
-    let census = format!(r#"{{"m":"CENSUS","Page":3,"Elements":[{}]}}"#, line("s:1"));
+    let census = format!(r#"{{"m":"CENSUS","Page":3,"Elements":[{}]}}"#, server_entry("s:1"));
     let instance = |n: u32| {
         format!(
             r#"{{"m":"NEW_INSTANCE","LimiterId":"limiter-{n}","Seed":{n},"Setup":{setup}}},
@@ -40,8 +40,8 @@
         )
         .replace('\n', "")
     };
-    let again = census.replace("s:1", "s:2");
-    batch(1, &format!("{census},{},{again},{}", instance(0), instance(1)))
+    let second_census = census.replace("s:1", "s:2");
+    batch(1, &format!("{census},{},{second_census},{}", instance(0), instance(1)))
 }
 
 fn work(n: u32, ticket: u32) -> String {
@@ -52,15 +52,15 @@
     .replace('\n', "")
 }
 
-fn out(o: &Output) -> String {
-    String::from_utf8(o.stdout.clone()).expect("text")
+fn stdout_text(output: &Output) -> String {
+    String::from_utf8(output.stdout.clone()).expect("output is UTF-8")
 }
 
 #[test]
-fn each_batch_gets_one_reply_and_end_of_input_ends_well() {
-    let o = run(&[batch(0, ""), start(), batch(2, &work(0, 5))]);
-    assert!(o.status.success());
-    let text = out(&o);
+fn each_batch_gets_one_reply_and_end_of_input_is_a_success() {
+    let output = run(&[batch(0, ""), start(), batch(2, &work(0, 5))]);
+    assert!(output.status.success());
+    let text = stdout_text(&output);
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines.len(), 3);
     assert_eq!(lines[0], r#"{"turn":0,"steps":[]}"#);
@@ -68,27 +68,29 @@
 }
 
 #[test]
-fn a_list_page_used_again_counts_for_the_events_after_it() {
-    let o = run(&[start(), batch(2, &format!("{},{}", work(0, 5), work(1, 6)))]);
-    let text = out(&o);
+fn a_page_sent_again_applies_only_to_later_events() {
+    let output = run(&[start(), batch(2, &format!("{},{}", work(0, 5), work(1, 6)))]);
+    let text = stdout_text(&output);
     assert!(text.contains(r#""Ticket":5,"CapMs":0.0,"Server":"s:1""#), "{text}");
     assert!(text.contains(r#""Ticket":6,"CapMs":0.0,"Server":"s:2""#), "{text}");
 }
 
 #[test]
-fn an_outcome_a_stop_and_a_new_start_are_taken_in_one_batch() {
+fn an_outcome_a_stop_and_a_restart_are_handled_in_one_batch() {
     let end = r#"{"m":"ATTEMPT_END","LimiterId":"limiter-0","Ticket":5,"Trial":0,"Server":"s:1","Outcome":"errored","DurationMs":2}"#;
     let down = r#"{"m":"DOWN","LimiterId":"limiter-1"}"#;
-    let fresh = start().split_once("\"in\":[").expect("events").1.trim_end_matches("]}").to_string();
-    let o = run(&[start(), batch(2, &work(0, 5)), batch(3, &format!("{end},{down},{fresh},{}", work(1, 9)))]);
-    assert!(o.status.success(), "{}", String::from_utf8_lossy(&o.stderr));
-    let text = out(&o);
-    let last = text.lines().last().expect("a reply");
+    let restart =
+        start().split_once("\"in\":[").expect("the batch has events").1.trim_end_matches("]}").to_string();
+    let output =
+        run(&[start(), batch(2, &work(0, 5)), batch(3, &format!("{end},{down},{restart},{}", work(1, 9)))]);
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let text = stdout_text(&output);
+    let last = text.lines().last().expect("at least one reply");
     assert!(last.contains(r#""Ticket":5"#) && last.contains(r#""Ticket":9"#), "{last}");
 }
 
 #[test]
-fn malformed_input_ends_with_one_plain_line_and_no_guess() {
+fn malformed_input_fails_with_a_one_line_error() {
     let cases = [
         ("nonsense".to_string(), "line 2"),
         (r#"{"turn":2,"in":[]}"#.to_string(), "MomentMs"),
@@ -119,11 +121,15 @@
             "limiters",
         ),
     ];
-    for (line, word) in cases {
-        let o = run(&[start(), line.clone()]);
-        let error = String::from_utf8(o.stderr.clone()).expect("text");
-        assert!(!o.status.success(), "{line}");
-        assert!(error.contains(word) && error.lines().count() == 1, "{word}: {error}");
-        assert_eq!(out(&o).lines().count(), 1, "only the reply to the good batch: {line}");
+    for (line, expected) in cases {
+        let output = run(&[start(), line.clone()]);
+        let error = String::from_utf8(output.stderr.clone()).expect("output is UTF-8");
+        assert!(!output.status.success(), "{line}");
+        assert!(error.contains(expected) && error.lines().count() == 1, "{expected}: {error}");
+        assert_eq!(
+            stdout_text(&output).lines().count(),
+            1,
+            "expected only the reply to the valid batch: {line}"
+        );
     }
 }
