--- a/crates/external/tests/cases.rs
+++ b/crates/external/tests/cases.rs
@@ -1,4 +1,4 @@
-//! The hard cases one by one, on a virtual clock.
+//! Edge cases of the external processor, one by one, on a virtual clock.
 
 mod common;
 
@@ -7,26 +7,26 @@
 use marldeal_engine::{Engine, Input as EngineInput};
 use marldeal_external::*;
 
-struct Case {
+struct Harness {
     engine: Engine,
     external: ExternalProcessor,
     now: f64,
 }
 
-impl Case {
-    fn new(bounds: ProcessorConfig) -> Case {
+impl Harness {
+    fn new(config: ProcessorConfig) -> Harness {
         let settings = settings(1, 0);
-        let external = ExternalProcessor::new(bounds, &settings);
-        let mut engine = Engine::new(settings, 9, 0.0).expect("good settings");
+        let external = ExternalProcessor::new(config, &settings);
+        let mut engine = Engine::new(settings, 9, 0.0).expect("settings are valid");
         let entries = (1..=3).map(|n| entry(n, Condition::Serving)).collect();
         engine.handle(0.0, EngineInput::Servers { whole: true, entries }, &mut Vec::new());
-        Case { engine, external, now: 0.0 }
+        Harness { engine, external, now: 0.0 }
     }
 
-    fn give(&mut self, input: Input) -> Vec<(StreamId, Verdict)> {
+    fn handle(&mut self, input: Input) -> Vec<(StreamId, Verdict)> {
         let mut out = Vec::new();
         self.external.handle(self.now, input, &mut self.engine, &mut out);
-        Case::replies(out)
+        Harness::replies(out)
     }
 
     fn replies(out: Vec<Action>) -> Vec<(StreamId, Verdict)> {
@@ -39,219 +39,241 @@
 
     fn present(&mut self, stream: StreamId, class: usize, attempt: Option<u32>) -> Option<Verdict> {
         let key = (class == KEYED).then(|| (*b"key").into());
-        let request = request(class, FREE, 7);
+        let request = request(class, UNLIMITED_PLAN, 7);
         let presentation = Presentation { correlation_id: (*b"c-1").into(), key, attempt, request };
-        self.give(Input::Presented { stream, presentation }).pop().map(|(_, verdict)| verdict)
+        self.handle(Input::Presented { stream, presentation }).pop().map(|(_, verdict)| verdict)
     }
 
     fn respond(&mut self, stream: StreamId, outcome: Outcome) -> Option<Verdict> {
-        self.give(Input::Responded { stream, outcome }).pop().map(|(_, verdict)| verdict)
+        self.handle(Input::Responded { stream, outcome }).pop().map(|(_, verdict)| verdict)
     }
 
-    fn wait(&mut self, ms: f64) -> Vec<(StreamId, Verdict)> {
+    fn advance(&mut self, ms: f64) -> Vec<(StreamId, Verdict)> {
         let until = self.now + ms;
-        let mut all = Vec::new();
+        let mut replies = Vec::new();
         loop {
-            let (a, b) = (self.engine.next_due(), self.external.next_due());
-            let next = a.into_iter().chain(b).min_by(f64::total_cmp);
+            let (engine_due, external_due) = (self.engine.next_due(), self.external.next_due());
+            let next = engine_due.into_iter().chain(external_due).min_by(f64::total_cmp);
             let Some(at) = next.filter(|at| *at <= until) else { break };
             self.now = at.max(self.now);
             let mut outputs = Vec::new();
             self.engine.handle(self.now, EngineInput::TimerExpired, &mut outputs);
             for output in outputs {
                 if self.external.owns(&output) {
-                    all.extend(self.give(Input::Engine(output)));
+                    replies.extend(self.handle(Input::Engine(output)));
                 }
             }
-            all.extend(self.give(Input::TimerExpired));
+            replies.extend(self.handle(Input::TimerExpired));
         }
         self.now = until;
-        all
+        replies
     }
 
-    fn is_over(&mut self) {
-        self.wait(10_000.0);
+    fn assert_nothing_open(&mut self) {
+        self.advance(10_000.0);
         assert_eq!((self.engine.open_requests(), self.engine.outstanding_attempts()), (0, 0));
         assert_eq!((self.external.open_requests(), self.external.standing_verdicts()), (0, 0));
     }
 }
 
-fn is_go(verdict: &Option<Verdict>) -> bool {
+fn is_admitted(verdict: &Option<Verdict>) -> bool {
     matches!(verdict, Some(Verdict::Admit(_)))
 }
 
-/// An unsafe request whose stream ended without a word may have run: it fails, and so does each later presentation.
+/// An unsafe request whose stream closed without an outcome may have run: it fails, and so does every later
+/// presentation.
 #[test]
-fn an_unsafe_request_that_may_have_run_is_never_let_in_again() {
-    let mut case = Case::new(ProcessorConfig::default());
-    assert!(is_go(&case.present(1, UNSAFE, Some(1))));
-    case.give(Input::Closed { stream: 1 });
-    assert_eq!(case.present(2, UNSAFE, Some(2)), Some(Verdict::Fail));
-    assert_eq!(case.present(3, UNSAFE, Some(3)), Some(Verdict::Fail));
-    case.is_over();
+fn unsafe_request_that_may_have_run_is_not_admitted_again() {
+    let mut harness = Harness::new(ProcessorConfig::default());
+    assert!(is_admitted(&harness.present(1, UNSAFE, Some(1))));
+    harness.handle(Input::Closed { stream: 1 });
+    assert_eq!(harness.present(2, UNSAFE, Some(2)), Some(Verdict::Fail));
+    assert_eq!(harness.present(3, UNSAFE, Some(3)), Some(Verdict::Fail));
+    harness.assert_nothing_open();
 }
 
 #[test]
-fn an_unsafe_request_that_was_never_sent_goes_on() {
-    let mut case = Case::new(ProcessorConfig::default());
-    assert!(is_go(&case.present(1, UNSAFE, Some(1))));
-    assert!(matches!(case.respond(1, Outcome::NoConnection), Some(Verdict::Retry(_))));
-    assert!(is_go(&case.present(2, UNSAFE, Some(2))));
-    assert_eq!(case.respond(2, Outcome::Ok), Some(Verdict::PassThrough));
-    case.is_over();
+fn unsafe_request_that_was_not_sent_is_retried() {
+    let mut harness = Harness::new(ProcessorConfig::default());
+    assert!(is_admitted(&harness.present(1, UNSAFE, Some(1))));
+    assert!(matches!(harness.respond(1, Outcome::NoConnection), Some(Verdict::Retry(_))));
+    assert!(is_admitted(&harness.present(2, UNSAFE, Some(2))));
+    assert_eq!(harness.respond(2, Outcome::Ok), Some(Verdict::PassThrough));
+    harness.assert_nothing_open();
 }
 
-/// Servers drop repeats for 2 s here. A retry that was granted in time is not taken up after it.
+/// Servers drop repeats for 2 s in this test. A retry granted within that window must not be made after it.
 #[test]
-fn a_granted_retry_of_a_keyed_request_lapses_with_its_window() {
-    let mut case =
-        Case::new(ProcessorConfig { next_presentation_timeout_ms: 2500.0, ..ProcessorConfig::default() });
-    assert!(is_go(&case.present(1, KEYED, Some(1))));
-    case.wait(600.0);
-    assert!(matches!(case.respond(1, Outcome::Error), Some(Verdict::Retry(_))));
-    case.wait(1500.0);
-    assert_eq!(case.present(2, KEYED, Some(2)), Some(Verdict::Fail));
-    case.is_over();
+fn granted_retry_of_a_keyed_request_expires_with_its_window() {
+    let mut harness =
+        Harness::new(ProcessorConfig { next_presentation_timeout_ms: 2500.0, ..ProcessorConfig::default() });
+    assert!(is_admitted(&harness.present(1, KEYED, Some(1))));
+    harness.advance(600.0);
+    assert!(matches!(harness.respond(1, Outcome::Error), Some(Verdict::Retry(_))));
+    harness.advance(1500.0);
+    assert_eq!(harness.present(2, KEYED, Some(2)), Some(Verdict::Fail));
+    harness.assert_nothing_open();
 }
 
-/// A retry that was granted before its server's drain goes elsewhere when it is taken up after it.
+/// A retry granted before its server started to drain goes to another server if it is presented afterwards.
 #[test]
-fn a_granted_retry_is_not_taken_up_at_a_server_that_drains_by_then() {
-    let mut case = Case::new(ProcessorConfig::default());
-    assert!(is_go(&case.present(1, SAFE, Some(1))));
-    let Some(Verdict::Retry(first)) = case.respond(1, Outcome::Full) else { panic!("no retry") };
-    let n = (1..=3).find(|n| entry(*n, Condition::Serving).server == first.server).expect("a server");
+fn granted_retry_is_not_sent_to_a_server_that_drains_meanwhile() {
+    let mut harness = Harness::new(ProcessorConfig::default());
+    assert!(is_admitted(&harness.present(1, SAFE, Some(1))));
+    let Some(Verdict::Retry(first)) = harness.respond(1, Outcome::Full) else {
+        panic!("the retry is not granted")
+    };
+    let n =
+        (1..=3).find(|n| entry(*n, Condition::Serving).server == first.server).expect("the server exists");
     let entries = [entry(n, Condition::Draining)].into();
-    case.engine.handle(case.now, EngineInput::Servers { whole: false, entries }, &mut Vec::new());
-    let Some(Verdict::Admit(second)) = case.present(2, SAFE, Some(2)) else { panic!("not let in") };
+    harness.engine.handle(harness.now, EngineInput::Servers { whole: false, entries }, &mut Vec::new());
+    let Some(Verdict::Admit(second)) = harness.present(2, SAFE, Some(2)) else {
+        panic!("the request is not admitted")
+    };
     assert_ne!(second.server, first.server);
-    case.respond(2, Outcome::Ok);
-    case.is_over();
+    harness.respond(2, Outcome::Ok);
+    harness.assert_nothing_open();
 }
 
-/// Nobody comes for a granted retry: it holds nothing once its time is up.
+/// A granted retry that no proxy presents occupies no slot once it has expired.
 #[test]
-fn a_granted_retry_that_nobody_takes_up_comes_free() {
-    let mut case =
-        Case::new(ProcessorConfig { next_presentation_timeout_ms: 500.0, ..ProcessorConfig::default() });
-    assert!(is_go(&case.present(1, SAFE, Some(1))));
-    assert!(matches!(case.respond(1, Outcome::Full), Some(Verdict::Retry(_))));
-    assert_eq!(case.engine.outstanding_attempts(), 1);
-    case.wait(501.0);
-    assert_eq!((case.engine.outstanding_attempts(), case.external.open_requests()), (0, 0));
-    assert_eq!(case.present(2, SAFE, Some(2)), Some(Verdict::Fail), "its verdict stands");
-    case.is_over();
+fn unused_granted_retry_is_released() {
+    let mut harness =
+        Harness::new(ProcessorConfig { next_presentation_timeout_ms: 500.0, ..ProcessorConfig::default() });
+    assert!(is_admitted(&harness.present(1, SAFE, Some(1))));
+    assert!(matches!(harness.respond(1, Outcome::Full), Some(Verdict::Retry(_))));
+    assert_eq!(harness.engine.outstanding_attempts(), 1);
+    harness.advance(501.0);
+    assert_eq!((harness.engine.outstanding_attempts(), harness.external.open_requests()), (0, 0));
+    assert_eq!(harness.present(2, SAFE, Some(2)), Some(Verdict::Fail), "the verdict is kept");
+    harness.assert_nothing_open();
 }
 
-/// Without leave to speak unasked, the verdict waits for the outcome, which no longer counts.
+/// If final answers are not pushed, the verdict waits for the outcome, which no longer changes it.
 #[test]
-fn without_push_the_verdict_stands_for_the_outcome_that_comes_late() {
-    let mut case = Case::new(ProcessorConfig { push_final_answers: false, ..ProcessorConfig::default() });
-    assert!(is_go(&case.present(1, KEYED, Some(1))));
-    assert_eq!(case.wait(2900.0), [], "nothing is said unasked");
-    assert_eq!((case.engine.open_requests(), case.engine.outstanding_attempts()), (0, 0));
-    assert_eq!(case.respond(1, Outcome::Ok), Some(Verdict::Fail));
-    case.is_over();
+fn without_push_a_late_outcome_gets_the_final_verdict() {
+    let mut harness =
+        Harness::new(ProcessorConfig { push_final_answers: false, ..ProcessorConfig::default() });
+    assert!(is_admitted(&harness.present(1, KEYED, Some(1))));
+    assert_eq!(harness.advance(2900.0), [], "nothing is sent without a message of the proxy");
+    assert_eq!((harness.engine.open_requests(), harness.engine.outstanding_attempts()), (0, 0));
+    assert_eq!(harness.respond(1, Outcome::Ok), Some(Verdict::Fail));
+    harness.assert_nothing_open();
 }
 
-/// An outcome that comes after its request's time, when another has the name: it is promised nothing, and the other is
-/// not disturbed.
+/// An outcome arrives after its request has expired, when a new request has the same correlation id: the late outcome
+/// fails, and the new request is not affected.
 #[test]
-fn a_late_outcome_does_not_meet_a_later_request_of_its_name() {
-    let mut case = Case::new(ProcessorConfig { push_final_answers: false, ..ProcessorConfig::default() });
-    assert!(is_go(&case.present(1, KEYED, Some(1))));
-    case.wait(4000.0);
-    assert!(is_go(&case.present(2, KEYED, Some(1))), "a new request");
-    assert_eq!(case.respond(1, Outcome::Ok), Some(Verdict::Fail));
-    assert_eq!(case.respond(2, Outcome::Ok), Some(Verdict::PassThrough));
-    assert!(is_go(&{
+fn late_outcome_does_not_affect_a_new_request_with_the_same_correlation_id() {
+    let mut harness =
+        Harness::new(ProcessorConfig { push_final_answers: false, ..ProcessorConfig::default() });
+    assert!(is_admitted(&harness.present(1, KEYED, Some(1))));
+    harness.advance(4000.0);
+    assert!(is_admitted(&harness.present(2, KEYED, Some(1))), "a new request is admitted");
+    assert_eq!(harness.respond(1, Outcome::Ok), Some(Verdict::Fail));
+    assert_eq!(harness.respond(2, Outcome::Ok), Some(Verdict::PassThrough));
+    assert!(is_admitted(&{
         let correlation_id = (*b"c-2").into();
-        let presentation =
-            Presentation { correlation_id, key: None, attempt: None, request: request(SAFE, FREE, 7) };
-        case.give(Input::Presented { stream: 3, presentation }).pop().map(|(_, verdict)| verdict)
+        let presentation = Presentation {
+            correlation_id,
+            key: None,
+            attempt: None,
+            request: request(SAFE, UNLIMITED_PLAN, 7),
+        };
+        harness.handle(Input::Presented { stream: 3, presentation }).pop().map(|(_, verdict)| verdict)
     }));
-    case.wait(4000.0);
-    assert_eq!(case.respond(3, Outcome::Ok), Some(Verdict::Fail), "nobody has its name");
-    assert_eq!(case.external.open_streams(), 0);
-    case.is_over();
+    harness.advance(4000.0);
+    assert_eq!(harness.respond(3, Outcome::Ok), Some(Verdict::Fail), "no request has this correlation id");
+    assert_eq!(harness.external.open_streams(), 0);
+    harness.assert_nothing_open();
 }
 
 #[test]
-fn standing_verdicts_are_bounded_and_the_oldest_make_way() {
-    let mut case = Case::new(ProcessorConfig { max_standing_verdicts: 10, ..ProcessorConfig::default() });
+fn standing_verdicts_are_bounded_and_the_oldest_are_evicted() {
+    let mut harness =
+        Harness::new(ProcessorConfig { max_standing_verdicts: 10, ..ProcessorConfig::default() });
     for n in 0..1000_u64 {
         let correlation_id = n.to_be_bytes().as_slice().into();
-        let presentation =
-            Presentation { correlation_id, key: None, attempt: None, request: request(SAFE, FREE, 7) };
-        assert_eq!(case.give(Input::Presented { stream: n, presentation }).len(), 1);
-        case.give(Input::Responded { stream: n, outcome: Outcome::Ok });
-        assert!(case.external.standing_verdicts() <= 10);
-        case.now += 1.0;
+        let presentation = Presentation {
+            correlation_id,
+            key: None,
+            attempt: None,
+            request: request(SAFE, UNLIMITED_PLAN, 7),
+        };
+        assert_eq!(harness.handle(Input::Presented { stream: n, presentation }).len(), 1);
+        harness.handle(Input::Responded { stream: n, outcome: Outcome::Ok });
+        assert!(harness.external.standing_verdicts() <= 10);
+        harness.now += 1.0;
     }
-    assert_eq!(case.external.open_streams(), 0);
-    case.is_over();
+    assert_eq!(harness.external.open_streams(), 0);
+    harness.assert_nothing_open();
 }
 
-/// New firms without end from a proxy: the module remembers so many, strangers are refused, and records go.
+/// A proxy sends an endless stream of new customers: the decision module tracks a bounded number of them and refuses
+/// the others, and no entries accumulate.
 #[test]
-fn a_flood_of_names_from_a_proxy_is_bounded() {
-    let mut case = Case::new(ProcessorConfig { max_standing_verdicts: 100, ..ProcessorConfig::default() });
+fn flood_of_new_customers_from_a_proxy_is_bounded() {
+    let mut harness =
+        Harness::new(ProcessorConfig { max_standing_verdicts: 100, ..ProcessorConfig::default() });
     let mut refused = 0;
     for n in 0..50_000_u64 {
         let correlation_id = n.to_be_bytes().as_slice().into();
-        let asked = fawnhill::Request { customer: 1_000_000 + n, ..request(SAFE, FREE, 7) };
-        let presentation = Presentation { correlation_id, key: None, attempt: None, request: asked };
+        let request = fawnhill::Request { customer: 1_000_000 + n, ..request(SAFE, UNLIMITED_PLAN, 7) };
+        let presentation = Presentation { correlation_id, key: None, attempt: None, request };
         let verdict =
-            case.give(Input::Presented { stream: n, presentation }).pop().map(|(_, verdict)| verdict);
+            harness.handle(Input::Presented { stream: n, presentation }).pop().map(|(_, verdict)| verdict);
         match verdict {
             Some(Verdict::Refuse { .. }) => refused += 1,
-            _ => drop(case.give(Input::Responded { stream: n, outcome: Outcome::Ok })),
+            _ => drop(harness.handle(Input::Responded { stream: n, outcome: Outcome::Ok })),
         }
-        case.give(Input::Closed { stream: n });
-        case.wait(0.5);
+        harness.handle(Input::Closed { stream: n });
+        harness.advance(0.5);
         assert!(
-            case.engine.customer_counts().customers <= 10_000 && case.external.standing_verdicts() <= 100
+            harness.engine.customer_counts().customers <= 10_000
+                && harness.external.standing_verdicts() <= 100
         );
-        assert_eq!((case.external.open_requests(), case.external.open_streams()), (0, 0));
+        assert_eq!((harness.external.open_requests(), harness.external.open_streams()), (0, 0));
     }
-    assert!(refused > 40_000, "{refused} of 50000 strangers");
-    case.is_over();
+    assert!(refused > 40_000, "{refused} of 50000 unknown customers were refused");
+    harness.assert_nothing_open();
 }
 
-/// An attempt whose end nobody tells holds its slot for the stated time, and says nothing of its server.
+/// An attempt whose end cannot be reported occupies its slot for the configured time, and does not count against its
+/// server.
 #[test]
-fn an_unreported_attempt_is_out_for_the_stated_time() {
-    let mut case = Case::new(ProcessorConfig { unreported_attempt_ms: 300.0, ..ProcessorConfig::default() });
-    assert!(is_go(&case.present(1, KEYED, None)));
-    case.give(Input::Unreported { stream: 1 });
-    assert_eq!((case.external.open_requests(), case.engine.outstanding_attempts()), (0, 1));
-    case.wait(299.0);
-    assert_eq!(case.engine.outstanding_attempts(), 1);
-    case.wait(2.0);
-    assert_eq!(case.engine.outstanding_attempts(), 0);
-    assert_eq!(case.present(2, KEYED, None), Some(Verdict::Conflict(Conflict::Served)));
-    case.is_over();
+fn unreported_attempt_is_outstanding_for_the_configured_time() {
+    let mut harness =
+        Harness::new(ProcessorConfig { unreported_attempt_ms: 300.0, ..ProcessorConfig::default() });
+    assert!(is_admitted(&harness.present(1, KEYED, None)));
+    harness.handle(Input::Unreported { stream: 1 });
+    assert_eq!((harness.external.open_requests(), harness.engine.outstanding_attempts()), (0, 1));
+    harness.advance(299.0);
+    assert_eq!(harness.engine.outstanding_attempts(), 1);
+    harness.advance(2.0);
+    assert_eq!(harness.engine.outstanding_attempts(), 0);
+    assert_eq!(harness.present(2, KEYED, None), Some(Verdict::Conflict(Conflict::Served)));
+    harness.assert_nothing_open();
 }
 
-/// Where proxies loop, a stream that ends has left for good.
+/// If proxies retry on the same stream, the client of a closed stream has disconnected.
 #[test]
-fn a_looping_proxy_that_leaves_is_not_waited_for() {
-    let mut case =
-        Case::new(ProcessorConfig { retry_mode: RetryMode::SameStream, ..ProcessorConfig::default() });
-    assert!(is_go(&case.present(1, SAFE, None)));
-    assert!(matches!(case.respond(1, Outcome::Full), Some(Verdict::Retry(_))));
-    case.give(Input::Closed { stream: 1 });
-    assert_eq!((case.external.open_requests(), case.engine.outstanding_attempts()), (0, 0));
-    case.is_over();
+fn closed_stream_ends_the_request_if_retries_use_the_same_stream() {
+    let mut harness =
+        Harness::new(ProcessorConfig { retry_mode: RetryMode::SameStream, ..ProcessorConfig::default() });
+    assert!(is_admitted(&harness.present(1, SAFE, None)));
+    assert!(matches!(harness.respond(1, Outcome::Full), Some(Verdict::Retry(_))));
+    harness.handle(Input::Closed { stream: 1 });
+    assert_eq!((harness.external.open_requests(), harness.engine.outstanding_attempts()), (0, 0));
+    harness.assert_nothing_open();
 }
 
-/// A presentation that waits for the stream before it to end is told so when that does not come.
+/// A presentation that waits for the previous stream to close is rejected if that stream stays open.
 #[test]
-fn a_presentation_beside_a_live_stream_waits_and_is_then_in_conflict() {
-    let mut case = Case::new(ProcessorConfig::default());
-    assert!(is_go(&case.present(1, SAFE, Some(1))));
-    assert_eq!(case.present(2, SAFE, Some(2)), None);
-    assert_eq!(case.wait(101.0), [(2, Verdict::Conflict(Conflict::Open))]);
-    assert_eq!(case.respond(1, Outcome::Ok), Some(Verdict::PassThrough));
-    case.is_over();
+fn presentation_beside_an_open_stream_is_rejected_after_the_handover_timeout() {
+    let mut harness = Harness::new(ProcessorConfig::default());
+    assert!(is_admitted(&harness.present(1, SAFE, Some(1))));
+    assert_eq!(harness.present(2, SAFE, Some(2)), None);
+    assert_eq!(harness.advance(101.0), [(2, Verdict::Conflict(Conflict::Open))]);
+    assert_eq!(harness.respond(1, Outcome::Ok), Some(Verdict::PassThrough));
+    harness.assert_nothing_open();
 }
--- a/crates/external/tests/common/mod.rs
+++ b/crates/external/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings for tests: three classes, plans with and without quotas.
+//! Settings for tests: three request classes, and plans with and without quotas.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
-pub const SMALL: usize = 0;
-pub const MILL: usize = 1;
-pub const FLEET: usize = 2;
-pub const FREE: usize = 3;
+pub const SMALL_PLAN: usize = 0;
+pub const MEDIUM_PLAN: usize = 1;
+pub const CEILING_PLAN: usize = 2;
+pub const UNLIMITED_PLAN: usize = 3;
 
 fn class(effect: Effect, aim_ms: f64) -> Class {
     Class { aim_ms, late_worth: 0.0, effect, group: KeyGroup::All, window_ms: 2000.0 }
