--- a/crates/bodies/src/lib.rs
+++ b/crates/bodies/src/lib.rs
@@ -1,7 +1,7 @@
 //! Body bytes buffered in memory under a shared budget, and the minimum data rate required of a sender.
 //!
-//! Buffered bytes count against the budget until the buffer is dropped. The crate reads neither sockets nor a clock:
-//! bytes and times are arguments.
+//! Buffered bytes count against the budget until the buffer is dropped. The crate reads neither sockets nor a
+//! clock: bytes and times are arguments.
 //!
 //! ```
 //! use marldeal_bodies::{Budget, BufferedBody};
@@ -63,7 +63,8 @@
 
 /// Maximum size of a block, which is one allocation, in bytes; only a single larger push gets a larger block.
 const BLOCK_BYTES: usize = 64 << 10;
-/// One body may occupy at most the budget divided by this, so that a few large bodies can't use up the budget.
+/// One body may occupy at most the budget divided by this, so that a few large bodies can't use up the
+/// budget.
 const BODY_SHARE_DIVISOR: usize = 8;
 
 /// A body buffered in blocks. Clones of the blocks share their memory.
@@ -123,7 +124,8 @@
         true
     }
 
-    /// Size of the next block if the length is unknown: doubles from 1 KiB on, so that a small body reserves little.
+    /// Size of the next block if the length is unknown: doubles from 1 KiB on, so that a small body reserves
+    /// little.
     fn next_block(&self) -> usize {
         (self.length * 2).clamp(1 << 10, BLOCK_BYTES)
     }
@@ -167,7 +169,8 @@
 }
 
 impl MinDataRate {
-    /// Deadline for the next byte of a sender that has sent `received` bytes, in milliseconds after the body began.
+    /// Deadline for the next byte of a sender that has sent `received` bytes, in milliseconds after the body
+    /// began.
     pub fn deadline_ms(&self, received: u64) -> f64 {
         self.grace_ms + received as f64 * 1000.0 / self.bytes_per_s
     }
@@ -203,8 +206,8 @@
     }
 
     proptest! {
-        /// For any sequence of pushes and any budget: the buffered bytes equal those pushed, the budget is never
-        /// exceeded, and all of it is released at the end.
+        /// For any sequence of pushes and any budget: the buffered bytes equal those pushed, the budget is
+        /// never exceeded, and all of it is released at the end.
         #[test]
         fn buffered_bytes_are_intact_and_within_the_budget(
             pushes in prop::collection::vec((0usize..3, 0usize..40_000), 0..60),
--- a/crates/budgets/src/allocator.rs
+++ b/crates/budgets/src/allocator.rs
@@ -1,4 +1,5 @@
-//! The allocator of a budget: counts outstanding leases, grants available units and reclaims leases that have expired.
+//! The allocator of a budget: counts outstanding leases, grants available units and reclaims leases that have
+//! expired.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +13,8 @@
     expires_at: Millis,
 }
 
-/// Allocates one budget. At most one allocator of a budget may grant at a time: its successor is created with a higher epoch
-/// than any before, after the earlier one is certain to have stopped.
+/// Allocates one budget. At most one allocator of a budget may grant at a time: its successor is created with
+/// a higher epoch than any before, after the earlier one is certain to have stopped.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Allocator {
     terms: LeaseTerms,
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Creates the successor of earlier allocators, all of which have stopped granting. It assumes that the whole budget is
-    /// outstanding until their leases have expired.
+    /// Creates the successor of earlier allocators, all of which have stopped granting. It assumes that the
+    /// whole budget is outstanding until their leases have expired.
     pub fn successor(epoch: u64, budget: Units, terms: LeaseTerms, now: Millis) -> Allocator {
         Allocator {
             grants_from: now + terms.allocator_lease_ms(),
@@ -86,7 +87,8 @@
         self.terms.allocator_lease_ms()
     }
 
-    /// Changes the budget. If more than the new budget is outstanding, nothing is granted until enough has come back.
+    /// Changes the budget. If more than the new budget is outstanding, nothing is granted until enough has
+    /// come back.
     pub fn set_budget(&mut self, budget: Units) {
         self.budget = budget;
     }
@@ -114,8 +116,8 @@
         self.last_grants.retain(|_, grant| leases.contains_key(&grant.lease));
     }
 
-    /// Handles a message from a member and returns the answer, if there is one. `max_units` limits a new lease, as the
-    /// member's share of the budget requires.
+    /// Handles a message from a member and returns the answer, if there is one. `max_units` limits a new
+    /// lease, as the member's share of the budget requires.
     pub fn handle(
         &mut self,
         now: Millis,
@@ -170,8 +172,8 @@
         remaining: Units,
     ) -> Option<Grant> {
         let expires_at = now + self.lease_ms();
-        // A lease of an earlier allocator is taken over while no new leases are granted: its units can't have been
-        // granted to another member meanwhile.
+        // A lease of an earlier allocator is taken over while no new leases are granted: its units can't have
+        // been granted to another member meanwhile.
         let taken_over = lease.epoch < self.epoch && lease.transferred_by.is_none() && now < self.grants_from;
         if taken_over && !self.leases.contains_key(&lease) && self.outstanding() + remaining <= self.budget {
             self.leases.insert(lease, OutstandingLease { owner: from, units: remaining, expires_at });
@@ -179,7 +181,8 @@
         let outstanding = self.leases.get_mut(&lease).filter(|l| l.owner == from)?;
         let transferred = outstanding.units.saturating_sub(remaining);
         if transferred > 0 {
-            // The missing units may have been transferred to others, who may use them until the lease's previous expiry.
+            // The missing units may have been transferred to others, who may use them until the lease's
+            // previous expiry.
             self.transferred.push((outstanding.expires_at, transferred));
             outstanding.units = remaining;
         }
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,23 +1,26 @@
 //! Budgets shared by all limiters, leased to them in amounts that never sum to more than the budget.
 //!
 //! A budget is a number of [`Units`]: shares of a rate and its token bucket, or of a concurrency limit. An
-//! [`Allocator`](allocator::Allocator) grants leases; a [`Member`](member::Member) uses the units that it holds until the
-//! lease expires by its own steady clock. Leases combine escrow (O'Neil, "The Escrow Transactional Method", 1986;
-//! Barbará-Millá and Garcia-Molina, "The Demarcation Protocol", 1994) with expiry (Gray and Cheriton, 1989): a lost lease
-//! is available again when it expires, neither earlier nor more than once.
+//! [`Allocator`](allocator::Allocator) grants leases; a [`Member`](member::Member) uses the units that it
+//! holds until the lease expires by its own steady clock. Leases combine escrow (O'Neil, "The Escrow
+//! Transactional Method", 1986; Barbará-Millá and Garcia-Molina, "The Demarcation Protocol", 1994) with
+//! expiry (Gray and Cheriton, 1989): a lost lease is available again when it expires, neither earlier nor
+//! more than once.
 //!
-//! **Invariant:** at every instant of true time the units that members may use, including those in transit, sum to at most
-//! the budget. This holds under loss, duplication, reordering, restart, pause and partition, as long as clocks run within
-//! [`LeaseTerms::max_drift_ppm`] of true time and at most one allocator grants at a time. It rests on four rules:
-//! 1. A member measures a lease from when it *sent its request*, the allocator from when it *granted* it, and longer by
-//!    the drift.
-//! 2. A member's report of a lease (`remaining`) only ever lowers its amount, so that duplicate or reordered messages have
-//!    no effect.
+//! **Invariant:** at every instant of true time the units that members may use, including those in transit,
+//! sum to at most the budget. This holds under loss, duplication, reordering, restart, pause and partition,
+//! as long as clocks run within [`LeaseTerms::max_drift_ppm`] of true time and at most one allocator grants
+//! at a time. It rests on four rules:
+//! 1. A member measures a lease from when it *sent its request*, the allocator from when it *granted* it, and
+//!    longer by the drift.
+//! 2. A member's report of a lease (`remaining`) only ever lowers its amount, so that duplicate or reordered
+//!    messages have no effect.
 //! 3. Units that a member has transferred to another count at the allocator until the original lease expires.
-//! 4. A new allocator grants no new lease until all leases of earlier allocators have expired; until then it only renews
-//!    leases that are held.
+//! 4. A new allocator grants no new lease until all leases of earlier allocators have expired; until then it
+//!    only renews leases that are held.
 //!
-//! The crate does no I/O and reads no clock: times are arguments, in milliseconds of the caller's steady clock.
+//! The crate does no I/O and reads no clock: times are arguments, in milliseconds of the caller's steady
+//! clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -40,14 +43,16 @@
     pub incarnation: u32,
 }
 
-/// Identifies a lease. Each allocator numbers its own; a transferred lease also names the member that transferred it.
+/// Identifies a lease. Each allocator numbers its own; a transferred lease also names the member that
+/// transferred it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId {
     /// Epoch of the allocator, used as a fencing token.
     pub epoch: u64,
     /// Number of the lease within the epoch.
     pub number: u64,
-    /// The member that transferred the lease, and the number of this transfer among those of that member, from 1.
+    /// The member that transferred the lease, and the number of this transfer among those of that member,
+    /// from 1.
     pub transferred_by: Option<(MemberId, u64)>,
 }
 
@@ -61,13 +66,15 @@
 }
 
 impl LeaseTerms {
-    /// How long the allocator counts a lease from when it granted it: its clock may run fast and the member's slow.
+    /// How long the allocator counts a lease from when it granted it: its clock may run fast and the member's
+    /// slow.
     pub fn allocator_lease_ms(&self) -> Millis {
         let (fast, slow) = (1_000_000 + self.max_drift_ppm, 1_000_000 - self.max_drift_ppm);
         (self.lease_ms * fast).div_ceil(slow) + 1
     }
 
-    /// How long the receiver of a transfer may use it, where `remaining` is left of the lease by the sender's clock.
+    /// How long the receiver of a transfer may use it, where `remaining` is left of the lease by the sender's
+    /// clock.
     pub fn transfer_ms(&self, remaining: Millis) -> Millis {
         remaining * (1_000_000 - self.max_drift_ppm) / (1_000_000 + self.max_drift_ppm)
     }
--- a/crates/budgets/src/member.rs
+++ b/crates/budgets/src/member.rs
@@ -98,7 +98,8 @@
         MemberMessage::Acquire { sequence: self.add_pending(now, None), wanted }
     }
 
-    /// Requests the renewal of a lease. `None` if it does not hold the lease, or the lease was transferred to it.
+    /// Requests the renewal of a lease. `None` if it does not hold the lease, or the lease was transferred to
+    /// it.
     pub fn renew(&mut self, now: Millis, lease: LeaseId) -> Option<MemberMessage> {
         let sequence = self.add_pending(now, Some(lease));
         let remaining = self.leases.get(&lease).filter(|_| lease.transferred_by.is_none())?.units;
@@ -134,8 +135,8 @@
         self.expire(now);
     }
 
-    /// Transfers up to `wanted` units to a member that has requested them. They are no longer usable here when this
-    /// returns.
+    /// Transfers up to `wanted` units to a member that has requested them. They are no longer usable here
+    /// when this returns.
     pub fn transfer(&mut self, now: Millis, to: MemberId, sequence: u64, wanted: Units) -> Option<Transfer> {
         self.expire(now);
         if let Some(last) = self.last_transfers.get(&to).filter(|last| last.sequence >= sequence) {
--- a/crates/budgets/src/shares.rs
+++ b/crates/budgets/src/shares.rs
@@ -11,9 +11,9 @@
     pub weight: f64,
 }
 
-/// Divides a budget by weighted max-min fairness (water-filling): no member gets more than it wants while another gets less
-/// than it wants, such members share by weight, and unclaimed units are divided equally as a reserve. The sum never exceeds
-/// the budget. Runs in O(n log n).
+/// Divides a budget by weighted max-min fairness (water-filling): no member gets more than it wants while
+/// another gets less than it wants, such members share by weight, and unclaimed units are divided equally as
+/// a reserve. The sum never exceeds the budget. Runs in O(n log n).
 pub fn max_min(budget: Units, demands: &[Demand]) -> Vec<Units> {
     let mut shares = vec![0; demands.len()];
     // In ascending order of demand per weight, so that members whose demand is met come first.
@@ -59,11 +59,15 @@
         ) {
             let shares = max_min(budget, &demands(&wanted));
             prop_assert!(shares.iter().sum::<u64>() <= budget);
-            let unmet = wanted.iter().zip(&shares).filter(|(wanted, share)| share < wanted).map(|(_, share)| *share);
+            let unmet =
+                wanted.iter().zip(&shares).filter(|(wanted, share)| share < wanted).map(|(_, share)| *share);
             if let Some(min) = unmet.min() {
                 // Rounding may cost each member one unit.
                 let max = shares.iter().max().copied().unwrap_or(0);
-                prop_assert!(max <= min + wanted.len() as u64, "unmet demand with share {min} while another has {max}");
+                prop_assert!(
+                    max <= min + wanted.len() as u64,
+                    "unmet demand with share {min} while another has {max}"
+                );
             }
         }
     }
--- a/crates/budgets/tests/model.rs
+++ b/crates/budgets/tests/model.rs
@@ -1,7 +1,7 @@
-//! Exhaustive model check of three members and their allocators with a bounded number of steps of each kind: messages lost,
-//! duplicated, delayed and reordered, members that restart, allocators that are replaced, leases transferred, clocks that
-//! drift apart. In every state the units that members may use sum to at most the budget. Deliveries are steps too, so that
-//! units in transit are covered.
+//! Exhaustive model check of three members and their allocators with a bounded number of steps of each kind:
+//! messages lost, duplicated, delayed and reordered, members that restart, allocators that are replaced,
+//! leases transferred, clocks that drift apart. In every state the units that members may use sum to at most
+//! the budget. Deliveries are steps too, so that units in transit are covered.
 
 use std::collections::BTreeSet;
 
@@ -49,8 +49,8 @@
     Deliver(Message),
 }
 
-/// Number of step kinds that are bounded, which are the first ones of [`Step`]. Deliveries are not bounded: a message that is
-/// never delivered is lost.
+/// Number of step kinds that are bounded, which are the first ones of [`Step`]. Deliveries are not bounded: a
+/// message that is never delivered is lost.
 const STEP_KINDS: usize = 7;
 
 impl Step {
@@ -137,8 +137,8 @@
         let mut all = vec![Step::Tick, Step::ReplaceAllocator];
         for m in 0..MEMBER_COUNT {
             all.extend([Step::Release(m), Step::Renew(m), Step::Restart(m)]);
-            // Members are interchangeable at the start. To reduce the states, the second requests only after the first
-            // and the third only after both.
+            // Members are interchangeable at the start. To reduce the states, the second requests only after
+            // the first and the third only after both.
             let fresh = |n: usize| state.members[n].1 == Member::new(state.members[n].0, self.terms);
             if (0..m).all(|n| !fresh(n)) {
                 all.push(Step::Acquire(m));
--- a/crates/outcomes/src/lib.rs
+++ b/crates/outcomes/src/lib.rs
@@ -1,10 +1,11 @@
-//! Cache of final answers by idempotency key: a client that repeats a request under the same key gets the stored answer,
-//! and no server handles the request a second time.
+//! Cache of final answers by idempotency key: a client that repeats a request under the same key gets the
+//! stored answer, and no server handles the request a second time.
 //!
-//! An entry is identified by scope (class and customer, as the path names them) and key, and holds the content of its
-//! request: another customer's request, or other content under the same key, never gets the answer. The cache is bounded
-//! in entries and in bytes. Eviction of the oldest answers is safe, because servers drop repeats themselves; the repeat
-//! merely gets no stored answer. The crate neither reads a clock nor does I/O: the time is an argument.
+//! An entry is identified by scope (class and customer, as the path names them) and key, and holds the
+//! content of its request: another customer's request, or other content under the same key, never gets the
+//! answer. The cache is bounded in entries and in bytes. Eviction of the oldest answers is safe, because
+//! servers drop repeats themselves; the repeat merely gets no stored answer. The crate neither reads a clock
+//! nor does I/O: the time is an argument.
 //!
 //! ```
 //! use bytes::Bytes;
@@ -59,8 +60,8 @@
     Miss,
     /// The final answer to this request.
     Hit(Bytes),
-    /// The key was used for a request with other content. The draft `httpapi-idempotency-key-header`, section 2.7, has
-    /// such a request refused.
+    /// The key was used for a request with other content. The draft `httpapi-idempotency-key-header`, section
+    /// 2.7, has such a request refused.
     KeyReused,
 }
 
@@ -81,13 +82,15 @@
     limits: Limits,
     /// By scope and key. It is never iterated, so its order does not matter.
     entries: HashMap<Box<[u8]>, Entry>,
-    /// Keys in order of insertion. A key that was inserted again occurs twice; only its latest sequence number is valid.
+    /// Keys in order of insertion. A key that was inserted again occurs twice; only its latest sequence
+    /// number is valid.
     order: VecDeque<(u64, Box<[u8]>)>,
     bytes: usize,
     sequence: u64,
 }
 
-/// Joins scope and key. The length of the scope comes first, so that two different pairs never give the same bytes.
+/// Joins scope and key. The length of the scope comes first, so that two different pairs never give the same
+/// bytes.
 fn entry_key(request: &KeyedRequest) -> Box<[u8]> {
     let length = (request.scope.len() as u64).to_be_bytes();
     [&length[..], request.scope, request.key].concat().into()
@@ -118,8 +121,8 @@
         self.bytes
     }
 
-    /// Stores the final answer to a request for `ttl_ms`. An unexpired answer under the same key is not replaced, and an
-    /// answer larger than the whole cache is not stored.
+    /// Stores the final answer to a request for `ttl_ms`. An unexpired answer under the same key is not
+    /// replaced, and an answer larger than the whole cache is not stored.
     pub fn insert(&mut self, now: Millis, ttl_ms: Millis, request: &KeyedRequest, answer: Bytes) {
         self.expire(now);
         let key = entry_key(request);
@@ -129,8 +132,8 @@
             return;
         }
         self.remove(&key);
-        // Entries with a short life behind one with a long life leave invalid keys in `order`: removed once they
-        // outnumber the valid ones.
+        // Entries with a short life behind one with a long life leave invalid keys in `order`: removed once
+        // they outnumber the valid ones.
         if self.order.len() > 2 * self.entries.len() + 16 {
             let entries = &self.entries;
             self.order.retain(|(sequence, key)| entries.get(key).is_some_and(|e| e.sequence == *sequence));
@@ -156,7 +159,8 @@
         }
     }
 
-    /// Removes expired entries from the oldest on. Expired entries behind an unexpired one stay; the limits bound them.
+    /// Removes expired entries from the oldest on. Expired entries behind an unexpired one stay; the limits
+    /// bound them.
     fn expire(&mut self, now: Millis) {
         while let Some((sequence, key)) = self.order.front() {
             if self.entries.get(key).is_some_and(|e| e.sequence == *sequence && e.expires_at > now) {
@@ -189,7 +193,8 @@
         KeyedRequest { scope, key, content: b"lot=7" }
     }
 
-    /// The boundary between scope and key is part of the identity: "/a" + "bc" and "/ab" + "c" are two entries.
+    /// The boundary between scope and key is part of the identity: "/a" + "bc" and "/ab" + "c" are two
+    /// entries.
     #[test]
     fn answer_is_not_found_under_another_customers_key() {
         let mut cache = AnswerCache::new(Limits::default());
@@ -216,10 +221,15 @@
     }
 
     proptest! {
-        /// Compared with a list of all insertions: an answer found was inserted for this request and has not expired, the
-        /// limits hold, and no entries or bytes remain after all have expired.
+        /// Compared with a list of all insertions: an answer found was inserted for this request and has not
+        /// expired, the limits hold, and no entries or bytes remain after all have expired.
         #[test]
-        fn cache_agrees_with_a_list_of_insertions(steps in prop::collection::vec((0u8..6, 0u8..3, 0usize..300, 0.0..3000.0f64, any::<bool>(), 1.0..9000.0f64), 1..200)) {
+        fn cache_agrees_with_a_list_of_insertions(
+            steps in prop::collection::vec(
+                (0u8..6, 0u8..3, 0usize..300, 0.0..3000.0f64, any::<bool>(), 1.0..9000.0f64),
+                1..200,
+            ),
+        ) {
             let limits = Limits { max_answers: 4, max_bytes: 1500 };
             let mut cache = AnswerCache::new(limits);
             let (mut now, mut inserted): (f64, Vec<(u8, u8, Bytes, f64)>) = (0.0, Vec::new());
@@ -232,7 +242,9 @@
                     cache.insert(now, ttl, &request, answer.clone());
                     inserted.push((key, content, answer, now + ttl));
                 } else if let Lookup::Hit(answer) = cache.lookup(now, &request) {
-                    prop_assert!(inserted.iter().any(|(k, c, a, expires_at)| (*k, *c) == (key, content) && *a == answer && *expires_at > now));
+                    prop_assert!(inserted.iter().any(|(k, c, a, expires_at)| (*k, *c) == (key, content)
+                        && *a == answer
+                        && *expires_at > now));
                 }
                 prop_assert!(cache.len() <= limits.max_answers && cache.bytes() <= limits.max_bytes);
                 prop_assert!(cache.order.len() <= 2 * limits.max_answers + 17);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and a driver for tests of the decision module.
+//! Settings, a limiter with a simulated clock and a simulated network for tests of the decision module.
 #![allow(dead_code)]
 
 use std::cmp::Reverse;
@@ -7,13 +7,15 @@
 
 use fawnhill::*;
 
+/// Classes of [`settings`], by effect.
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
-pub const RATED: usize = 0;
-pub const CEILED: usize = 1;
-pub const OPEN: usize = 2;
-pub const FREE: usize = 3;
+/// Plans of [`settings`]: a token bucket, a hard ceiling, a limit on concurrent attempts, no limit.
+pub const RATE_LIMITED: usize = 0;
+pub const WITH_CEILING: usize = 1;
+pub const CONCURRENCY_LIMITED: usize = 2;
+pub const UNLIMITED: usize = 3;
 
 fn class(effect: Effect, late_worth: f64) -> Class {
     Class { aim_ms: 1000.0, late_worth, effect, group: KeyGroup::All, window_ms: 3000.0 }
@@ -30,7 +32,7 @@
     }
 }
 
-/// Three limiters; plans by the constants above.
+/// Settings of one of three limiters, with the classes and plans named by the constants above.
 pub fn settings(position: u32) -> Settings {
     Settings {
         limiters: 3,
@@ -39,7 +41,7 @@
         classes: vec![class(Effect::Safe, 0.0), class(Effect::Keyed, 0.0), class(Effect::Unsafe, 0.0)],
         plans: vec![
             plan(6.0, 12.0, 0, 0.0),
-            // A quota far above the ceiling, so that the ceiling alone is tested.
+            // The quota is far above the ceiling, so that only the ceiling takes effect.
             Plan { rate: 60.0, burst: 300.0, ..plan(6.0, 30.0, 0, 2.0) },
             plan(0.0, 0.0, 6, 0.0),
             plan(0.0, 0.0, 0, 0.0),
@@ -61,98 +63,107 @@
     }
 }
 
-pub fn server(n: u32) -> ServerId {
+pub fn server_id(n: u32) -> ServerId {
     Arc::from(format!("10.0.0.{n}:80"))
 }
 
-pub fn entry(n: u32) -> ServerEntry {
+pub fn server_entry(n: u32) -> ServerEntry {
     let condition = Condition::Serving;
-    ServerEntry { server: server(n), zone: 0, cell: 0, condition, weight: 1.0, started: 0.0 }
+    ServerEntry { server: server_id(n), zone: 0, cell: 0, condition, weight: 1.0, started: 0.0 }
 }
 
 pub fn request(id: RequestId, class: usize, plan: usize) -> Request {
     Request { id, class, plan, customer: 7, budget_ms: 3000.0, units: 1.0, spread: 3, first: 0 }
 }
 
-/// A limiter with a clock that the test moves; wake-ups come when they are due.
-pub struct Rig {
-    pub limiter: Limiter,
+/// A limiter with a simulated clock that the test advances; timers fire when they are due.
+pub struct SimulatedLimiter {
+    pub inner: Limiter,
     pub now: Millis,
-    /// By moment (its bits, which sort as it does) and the order in which they were asked for.
-    wakes: BinaryHeap<Reverse<(u64, usize, u64)>>,
-    asked: usize,
+    /// Pending timers: due time (its bits, which sort like the value), order of creation, token.
+    timers: BinaryHeap<Reverse<(u64, usize, u64)>>,
+    timers_created: usize,
 }
 
-impl Rig {
+impl SimulatedLimiter {
     pub fn new(settings: Settings, servers: u32) -> Self {
         let now = 100_000.0;
-        let limiter = Limiter::new(settings, 1, now).expect("legal settings");
-        let mut rig = Rig { limiter, now, wakes: BinaryHeap::new(), asked: 0 };
-        rig.list(true, (0..servers).map(entry).collect());
-        rig
+        let inner = Limiter::new(settings, 1, now).expect("valid settings");
+        let mut limiter = SimulatedLimiter { inner, now, timers: BinaryHeap::new(), timers_created: 0 };
+        limiter.update_servers(true, (0..servers).map(server_entry).collect());
+        limiter
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.limiter.handle(self.now, event, &mut out);
-        for a in &out {
+    /// Handles an event and returns the actions without timers and log lines. Attempts that are cancelled end
+    /// at once.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.inner.handle(self.now, event, &mut actions);
+        for a in &actions {
             if let Action::Wake { after_ms, token } = a {
-                self.asked += 1;
-                self.wakes.push(Reverse(((self.now + after_ms).to_bits(), self.asked, *token)));
+                self.timers_created += 1;
+                self.timers.push(Reverse(((self.now + after_ms).to_bits(), self.timers_created, *token)));
             }
         }
-        out.retain(|a| !matches!(a, Action::Wake { .. } | Action::Log(_)));
-        let cancels: Vec<_> = out
+        actions.retain(|a| !matches!(a, Action::Wake { .. } | Action::Log(_)));
+        let cancelled: Vec<_> = actions
             .iter()
             .filter_map(|a| if let Action::Cancel { id, attempt } = a { Some((*id, *attempt)) } else { None })
             .collect();
-        for (id, attempt) in cancels {
-            out.extend(self.ended(id, attempt, Outcome::Cancelled, 1000.0));
+        for (id, attempt) in cancelled {
+            actions.extend(self.end_attempt(id, attempt, Outcome::Cancelled, 1000.0));
         }
-        out
+        actions
     }
 
-    /// Wake-ups that were asked for and still mean something.
-    pub fn wanted(&self) -> usize {
-        self.wakes.iter().filter(|w| self.limiter.wake_is_needed(w.0 .2)).count()
+    /// Number of pending timers that the limiter still needs.
+    pub fn needed_timers(&self) -> usize {
+        self.timers.iter().filter(|t| self.inner.wake_is_needed(t.0 .2)).count()
     }
 
-    /// Lets time pass, with the wake-ups that fall into it.
-    pub fn pass(&mut self, ms: Millis) -> Vec<Action> {
+    /// Advances the clock and fires the timers that fall due.
+    pub fn advance(&mut self, ms: Millis) -> Vec<Action> {
         let end = self.now + ms;
-        let mut out = Vec::new();
-        while let Some(Reverse((at, _, token))) = self.wakes.peek().copied() {
-            if f64::from_bits(at) > end {
+        let mut all = Vec::new();
+        while let Some(Reverse((due, _, token))) = self.timers.peek().copied() {
+            if f64::from_bits(due) > end {
                 break;
             }
-            self.wakes.pop();
-            self.now = self.now.max(f64::from_bits(at));
-            // What the limiter says it does not want may be left out: it must do nothing.
-            let wanted = self.limiter.wake_is_needed(token);
-            let did = self.give(Event::Wake { token });
-            assert!(wanted || did.is_empty(), "an unwanted wake-up led to {did:?}");
-            out.extend(did);
+            self.timers.pop();
+            self.now = self.now.max(f64::from_bits(due));
+            // A driver may skip timers that the limiter does not need, so they must have no effect.
+            let needed = self.inner.wake_is_needed(token);
+            let actions = self.handle(Event::Wake { token });
+            assert!(needed || actions.is_empty(), "a timer that was not needed led to {actions:?}");
+            all.extend(actions);
         }
         self.now = end;
-        out
+        all
     }
 
-    pub fn list(&mut self, whole: bool, entries: Vec<ServerEntry>) -> Vec<Action> {
-        self.give(Event::Servers { whole, entries: entries.into() })
+    pub fn update_servers(&mut self, whole: bool, entries: Vec<ServerEntry>) -> Vec<Action> {
+        self.handle(Event::Servers { whole, entries: entries.into() })
     }
 
-    pub fn ask(&mut self, r: Request) -> Vec<Action> {
-        self.give(Event::Request(r))
+    pub fn submit(&mut self, r: Request) -> Vec<Action> {
+        self.handle(Event::Request(r))
     }
 
-    pub fn ended(&mut self, id: RequestId, attempt: u32, outcome: Outcome, took_ms: Millis) -> Vec<Action> {
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        took_ms: Millis,
+    ) -> Vec<Action> {
         let settled = outcome == Outcome::Ok;
         let load = Load::default();
-        self.give(Event::AttemptEnded { id, attempt, outcome, took_ms, settled, units: None, load })
+        self.handle(Event::AttemptEnded { id, attempt, outcome, took_ms, settled, units: None, load })
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<ServerId> {
+/// The servers to which attempts were sent.
+pub fn sent_to(actions: &[Action]) -> Vec<ServerId> {
     let server = |a: &Action| match a {
         Action::Send { server, .. } => Some(server.clone()),
         _ => None,
@@ -160,96 +171,114 @@
     actions.iter().filter_map(server).collect()
 }
 
+/// Whether a request was refused.
 pub fn refused(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
+/// Whether a request failed.
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-/// Several limiters and the messages between them: late, perhaps lost, in any order that delays give.
-pub struct Net {
-    pub rigs: Vec<Rig>,
+/// Several limiters and the messages between them, which may be delayed, lost and reordered.
+pub struct SimulatedNetwork {
+    pub limiters: Vec<SimulatedLimiter>,
     pub now: Millis,
-    mail: Vec<(Millis, u32, u32, Vec<u8>)>,
+    /// Messages in transit: arrival time, sender, receiver, body.
+    in_transit: Vec<(Millis, u32, u32, Vec<u8>)>,
     rng: fastrand::Rng,
+    /// Probability with which a message is lost.
     pub loss: f64,
+    /// Minimum and maximum delay of a message.
     pub delay_ms: (Millis, Millis),
-    /// Nothing happens at a limiter before this moment.
-    pub stalled: Vec<Millis>,
-    pub told: u32,
+    /// Each limiter stalls until this time: its clock and timers stand still and it receives no messages.
+    pub stalled_until: Vec<Millis>,
+    pub messages_sent: u32,
 }
 
-impl Net {
+impl SimulatedNetwork {
     pub fn new(all: Vec<Settings>, servers: u32, seed: u64) -> Self {
-        let rigs: Vec<Rig> = all.into_iter().map(|s| Rig::new(s, servers)).collect();
-        let (now, stalled) = (rigs[0].now, vec![0.0; rigs.len()]);
+        let limiters: Vec<SimulatedLimiter> =
+            all.into_iter().map(|s| SimulatedLimiter::new(s, servers)).collect();
+        let (now, stalled_until) = (limiters[0].now, vec![0.0; limiters.len()]);
         let rng = fastrand::Rng::with_seed(seed);
-        Net { rigs, now, mail: Vec::new(), rng, loss: 0.0, delay_ms: (2.0, 10.0), stalled, told: 0 }
+        SimulatedNetwork {
+            limiters,
+            now,
+            in_transit: Vec::new(),
+            rng,
+            loss: 0.0,
+            delay_ms: (2.0, 10.0),
+            stalled_until,
+            messages_sent: 0,
+        }
     }
 
-    /// Posts what a limiter tells; gives its other actions back.
-    fn post(&mut self, from: usize, actions: Vec<Action>) -> Vec<Action> {
+    /// Puts a limiter's messages in transit and returns its other actions.
+    fn transmit(&mut self, from: usize, actions: Vec<Action>) -> Vec<Action> {
         let mut rest = Vec::new();
         for a in actions {
             let Action::SendMessage { to: Some(to), body } = a else {
                 rest.push(a);
                 continue;
             };
-            self.told += 1;
-            assert!(body.len() <= 256, "a message of {} bytes", body.len());
+            self.messages_sent += 1;
+            assert!(body.len() <= 256, "message of {} bytes exceeds 256 bytes", body.len());
             if self.rng.f64() >= self.loss {
-                let late = self.delay_ms.0 + self.rng.f64() * (self.delay_ms.1 - self.delay_ms.0);
-                self.mail.push((self.now + late, from as u32, to, body));
+                let delay = self.delay_ms.0 + self.rng.f64() * (self.delay_ms.1 - self.delay_ms.0);
+                self.in_transit.push((self.now + delay, from as u32, to, body));
             }
         }
         rest
     }
 
-    pub fn give(&mut self, limiter: usize, event: Event) -> Vec<Action> {
-        self.rigs[limiter].now = self.rigs[limiter].now.max(self.now);
-        let actions = self.rigs[limiter].give(event);
-        self.post(limiter, actions)
+    /// Handles an event at one limiter and returns its actions other than messages.
+    pub fn handle(&mut self, position: usize, event: Event) -> Vec<Action> {
+        self.limiters[position].now = self.limiters[position].now.max(self.now);
+        let actions = self.limiters[position].handle(event);
+        self.transmit(position, actions)
     }
 
-    /// The first attempt of a request has served it.
-    pub fn served(&mut self, limiter: usize, id: RequestId, took_ms: Millis) {
+    /// Ends the first attempt of a request with a successful answer.
+    pub fn complete(&mut self, position: usize, id: RequestId, took_ms: Millis) {
         let (attempt, outcome, load) = (0, Outcome::Ok, Load::default());
-        self.give(
-            limiter,
+        self.handle(
+            position,
             Event::AttemptEnded { id, attempt, outcome, took_ms, settled: true, units: None, load },
         );
     }
 
-    /// Lets time pass in steps of a round; what each limiter did comes back with its position.
-    pub fn pass(&mut self, ms: Millis) -> Vec<(usize, Action)> {
-        let mut out = Vec::new();
+    /// Advances the clock in steps of one round. Returns the actions of all limiters, each with its limiter's
+    /// position.
+    pub fn advance(&mut self, ms: Millis) -> Vec<(usize, Action)> {
+        let mut all = Vec::new();
         let end = self.now + ms;
         while self.now < end {
             self.now = (self.now + 4.0).min(end);
-            for p in 0..self.rigs.len() {
-                if self.now < self.stalled[p] {
+            for p in 0..self.limiters.len() {
+                if self.now < self.stalled_until[p] {
                     continue;
                 }
-                let step = (self.now - self.rigs[p].now).max(0.0);
-                let mut actions = self.rigs[p].pass(step);
-                let (due, later) = std::mem::take(&mut self.mail)
+                let step = (self.now - self.limiters[p].now).max(0.0);
+                let mut actions = self.limiters[p].advance(step);
+                let (arrived, later) = std::mem::take(&mut self.in_transit)
                     .into_iter()
                     .partition(|m| m.2 == p as u32 && m.0 <= self.now);
-                self.mail = later;
-                for (_, from, _, body) in due {
-                    actions.extend(self.rigs[p].give(Event::MessageReceived { from, body }));
+                self.in_transit = later;
+                for (_, from, _, body) in arrived {
+                    actions.extend(self.limiters[p].handle(Event::MessageReceived { from, body }));
                 }
-                out.extend(self.post(p, actions).into_iter().map(|a| (p, a)));
+                all.extend(self.transmit(p, actions).into_iter().map(|a| (p, a)));
             }
         }
-        out
+        all
     }
 
     pub fn restart(&mut self, p: usize, settings: Settings, servers: u32, seed: u64) {
-        let limiter = Limiter::new(settings, seed, self.now).expect("legal settings");
-        self.rigs[p] = Rig { limiter, now: self.now, wakes: BinaryHeap::new(), asked: 0 };
-        self.rigs[p].list(true, (0..servers).map(entry).collect());
+        let inner = Limiter::new(settings, seed, self.now).expect("valid settings");
+        self.limiters[p] =
+            SimulatedLimiter { inner, now: self.now, timers: BinaryHeap::new(), timers_created: 0 };
+        self.limiters[p].update_servers(true, (0..servers).map(server_entry).collect());
     }
 }
--- a/tests/firms.rs
+++ b/tests/firms.rs
@@ -1,69 +1,78 @@
-//! Floods of names, forgetting and returning: what is bounded, and what quotas and ceilings survive it.
+//! Floods of new customers, and customers that are evicted and return: state is bounded, quotas and ceilings
+//! hold.
 
 mod common;
 use common::*;
 use fawnhill::*;
 
-/// One limiter that remembers so many customers.
-fn small(firms: u32) -> Settings {
-    Settings { limiters: 1, firms, ..settings(0) }
+/// Settings of a single limiter that keeps the state of at most `max_customers`.
+fn single_limiter(max_customers: u32) -> Settings {
+    Settings { limiters: 1, firms: max_customers, ..settings(0) }
 }
 
-fn of(customer: u64, id: RequestId, plan: usize, units: f64) -> Request {
+fn request_of(customer: u64, id: RequestId, plan: usize, units: f64) -> Request {
     Request { customer, units, spread: 1, ..request(id, SAFE, plan) }
 }
 
-/// A request that is served at once if it is sent on; whether it was.
-fn served(rig: &mut Rig, request: Request) -> bool {
+/// Submits a request and completes it at once if it is sent. Returns whether it was sent.
+fn served(limiter: &mut SimulatedLimiter, request: Request) -> bool {
     let id = request.id;
-    let sent = !sent(&rig.ask(request)).is_empty();
+    let sent = !sent_to(&limiter.submit(request)).is_empty();
     if sent {
-        rig.ended(id, 0, Outcome::Ok, 5.0);
+        limiter.end_attempt(id, 0, Outcome::Ok, 5.0);
     }
     sent
 }
 
-/// A bucket that sees all: the most that may be let in of one customer.
+/// An ideal token bucket of one customer, as an upper bound on what may be admitted.
 #[derive(Clone, Copy)]
-struct Oracle {
+struct ReferenceBucket {
     level: f64,
-    at: Millis,
+    updated: Millis,
 }
 
-impl Oracle {
-    fn new(most: f64, at: Millis) -> Oracle {
-        Oracle { level: most, at }
+impl ReferenceBucket {
+    fn new(level: f64, updated: Millis) -> ReferenceBucket {
+        ReferenceBucket { level, updated }
     }
-    fn spend(&mut self, now: Millis, units: f64, rate: f64, most: f64) -> f64 {
-        self.level = (self.level + rate * (now - self.at) / 1000.0).min(most) - units;
-        self.at = now;
+    /// Takes `units` and returns the new level, which is negative if the bucket didn't hold them.
+    fn spend(&mut self, now: Millis, units: f64, rate: f64, burst: f64) -> f64 {
+        self.level = (self.level + rate * (now - self.updated) / 1000.0).min(burst) - units;
+        self.updated = now;
         self.level
     }
 }
 
-/// Customers of a plan come and go at random at a limiter that remembers few; the first broken bound, if any.
-fn forgetting(seed: u64) -> Result<(), String> {
+/// Random requests of customers of one plan at a limiter that keeps the state of few of them. Returns the
+/// first violation of a bucket, if any.
+fn random_evictions(seed: u64) -> Result<(), String> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let plan = if rng.bool() { RATED } else { CEILED };
-    let s = small(rng.u32(1..12));
-    let (rate, most) = match plan {
-        RATED => (s.plans[RATED].rate, s.plans[RATED].burst),
-        _ => (s.plans[CEILED].ceiling_rate, s.plans[CEILED].ceiling_burst + s.plans[CEILED].ceiling_slack),
+    let plan = if rng.bool() { RATE_LIMITED } else { WITH_CEILING };
+    let s = single_limiter(rng.u32(1..12));
+    let (rate, burst) = match plan {
+        RATE_LIMITED => (s.plans[RATE_LIMITED].rate, s.plans[RATE_LIMITED].burst),
+        _ => (
+            s.plans[WITH_CEILING].ceiling_rate,
+            s.plans[WITH_CEILING].ceiling_burst + s.plans[WITH_CEILING].ceiling_slack,
+        ),
     };
-    let mut rig = Rig::new(s, 3);
-    // Ceilings start as if spent.
-    rig.pass(6000.0);
-    let names = rng.u64(2..40);
-    let mut all = vec![Oracle::new(most, rig.now); names as usize];
+    let mut limiter = SimulatedLimiter::new(s, 3);
+    // The bucket of a ceiling is empty at the start.
+    limiter.advance(6000.0);
+    let customers = rng.u64(2..40);
+    let mut buckets = vec![ReferenceBucket::new(burst, limiter.now); customers as usize];
     for id in 0..400 {
-        rig.pass(if rng.u32(0..20) == 0 { rng.f64() * 5000.0 } else { rng.f64() * 20.0 });
-        // Some names come again and again, between bursts of others.
-        let customer = if rng.bool() { 0 } else { rng.u64(0..names) };
+        limiter.advance(if rng.u32(0..20) == 0 { rng.f64() * 5000.0 } else { rng.f64() * 20.0 });
+        // Customer 0 comes again and again between requests of the others.
+        let customer = if rng.bool() { 0 } else { rng.u64(0..customers) };
         let units = f64::from(rng.u32(1..5));
-        if served(&mut rig, of(customer, id, plan, units)) {
-            let left = all[customer as usize].spend(rig.now, units, rate, most);
-            if left < -1e-6 {
-                return Err(format!("seed {seed}: customer {customer} is {} units over at {id}", -left));
+        if served(&mut limiter, request_of(customer, id, plan, units)) {
+            let level = buckets[customer as usize].spend(limiter.now, units, rate, burst);
+            if level < -1e-6 {
+                return Err(format!(
+                    "seed {seed}: request {id} exceeds the bucket of customer {customer} by {} units",
+                    -level
+                ));
             }
         }
     }
@@ -72,247 +81,270 @@
 
 #[cfg(not(feature = "forgotten-means-full"))]
 #[test]
-fn whoever_is_forgotten_and_returns_gets_no_second_burst() {
+fn evicted_customer_that_returns_gets_no_second_burst() {
     for seed in 0..2000 {
-        forgetting(seed).unwrap_or_else(|broken| panic!("{broken}"));
+        random_evictions(seed).unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
-/// The test above finds what it is for: run with `--features forgotten-means-full`.
+/// Shows that the test above detects its fault. Run with `--features forgotten-means-full`.
 #[cfg(feature = "forgotten-means-full")]
 #[test]
 fn a_planted_second_burst_is_found() {
-    let found = (0..20).find_map(|seed| forgetting(seed).err());
-    assert!(found.is_some(), "not found in 20 seeds");
+    let violation = (0..20).find_map(|seed| random_evictions(seed).err());
+    assert!(violation.is_some(), "no violation in 20 seeds");
 }
 
-/// Under a hard ceiling: a flood pushes the customer out, it returns at once, every two seconds, for a minute.
+/// A flood evicts the customer, which returns at once, every two seconds for a minute.
 #[test]
 #[cfg(not(feature = "forgotten-means-full"))]
-fn a_ceiling_holds_for_a_customer_that_a_flood_pushes_out() {
-    let s = small(200);
-    let plan = s.plans[CEILED].clone();
-    let most = plan.ceiling_burst + plan.ceiling_slack;
-    let mut rig = Rig::new(s, 3);
-    rig.pass(6000.0);
-    let mut oracle = Oracle::new(most, rig.now);
-    let (mut id, mut name, mut let_in) = (0, 1u64 << 20, 0.0);
+fn ceiling_holds_for_a_customer_evicted_by_a_flood() {
+    let s = single_limiter(200);
+    let plan = s.plans[WITH_CEILING].clone();
+    let burst = plan.ceiling_burst + plan.ceiling_slack;
+    let mut limiter = SimulatedLimiter::new(s, 3);
+    limiter.advance(6000.0);
+    let mut bucket = ReferenceBucket::new(burst, limiter.now);
+    let (mut id, mut flood_customer, mut admitted) = (0, 1u64 << 20, 0.0);
     for _ in 0..30 {
         for _ in 0..100 {
             id += 1;
-            if served(&mut rig, of(7, id, CEILED, 1.0)) {
-                let_in += 1.0;
-                let left = oracle.spend(rig.now, 1.0, plan.ceiling_rate, most);
-                assert!(left > -1e-6, "{} over", -left);
+            if served(&mut limiter, request_of(7, id, WITH_CEILING, 1.0)) {
+                admitted += 1.0;
+                let level = bucket.spend(limiter.now, 1.0, plan.ceiling_rate, burst);
+                assert!(level > -1e-6, "bucket exceeded by {} units", -level);
             }
         }
-        // Twice each, so that it is not turned away as a stranger.
+        // Two requests of each, because the first of a new customer is refused in a flood.
         for n in 0..1000 {
-            (id, name) = (id + 1, name + n % 2);
-            served(&mut rig, of(name, id, RATED, 1.0));
-            rig.pass(2.0);
+            (id, flood_customer) = (id + 1, flood_customer + n % 2);
+            served(&mut limiter, request_of(flood_customer, id, RATE_LIMITED, 1.0));
+            limiter.advance(2.0);
         }
     }
-    // And it is not starved either: the one keeper's part of 12 units a second for a minute.
-    assert!(let_in > 0.9 * 0.62 * plan.ceiling_rate * 60.0, "{let_in}");
+    // The customer isn't starved either: a single quota owner's share (0.62) of 12 units a second for a
+    // minute.
+    assert!(admitted > 0.9 * 0.62 * plan.ceiling_rate * 60.0, "{admitted} units admitted");
     assert!(
-        rig.limiter.customer_counts().evicted_full + rig.limiter.customer_counts().evicted_with_deficit
+        limiter.inner.customer_counts().evicted_full + limiter.inner.customer_counts().evicted_with_deficit
             > 10_000
     );
 }
 
-/// A flood of nothing but new names beside usual ones, which are neither pushed out nor refused.
+/// A flood of customers that come only once, beside regular customers, which are neither evicted nor refused.
 #[test]
-fn a_flood_of_strangers_costs_usual_customers_nothing() {
-    let mut rig = Rig::new(small(1000), 3);
+fn flood_of_new_customers_does_not_affect_regular_customers() {
+    let mut limiter = SimulatedLimiter::new(single_limiter(1000), 3);
     let mut id = 0;
-    let mut ask = |rig: &mut Rig, customer| {
+    let mut submit = |limiter: &mut SimulatedLimiter, customer| {
         id += 1;
-        served(rig, of(customer, id, RATED, 1.0))
+        served(limiter, request_of(customer, id, RATE_LIMITED, 1.0))
     };
     for customer in 0..300 {
-        assert!(ask(&mut rig, customer));
-        rig.pass(40.0);
+        assert!(submit(&mut limiter, customer));
+        limiter.advance(40.0);
     }
-    let (mut refused, mut strangers) = (0, 0);
-    for name in 0..120_000u64 {
-        strangers += u64::from(ask(&mut rig, 1_000_000 + name));
-        if name % 40 == 0 {
-            refused += u32::from(!ask(&mut rig, name / 40 % 300));
+    let (mut refused, mut new_served) = (0, 0);
+    for n in 0..120_000u64 {
+        new_served += u64::from(submit(&mut limiter, 1_000_000 + n));
+        if n % 40 == 0 {
+            refused += u32::from(!submit(&mut limiter, n / 40 % 300));
         }
-        rig.pass(0.1);
+        limiter.advance(0.1);
     }
-    assert_eq!(refused, 0, "usual customers");
-    let firms = rig.limiter.customer_counts();
-    assert!(firms.customers <= 1000 && firms.accounts <= 1000, "{firms:?}");
-    // 10,000 a second against a table of 1,000: turned away at first sight once that is seen.
-    assert!(strangers < 20_000 && firms.new_refused > 100_000, "{strangers} of 120000, {firms:?}");
+    assert_eq!(refused, 0, "requests of regular customers refused");
+    let counts = limiter.inner.customer_counts();
+    assert!(counts.customers <= 1000 && counts.accounts <= 1000, "{counts:?}");
+    // 10,000 new customers a second against a table of 1,000: the first request of each is refused once the
+    // flood is detected.
+    assert!(
+        new_served < 20_000 && counts.new_refused > 100_000,
+        "{new_served} of 120000 requests of new customers served, {counts:?}"
+    );
 }
 
 #[test]
-fn a_stranger_that_comes_again_is_let_in() {
-    let mut rig = Rig::new(Settings { may_advise: true, ..small(100) }, 3);
-    for name in 0..5000u64 {
-        served(&mut rig, of(1_000_000 + name, name as u32, RATED, 1.0));
-        rig.pass(0.1);
+fn new_customer_that_returns_is_admitted() {
+    let mut limiter = SimulatedLimiter::new(Settings { may_advise: true, ..single_limiter(100) }, 3);
+    for n in 0..5000u64 {
+        served(&mut limiter, request_of(1_000_000 + n, n as u32, RATE_LIMITED, 1.0));
+        limiter.advance(0.1);
     }
-    let first = rig.ask(of(7, 10_000, RATED, 1.0));
+    let first = limiter.submit(request_of(7, 10_000, RATE_LIMITED, 1.0));
     assert!(
         first.iter().any(|a| matches!(a, Action::Refuse { retry_ms, .. } if *retry_ms > 0.0)),
-        "refused with advice: {first:?}"
+        "expected a refusal with a retry time: {first:?}"
     );
-    rig.pass(200.0);
-    assert!(served(&mut rig, of(7, 10_001, RATED, 1.0)));
+    limiter.advance(200.0);
+    assert!(served(&mut limiter, request_of(7, 10_001, RATE_LIMITED, 1.0)));
 }
 
-/// Rigs log to nobody: the lines are looked for in what `handle` says.
+/// [`SimulatedLimiter`] drops log lines, so this test calls the limiter itself.
 #[test]
-fn the_bound_is_told_once_when_reached_and_once_when_over() {
-    let mut rig = Rig::new(small(50), 3);
+fn reaching_and_leaving_the_customer_limit_are_logged_once_each() {
+    let mut limiter = SimulatedLimiter::new(single_limiter(50), 3);
     let mut lines = Vec::new();
-    let step = |rig: &mut Rig, lines: &mut Vec<String>, ms: f64| {
-        rig.now += ms;
-        let mut out = Vec::new();
-        rig.limiter.handle(rig.now, Event::Wake { token: 0 }, &mut out);
-        lines.extend(out.into_iter().filter_map(|a| match a {
+    let step = |limiter: &mut SimulatedLimiter, lines: &mut Vec<String>, ms: f64| {
+        limiter.now += ms;
+        let mut actions = Vec::new();
+        limiter.inner.handle(limiter.now, Event::Wake { token: 0 }, &mut actions);
+        lines.extend(actions.into_iter().filter_map(|a| match a {
             Action::Log(line) if line.starts_with("firms:") => Some(line),
             _ => None,
         }));
     };
-    for name in 0..2000u64 {
-        served(&mut rig, of(name, name as u32, RATED, 1.0));
-        step(&mut rig, &mut lines, if name < 100 { 1000.0 } else { 1.0 });
+    for n in 0..2000u64 {
+        served(&mut limiter, request_of(n, n as u32, RATE_LIMITED, 1.0));
+        step(&mut limiter, &mut lines, if n < 100 { 1000.0 } else { 1.0 });
     }
-    (0..2000).for_each(|_| step(&mut rig, &mut lines, 100.0));
-    let order = ["the bound, what", "would displace all", "let in again", "below the bound"];
-    assert_eq!(lines.len(), order.len(), "{lines:#?}");
-    assert!(lines.iter().zip(order).all(|(line, what)| line.contains(what)), "{lines:#?}");
+    (0..2000).for_each(|_| step(&mut limiter, &mut lines, 100.0));
+    let expected = ["the bound, what", "would displace all", "let in again", "below the bound"];
+    assert_eq!(lines.len(), expected.len(), "{lines:#?}");
+    assert!(lines.iter().zip(expected).all(|(line, text)| line.contains(text)), "{lines:#?}");
 }
 
-/// 100,000 that fall due in one millisecond, also after a pause: each step drops a bounded number.
+/// The state of 100,000 customers expires within one millisecond, also during a stall. Each step removes a
+/// bounded number.
 #[test]
-fn what_falls_due_at_once_is_dropped_in_pieces() {
-    for pause in [0.0, 30_000.0] {
-        let mut rig = Rig::new(small(500_000), 3);
-        for name in 0..100_000u64 {
-            served(&mut rig, of(name, name as u32, FREE, 1.0));
+fn state_that_expires_at_once_is_removed_in_batches() {
+    for stall_ms in [0.0, 30_000.0] {
+        let mut limiter = SimulatedLimiter::new(single_limiter(500_000), 3);
+        for n in 0..100_000u64 {
+            served(&mut limiter, request_of(n, n as u32, UNLIMITED, 1.0));
         }
-        assert_eq!(rig.limiter.customer_counts().customers, 100_000);
-        // Without steps while it is paused.
-        rig.now += 59_000.0 + pause;
-        let (mut most, mut held) = (0, 100_000);
+        assert_eq!(limiter.inner.customer_counts().customers, 100_000);
+        // The clock moves on without any timer, as in a stall.
+        limiter.now += 59_000.0 + stall_ms;
+        let (mut largest_batch, mut remaining) = (0, 100_000);
         for _ in 0..200 {
-            rig.pass(100.0);
-            let now = rig.limiter.customer_counts().customers;
-            (most, held) = (most.max(held - now), now);
+            limiter.advance(100.0);
+            let now = limiter.inner.customer_counts().customers;
+            (largest_batch, remaining) = (largest_batch.max(remaining - now), now);
         }
-        assert_eq!(held, 0, "all are dropped in the end");
-        assert!(most <= 2 * 1024, "{most} in one go");
+        assert_eq!(remaining, 0, "customers left at the end");
+        assert!(largest_batch <= 2 * 1024, "{largest_batch} customers removed in one step");
     }
 }
 
-/// An hour after a flood nothing of it is left.
+/// An hour after a flood, none of its state is left.
 #[test]
-fn memory_comes_back_after_a_flood() {
-    let mut rig = Rig::new(small(20_000), 3);
-    let size = |rig: &Rig| format!("{:?}", rig.limiter).len();
-    let before = size(&rig);
-    for name in 0..30_000u64 {
-        served(&mut rig, of(name, name as u32, RATED, 1.0));
-        rig.pass(2.0);
+fn memory_is_released_after_a_flood() {
+    let mut limiter = SimulatedLimiter::new(single_limiter(20_000), 3);
+    let size = |limiter: &SimulatedLimiter| format!("{:?}", limiter.inner).len();
+    let before = size(&limiter);
+    for n in 0..30_000u64 {
+        served(&mut limiter, request_of(n, n as u32, RATE_LIMITED, 1.0));
+        limiter.advance(2.0);
     }
-    assert!(rig.limiter.customer_counts().customers >= 19_000);
-    rig.pass(3_600_000.0);
-    let firms = rig.limiter.customer_counts();
-    assert_eq!((firms.customers, firms.accounts), (0, 0));
-    assert!(size(&rig) < before + 8000, "{} bytes of text before, {} after", before, size(&rig));
+    assert!(limiter.inner.customer_counts().customers >= 19_000);
+    limiter.advance(3_600_000.0);
+    let counts = limiter.inner.customer_counts();
+    assert_eq!((counts.customers, counts.accounts), (0, 0));
+    assert!(
+        size(&limiter) < before + 8000,
+        "debug output of {} bytes before, {} after",
+        before,
+        size(&limiter)
+    );
 }
 
-/// A peer that sends a million customers, or as fast as it can, costs what its allowance lets through.
+/// A peer that sends quota requests for very many customers as fast as it can: only what its message
+/// allowance admits creates accounts.
 #[test]
-fn a_peer_costs_no_more_than_its_allowance() {
-    let mut teller = Rig::new(settings(1), 3);
-    let mut keeper = Rig::new(settings(0), 3);
+fn accounts_created_by_a_peer_are_bounded_by_its_message_allowance() {
+    let mut sender = SimulatedLimiter::new(settings(1), 3);
+    let mut owner = SimulatedLimiter::new(settings(0), 3);
     let mut bodies = Vec::new();
     let mut id = 0;
     while bodies.len() < 3000 {
         id += 1;
-        let told = teller.ask(Request { customer: u64::from(id), ..request(id, SAFE, RATED) });
-        bodies.extend(told.into_iter().chain(teller.pass(1.0)).filter_map(|a| match a {
+        let actions = sender.submit(Request { customer: u64::from(id), ..request(id, SAFE, RATE_LIMITED) });
+        bodies.extend(actions.into_iter().chain(sender.advance(1.0)).filter_map(|a| match a {
             Action::SendMessage { to: Some(0), body } => Some(body),
             _ => None,
         }));
     }
     for body in bodies {
-        keeper.give(Event::MessageReceived { from: 1, body });
+        owner.handle(Event::MessageReceived { from: 1, body });
     }
-    let accounts = keeper.limiter.customer_counts().accounts;
-    // 100 messages at once, of nine asks at most.
-    assert!((100..=900).contains(&accounts), "{accounts}");
+    let accounts = owner.inner.customer_counts().accounts;
+    // 100 messages at once with at most nine quota requests each.
+    assert!((100..=900).contains(&accounts), "{accounts} accounts");
 }
 
-/// New names through all limiters of a tier, each more than the allowance of messages carries: what waits to be sent
-/// is bounded, and a usual customer's words still come in time.
+/// New customers come to all limiters faster than the message allowance can carry: the queue of messages is
+/// bounded, and quota requests of a regular customer are still answered in time.
 #[test]
-fn a_flood_through_a_tier_does_not_hold_up_the_words_of_usual_customers() {
-    let one = |position| Settings { firms: 500, ..settings(position) };
-    let mut net = Net::new((0..3).map(one).collect(), 3, 5);
+fn flood_across_limiters_does_not_delay_quota_requests_of_regular_customers() {
+    let limiter_settings = |position| Settings { firms: 500, ..settings(position) };
+    let mut net = SimulatedNetwork::new((0..3).map(limiter_settings).collect(), 3, 5);
     let mut id = 0;
-    let mut asked = std::collections::BTreeSet::new();
+    let mut regular_ids = std::collections::BTreeSet::new();
     let mut units = 0;
     for round in 0..3000u32 {
         for p in 0..3 {
             id += 1;
-            let stranger = Request { customer: 1_000_000 + u64::from(id), ..request(id, SAFE, RATED) };
-            net.give(p, Event::Request(stranger));
+            let new = Request { customer: 1_000_000 + u64::from(id), ..request(id, SAFE, RATE_LIMITED) };
+            net.handle(p, Event::Request(new));
         }
         if round % 50 == 0 {
             id += 1;
-            asked.insert(id);
+            regular_ids.insert(id);
             let p = (round / 50 % 3) as usize;
-            let usual = Request { customer: 3, ..request(id, SAFE, RATED) };
-            units += sent(&net.give(p, Event::Request(usual))).len();
+            let regular = Request { customer: 3, ..request(id, SAFE, RATE_LIMITED) };
+            units += sent_to(&net.handle(p, Event::Request(regular))).len();
         }
-        for (_, action) in net.pass(4.0) {
+        for (_, action) in net.advance(4.0) {
             if let Action::Send { id, .. } = action {
-                units += usize::from(asked.contains(&id));
+                units += usize::from(regular_ids.contains(&id));
             }
         }
     }
-    assert!(units * 20 >= asked.len() * 19, "{units} of {}", asked.len());
-    for rig in &net.rigs {
-        let text = format!("{:?}", rig.limiter);
-        let outbox = &text[text.find("outbox").expect("there")..text.find("mail:").expect("there")];
-        assert!(outbox.len() < 200_000, "{} bytes of text wait to be sent", outbox.len());
+    assert!(
+        units * 20 >= regular_ids.len() * 19,
+        "{units} of {} requests of the regular customer sent",
+        regular_ids.len()
+    );
+    for limiter in &net.limiters {
+        let text = format!("{:?}", limiter.inner);
+        let outbox = &text
+            [text.find("outbox").expect("outbox field")..text.find("mail:").expect("field after the outbox")];
+        assert!(outbox.len() < 200_000, "outbox of {} bytes of debug output", outbox.len());
     }
 }
 
-/// Honest customers by Zipf's law, far more than are remembered: each within its bucket, nearly all let in.
+/// Customers with a Zipf distribution of requests, far more than the limiter keeps state of: each stays
+/// within its bucket, and nearly all requests that fit are admitted.
 #[test]
 #[cfg(not(feature = "forgotten-means-full"))]
-fn many_honest_customers_keep_their_quotas_exactly() {
-    let s = small(20_000);
-    let plan = s.plans[RATED].clone();
-    let mut rig = Rig::new(s, 3);
+fn quotas_of_many_customers_are_exact() {
+    let s = single_limiter(20_000);
+    let plan = s.plans[RATE_LIMITED].clone();
+    let mut limiter = SimulatedLimiter::new(s, 3);
     let mut rng = fastrand::Rng::with_seed(11);
-    let mut all = std::collections::HashMap::new();
-    let (mut let_in, mut due) = (0u32, 0u32);
+    let mut buckets = std::collections::HashMap::new();
+    let (mut admitted, mut admissible) = (0u32, 0u32);
     for id in 0..150_000 {
-        // Zipf 1.1 over a million by inversion of the continuous law.
+        // Zipf distribution with exponent 1.1 over a million customers, by inversion of the continuous
+        // distribution.
         let (n, a) = (1e6f64, 0.1);
         let customer = (1.0 - rng.f64() * (1.0 - n.powf(-a))).powf(-1.0 / a) as u64;
-        let full = Oracle::new(plan.burst, rig.now);
-        let (oracle, greedy) = all.entry(customer).or_insert((full, full));
-        if greedy.spend(rig.now, 0.0, plan.rate, plan.burst) >= 1.0 {
-            greedy.level -= 1.0;
-            due += 1;
+        let full = ReferenceBucket::new(plan.burst, limiter.now);
+        // One bucket counts what was admitted, the other what an ideal limiter would admit.
+        let (bucket, ideal) = buckets.entry(customer).or_insert((full, full));
+        if ideal.spend(limiter.now, 0.0, plan.rate, plan.burst) >= 1.0 {
+            ideal.level -= 1.0;
+            admissible += 1;
         }
-        if served(&mut rig, of(customer, id, RATED, 1.0)) {
-            let_in += 1;
-            let left = oracle.spend(rig.now, 1.0, plan.rate, plan.burst);
-            assert!(left > -1e-6, "customer {customer}: {} over", -left);
+        if served(&mut limiter, request_of(customer, id, RATE_LIMITED, 1.0)) {
+            admitted += 1;
+            let level = bucket.spend(limiter.now, 1.0, plan.rate, plan.burst);
+            assert!(level > -1e-6, "customer {customer} exceeds its bucket by {} units", -level);
         }
-        rig.pass(1.0);
+        limiter.advance(1.0);
     }
-    assert!(f64::from(let_in) > 0.97 * f64::from(due), "{let_in} of {due}");
+    assert!(
+        f64::from(admitted) > 0.97 * f64::from(admissible),
+        "{admitted} of {admissible} admissible requests admitted"
+    );
 }
