--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,8 +1,10 @@
-//! What a limiter knows, as versioned and bounded bytes, and what a reader believes of it by its age.
+//! Encodes a limiter's state for its successor as versioned bytes of bounded size, and decides by its age how much of
+//! it the successor may use.
 //!
-//! The bytes say which version wrote them, for which settings, and when; what is cut, garbled, too large, of another
-//! version or of other settings is refused whole, with the reason. What is whole is believed by its [`SnapshotKind`] and age. It
-//! does *not* read a clock, open a socket or touch the decision module: bytes and moments are arguments.
+//! The encoding names its version, the settings it was written under and the time of writing. Bytes that are truncated,
+//! corrupt, too large, of another version or of other settings are rejected as a whole, with the reason. An intact
+//! snapshot is used according to its [`SnapshotKind`] and its age. This crate reads no clock, opens no socket and does
+//! not call the decision module: bytes and times are arguments.
 //!
 //! ```
 //! use marldeal_snapshot::{assess, Assessment, SnapshotKind, ReadError, Snapshot};
@@ -16,7 +18,7 @@
 //! let limiter = Limiter::new(settings.clone(), 42, 0.0)?;
 //! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, knowledge: limiter.export_state(500.0) };
 //! let bytes = snapshot.to_bytes(&settings);
-//! let read = Snapshot::from_bytes(&bytes, &settings).expect("what was written");
+//! let read = Snapshot::from_bytes(&bytes, &settings).expect("bytes just encoded");
 //! assert!(matches!(assess(read, 510.0), Assessment::SameLimiter { .. }));
 //! assert_eq!(Snapshot::from_bytes(&bytes[..40], &settings), Err(ReadError::Truncated));
 //! # Ok::<(), String>(())
@@ -30,83 +32,85 @@
 use fawnhill::{Millis, RequestId, Settings};
 use serde::{Deserialize, Serialize};
 
-/// Says that these are a snapshot's bytes.
-const MARK: [u8; 4] = *b"MDSN";
-/// This version of what follows the head. Another one is not read: an upkind that changes it starts cautiously.
+/// The first bytes of each snapshot.
+const MAGIC: [u8; 4] = *b"MDSN";
+/// Version of the encoding after the header. Other versions are not read: after an upgrade that changes it, the new
+/// process starts without the old one's state.
 pub const VERSION: u16 = 1;
-/// Mark, version, fingerprint of the settings, length, checksum.
-const HEAD: usize = 4 + 2 + 4 + 4 + 4;
-/// Most bytes of a snapshot: some 50,000 records.
+/// Length of the header in bytes: magic bytes, version, fingerprint of the settings, body length, checksum.
+const HEADER_LEN: usize = 4 + 2 + 4 + 4 + 4;
+/// Maximum size of an encoded snapshot in bytes; holds about 50,000 records.
 pub const MAX_BYTES: usize = 4 << 20;
-/// Knowledge older than this is not believed at all, in milliseconds.
+/// A snapshot older than this is not used at all, in milliseconds.
 pub const MAX_AGE_MS: Millis = 60_000.0;
-/// Errors and silence of a server fade over this time.
-const HEALTH_MS: Millis = 10_000.0;
-/// A last snapshot that is older tells of a reader that slept: what it was told to go on with is not so any more.
-const LAST_MS: Millis = 5000.0;
+/// Time constant, in milliseconds, of the decay of a server's error rate and unanswered attempts.
+const HEALTH_DECAY_MS: Millis = 10_000.0;
+/// Maximum age, in milliseconds, of a final snapshot whose reader continues as the same limiter. A larger age means that
+/// the reader stalled, and the state has changed since.
+const MAX_FINAL_AGE_MS: Millis = 5000.0;
 
-/// What the writer did after it wrote.
+/// Whether the writer went on after it wrote the snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SnapshotKind {
-    /// It went on granting and spending.
+    /// The writer went on granting and spending quota units.
     Running,
-    /// It had stopped before it wrote: the reader goes on in its place.
+    /// The writer had stopped before it wrote; the reader continues in its place.
     Final,
 }
 
-/// What a limiter knew at a moment.
+/// A limiter's state at one point in time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// What the writer did then.
+    /// Whether the writer went on afterwards.
     pub kind: SnapshotKind,
-    /// When, in milliseconds of Unix time.
+    /// Time of writing, in milliseconds of Unix time.
     pub written_ms: Millis,
-    /// The writer's requests have numbers below this.
+    /// All request IDs that the writer has assigned are below this.
     pub next_request: RequestId,
-    /// What it knew.
+    /// The state.
     pub knowledge: LimiterState,
 }
 
-/// Why bytes are no snapshot to go by.
+/// Why bytes were rejected as a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReadError {
-    /// They end before they should, or go on.
+    /// Their number differs from the length in the header.
     Truncated,
-    /// They do not begin as one.
+    /// They do not start with the magic bytes.
     NotASnapshot,
-    /// Another version wrote them.
+    /// They have this other version.
     Version(u16),
     /// They were written under other settings.
     Settings,
-    /// There are more of them than may be.
+    /// This many bytes exceed [`MAX_BYTES`].
     TooLarge(usize),
-    /// The checksum does not fit them, or they make no sense.
+    /// The checksum does not match, or the content is invalid, with the details.
     Corrupt(String),
 }
 
 impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            ReadError::Truncated => f.write_str("the snapshot did not come whole"),
-            ReadError::NotASnapshot => f.write_str("these bytes are no snapshot"),
-            ReadError::Version(v) => write!(f, "the snapshot is of version {v}, {VERSION} is expected"),
-            ReadError::Settings => f.write_str("the snapshot was written under other settings"),
-            ReadError::TooLarge(n) => write!(f, "the snapshot has {n} bytes, {MAX_BYTES} at most are read"),
-            ReadError::Corrupt(what) => write!(f, "the snapshot is garbled: {what}"),
+            ReadError::Truncated => f.write_str("snapshot is incomplete or has trailing bytes"),
+            ReadError::NotASnapshot => f.write_str("data is not a snapshot"),
+            ReadError::Version(v) => write!(f, "snapshot has version {v}, expected {VERSION}"),
+            ReadError::Settings => f.write_str("snapshot was written under different settings"),
+            ReadError::TooLarge(n) => write!(f, "snapshot has {n} bytes, the maximum is {MAX_BYTES}"),
+            ReadError::Corrupt(reason) => write!(f, "snapshot is corrupt: {reason}"),
         }
     }
 }
 
 impl Snapshot {
-    /// As bytes, for a reader under the same settings.
+    /// Encodes the snapshot for a reader with the same settings, dropping records until it fits [`MAX_BYTES`].
     pub fn to_bytes(&self, settings: &Settings) -> Vec<u8> {
-        let mut kept = self.clone();
+        let mut reduced = self.clone();
         loop {
-            // Nothing in it cannot be written; what cannot be is told as nothing, which a reader refuses.
-            let body = postcard::to_stdvec(&kept).unwrap_or_default();
-            if HEAD + body.len() <= MAX_BYTES {
-                let mut bytes = Vec::with_capacity(HEAD + body.len());
-                bytes.extend_from_slice(&MARK);
+            // Encoding these types does not fail. If it did, the body would be empty, and a reader would reject it.
+            let body = postcard::to_stdvec(&reduced).unwrap_or_default();
+            if HEADER_LEN + body.len() <= MAX_BYTES {
+                let mut bytes = Vec::with_capacity(HEADER_LEN + body.len());
+                bytes.extend_from_slice(&MAGIC);
                 bytes.extend_from_slice(&VERSION.to_be_bytes());
                 bytes.extend_from_slice(&fingerprint(settings).to_be_bytes());
                 bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
@@ -114,151 +118,152 @@
                 bytes.extend_from_slice(&body);
                 return bytes;
             }
-            // The accounts come last to go: what they tell is not known elsewhere.
-            let k = &mut kept.knowledge;
-            k.customers.truncate(k.customers.len() / 2);
-            k.grants.truncate(k.grants.len() / 2);
-            if k.customers.len() + k.grants.len() < 1000 {
-                k.accounts.truncate(k.accounts.len() / 2);
-                k.servers.truncate(k.servers.len() / 2);
+            // Accounts are dropped last, as no other limiter has their contents.
+            let knowledge = &mut reduced.knowledge;
+            knowledge.customers.truncate(knowledge.customers.len() / 2);
+            knowledge.grants.truncate(knowledge.grants.len() / 2);
+            if knowledge.customers.len() + knowledge.grants.len() < 1000 {
+                knowledge.accounts.truncate(knowledge.accounts.len() / 2);
+                knowledge.servers.truncate(knowledge.servers.len() / 2);
             }
         }
     }
 
-    /// Reads bytes whole or not at all.
+    /// Decodes a snapshot, as a whole or not at all.
     ///
     /// # Errors
-    /// Why nothing of them is believed.
+    /// The reason for which the bytes are rejected.
     pub fn from_bytes(bytes: &[u8], settings: &Settings) -> Result<Snapshot, ReadError> {
         if bytes.len() > MAX_BYTES {
             return Err(ReadError::TooLarge(bytes.len()));
         }
-        if bytes.len() < MARK.len() || bytes[..MARK.len()] != MARK {
+        if bytes.len() < MAGIC.len() || bytes[..MAGIC.len()] != MAGIC {
             return Err(ReadError::NotASnapshot);
         }
-        let Some((head, body)) = bytes.split_at_checked(HEAD) else { return Err(ReadError::Truncated) };
-        let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let Some((head, body)) = bytes.split_at_checked(HEADER_LEN) else { return Err(ReadError::Truncated) };
+        let u32_at = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let version = u16::from_be_bytes([head[4], head[5]]);
         if version != VERSION {
             return Err(ReadError::Version(version));
         }
-        if word(6) != fingerprint(settings) {
+        if u32_at(6) != fingerprint(settings) {
             return Err(ReadError::Settings);
         }
-        if body.len() != word(10) as usize {
+        if body.len() != u32_at(10) as usize {
             return Err(ReadError::Truncated);
         }
-        if crc32fast::hash(body) != word(14) {
-            return Err(ReadError::Corrupt("the checksum does not fit".to_string()));
+        if crc32fast::hash(body) != u32_at(14) {
+            return Err(ReadError::Corrupt("the checksum does not match".to_string()));
         }
         let read: Snapshot = postcard::from_bytes(body).map_err(|e| ReadError::Corrupt(e.to_string()))?;
         read.knowledge.fits(settings).map_err(ReadError::Corrupt)?;
         if !read.written_ms.is_finite() {
-            return Err(ReadError::Corrupt("the moment makes no sense".to_string()));
+            return Err(ReadError::Corrupt("the time of writing is not a finite number".to_string()));
         }
         Ok(read)
     }
 }
 
-/// Tells settings apart: indexes of plans and classes mean something only under their own.
+/// A checksum of the settings: indexes of plans and classes are valid only under the settings they were written with.
 fn fingerprint(settings: &Settings) -> u32 {
     crc32fast::hash(format!("{settings:?}").as_bytes())
 }
 
-/// What a reader makes of a snapshot.
+/// How a reader may use a snapshot.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Assessment {
-    /// It is the same limiter from now on.
+    /// The reader continues as the same limiter.
     SameLimiter {
-        /// As of now.
+        /// The writer's state, brought forward to the present.
         knowledge: LimiterState,
-        /// Its requests have numbers from here on.
+        /// First request ID that the reader assigns.
         next_request: RequestId,
     },
-    /// It starts anew, and knows this of servers, rates and demand.
+    /// The reader starts as a new limiter, with this state of servers, rates and demand.
     Hints {
-        /// As of now, discounted.
+        /// The writer's state, brought forward to the present and discounted by age.
         knowledge: LimiterState,
     },
-    /// It starts anew.
+    /// The reader starts as a new limiter without any state.
     Expired {
-        /// How old the snapshot is, in milliseconds.
+        /// Age of the snapshot, in milliseconds.
         age_ms: Millis,
     },
 }
 
-/// Requests that a writer may still number after its last snapshot.
-const NUMBERS_APART: RequestId = 1 << 20;
+/// Number of request IDs skipped after a final snapshot, because the writer may still assign some of them.
+const REQUEST_ID_GAP: RequestId = 1 << 20;
 
-/// What is believed at `now` (Unix time in milliseconds). Clocks that went back count as no age.
+/// Decides how a snapshot is used at `now` (Unix time in milliseconds). A `now` before the time of writing counts as
+/// age 0.
 pub fn assess(snapshot: Snapshot, now: Millis) -> Assessment {
     let age_ms = (now - snapshot.written_ms).max(0.0);
     let mut knowledge = snapshot.knowledge;
     match snapshot.kind {
         _ if age_ms > MAX_AGE_MS => Assessment::Expired { age_ms },
-        SnapshotKind::Final if age_ms <= LAST_MS => {
-            later(&mut knowledge, age_ms);
+        SnapshotKind::Final if age_ms <= MAX_FINAL_AGE_MS => {
+            advance(&mut knowledge, age_ms);
             Assessment::SameLimiter {
                 knowledge,
-                next_request: snapshot.next_request.wrapping_add(NUMBERS_APART),
+                next_request: snapshot.next_request.wrapping_add(REQUEST_ID_GAP),
             }
         }
         SnapshotKind::Running | SnapshotKind::Final => {
-            later(&mut knowledge, age_ms);
+            advance(&mut knowledge, age_ms);
             discount(&mut knowledge, age_ms);
             Assessment::Hints { knowledge }
         }
     }
 }
 
-/// The same, told so much later.
-fn later(k: &mut LimiterState, ms: Millis) {
-    k.started.0 += ms;
-    let fade = |(sum, span): &mut (f64, Millis)| *sum *= (-ms / *span).exp();
-    for (_, s) in &mut k.servers {
-        s.ejected.0 = (s.ejected.0 - ms).max(0.0);
-        s.full = (s.full - ms).max(0.0);
-        s.since_answer += ms;
-        fade(&mut s.answers);
-        if let Some((since, level)) = &mut s.cold {
-            *since += ms;
-            level.1 += ms;
+/// Brings the state forward by `elapsed_ms`: times grow older, rates decay.
+fn advance(knowledge: &mut LimiterState, elapsed_ms: Millis) {
+    knowledge.started.0 += elapsed_ms;
+    let decay = |(sum, span): &mut (f64, Millis)| *sum *= (-elapsed_ms / *span).exp();
+    for (_, server) in &mut knowledge.servers {
+        server.ejected.0 = (server.ejected.0 - elapsed_ms).max(0.0);
+        server.full = (server.full - elapsed_ms).max(0.0);
+        server.since_answer += elapsed_ms;
+        decay(&mut server.answers);
+        if let Some((since, level)) = &mut server.cold {
+            *since += elapsed_ms;
+            level.1 += elapsed_ms;
         }
     }
-    for (_, c) in &mut k.customers {
-        c.equal_share.1 += ms;
-        c.demand.1 += ms;
+    for (_, customer) in &mut knowledge.customers {
+        customer.equal_share.1 += elapsed_ms;
+        customer.demand.1 += elapsed_ms;
     }
-    k.accounts.iter_mut().for_each(|(_, a)| a.ago += ms);
-    k.leased.iter_mut().for_each(|(ago, ..)| *ago += ms);
-    k.open_grants.iter_mut().for_each(|(ago, _)| *ago += ms);
-    for (_, cells) in &mut k.deficits {
-        cells.iter_mut().for_each(|(_, owes)| *owes -= ms);
+    knowledge.accounts.iter_mut().for_each(|(_, a)| a.ago += elapsed_ms);
+    knowledge.leased.iter_mut().for_each(|(ago, ..)| *ago += elapsed_ms);
+    knowledge.open_grants.iter_mut().for_each(|(ago, _)| *ago += elapsed_ms);
+    for (_, cells) in &mut knowledge.deficits {
+        cells.iter_mut().for_each(|(_, owes)| *owes -= elapsed_ms);
         cells.retain(|(_, owes)| *owes > 0.0);
     }
-    let f = &mut k.feedback;
-    f.means.iter_mut().for_each(|(sum, count)| {
-        fade(sum);
-        fade(count);
+    let feedback = &mut knowledge.feedback;
+    feedback.means.iter_mut().for_each(|(sum, count)| {
+        decay(sum);
+        decay(count);
     });
-    f.rates.iter_mut().for_each(fade);
+    feedback.rates.iter_mut().for_each(decay);
 }
 
-/// What an old word on a server or a customer is still worth.
-fn discount(k: &mut LimiterState, ms: Millis) {
-    let stays = (-ms / HEALTH_MS).exp();
-    for (_, s) in &mut k.servers {
-        s.errors *= stays;
-        s.answers.0 *= stays;
-        s.silences = (f64::from(s.silences) * stays) as u32;
-        // What its part held has been spent by others meanwhile, as far as is known here.
-        if let Some((_, level)) = &mut s.cold {
+/// Reduces what may have changed since the snapshot: errors of servers decay, allowances count as spent.
+fn discount(knowledge: &mut LimiterState, elapsed_ms: Millis) {
+    let remaining = (-elapsed_ms / HEALTH_DECAY_MS).exp();
+    for (_, server) in &mut knowledge.servers {
+        server.errors *= remaining;
+        server.answers.0 *= remaining;
+        server.silences = (f64::from(server.silences) * remaining) as u32;
+        // Others may have spent this server's slow-start allowance since the snapshot.
+        if let Some((_, level)) = &mut server.cold {
             *level = (0.0, 0.0);
         }
     }
-    for (_, c) in &mut k.customers {
-        // What filled up meanwhile was there to be spent meanwhile.
-        c.equal_share.1 = 0.0;
-        c.store_left = 0.0;
+    for (_, customer) in &mut knowledge.customers {
+        // The writer may have spent what was refilled since the snapshot.
+        customer.equal_share.1 = 0.0;
+        customer.store_left = 0.0;
     }
 }
--- a/crates/snapshot/tests/snapshot.rs
+++ b/crates/snapshot/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Written, read, spoilt, aged: what a reader believes.
+//! Encoding, decoding, corruption and ageing of snapshots, with real engines as writer and reader.
 
 use fawnhill::{Class, Condition, Effect, KeyGroup, Outcome, Plan, Request, ServerEntry, Settings};
 use marldeal_engine::{Answer, Engine, Input, Output};
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 fn settings() -> Settings {
-    let look =
+    let class =
         Class { aim_ms: 1000.0, late_worth: 0.0, effect: Effect::Safe, group: KeyGroup::All, window_ms: 0.0 };
     let plan =
         Plan { rate: 2.0, burst: 8.0, open: 0, ceiling_rate: 4.0, ceiling_burst: 16.0, ceiling_slack: 2.0 };
@@ -14,7 +14,7 @@
         limiters: 1,
         position: 0,
         zone: 0,
-        classes: vec![look],
+        classes: vec![class],
         plans: vec![plan],
         round_ms: 1.0,
         max_attempts: 3,
@@ -36,8 +36,8 @@
 const START: f64 = 1.7e12;
 
 fn engine(seed: u64, now: f64) -> Engine {
-    let mut engine = Engine::new(settings(), seed, now).expect("settings");
-    let node = |id: &str| ServerEntry {
+    let mut engine = Engine::new(settings(), seed, now).expect("valid settings");
+    let server = |id: &str| ServerEntry {
         server: id.into(),
         zone: 0,
         cell: 0,
@@ -45,18 +45,20 @@
         weight: 1.0,
         started: 0.0,
     };
-    let entries = [node("a"), node("b")].into();
+    let entries = [server("a"), server("b")].into();
     engine.handle(now, Input::Servers { whole: true, entries }, &mut Vec::new());
     engine
 }
 
-/// Asks for one unit of a customer; whether it was let in.
-fn ask(engine: &mut Engine, now: f64, name: u32, customer: u64) -> bool {
+/// Sends a request of one unit for a customer; returns whether it was admitted.
+fn admits(engine: &mut Engine, now: f64, name: u32, customer: u64) -> bool {
     let request =
         Request { id: 0, class: 0, plan: 0, customer, budget_ms: 3000.0, units: 1.0, spread: 1, first: 0 };
     let mut out = Vec::new();
     let correlation_id = name.to_be_bytes().as_slice().into();
-    let id = engine.handle(now, Input::Request { correlation_id, request }, &mut out).expect("a new name");
+    let id = engine
+        .handle(now, Input::Request { correlation_id, request }, &mut out)
+        .expect("a request name not used before");
     let sent = out.iter().any(|o| matches!(o, Output::Send { .. }));
     if sent {
         out.clear();
@@ -66,89 +68,90 @@
     sent
 }
 
-/// A limiter whose ceilings have filled, and that has let a firm use all it may.
-fn used() -> (Engine, f64, u32) {
+/// A limiter whose ceilings have filled, and one of whose customers has used up its quota; the time, and the number of
+/// requests admitted.
+fn engine_with_used_quota() -> (Engine, f64, u32) {
     let mut engine = engine(1, START);
     let mut now = START + 10_000.0;
-    let mut let_in = 0;
+    let mut admitted = 0;
     for n in 0..40 {
         now += 5.0;
-        let_in += u32::from(ask(&mut engine, now, n, 7));
+        admitted += u32::from(admits(&mut engine, now, n, 7));
     }
-    (engine, now, let_in)
+    (engine, now, admitted)
 }
 
-/// The reader of a last snapshot is the same limiter: a firm gets from both together what it would get from one.
+/// Old and new process together admit what one process would: the successor must not grant a used burst again.
 #[test]
-fn a_firm_gets_no_second_allowance_from_the_successor() {
-    let (old, now, let_in) = used();
-    assert_eq!(let_in, 8, "one burst");
+fn successor_grants_no_second_burst() {
+    let (old, now, admitted) = engine_with_used_quota();
+    assert_eq!(admitted, 8, "one burst");
     let bytes = old.snapshot(now, SnapshotKind::Final).to_bytes(&settings());
     let mut new = engine(2, now + 20.0);
-    let read = Snapshot::from_bytes(&bytes, &settings()).expect("whole");
+    let read = Snapshot::from_bytes(&bytes, &settings()).expect("intact snapshot");
     new.restore(now + 30.0, assess(read, now + 30.0));
-    assert!(new.is_ready(now + 30.0), "its ceilings are as full as the old one's");
-    assert!((0..20).all(|n| !ask(&mut new, now + 31.0, n, 7)), "nothing is left");
-    assert!(ask(&mut new, now + 32.0, 100, 8), "another firm has its own");
-    // From then on it gets what the old one would have let it have.
+    assert!(new.is_ready(now + 30.0), "the successor takes over the filled ceilings");
+    assert!((0..20).all(|n| !admits(&mut new, now + 31.0, n, 7)), "the quota is used up");
+    assert!(admits(&mut new, now + 32.0, 100, 8), "another customer has its own quota");
+    // From then on the successor admits as much as the old process would have.
     let mut old = old;
-    let later = |engine: &mut Engine| {
-        (0..1000).filter(|n| ask(engine, now + 40.0 + f64::from(*n) * 10.0, 200 + n, 7)).count()
+    let admitted_later = |engine: &mut Engine| {
+        (0..1000).filter(|n| admits(engine, now + 40.0 + f64::from(*n) * 10.0, 200 + n, 7)).count()
     };
-    let (by_new, by_old) = (later(&mut new), later(&mut old));
+    let (by_new, by_old) = (admitted_later(&mut new), admitted_later(&mut old));
     assert!(by_new.abs_diff(by_old) <= 3 && by_new <= 21, "{by_new} and {by_old} in 10 s");
 }
 
-/// One that learnt nothing would grant a second burst once it serves: the guard above is not empty.
+/// Shows that the previous test can fail: without a snapshot, the new process grants the burst again.
 #[test]
-fn without_a_snapshot_the_burst_is_there_again() {
-    let (_, now, _) = used();
+fn burst_is_granted_again_without_a_snapshot() {
+    let (_, now, _) = engine_with_used_quota();
     let mut new = engine(2, now);
     assert!(!new.is_ready(now + 30.0));
-    let let_in = (0..20).filter(|n| ask(&mut new, now + 10_000.0, *n, 7)).count();
-    assert_eq!(let_in, 8);
+    let admitted = (0..20).filter(|n| admits(&mut new, now + 10_000.0, *n, 7)).count();
+    assert_eq!(admitted, 8);
 }
 
-/// An earlier snapshot of one that died: ceilings start as if spent, servers are known.
+/// After a crash only an earlier snapshot is left: servers are known, but ceilings start as if used up.
 #[test]
-fn hints_open_no_ceiling() {
-    let (old, now, _) = used();
+fn hints_do_not_fill_ceilings() {
+    let (old, now, _) = engine_with_used_quota();
     let bytes = old.snapshot(now, SnapshotKind::Running).to_bytes(&settings());
     let mut new = engine(2, now + 500.0);
-    let read = Snapshot::from_bytes(&bytes, &settings()).expect("whole");
+    let read = Snapshot::from_bytes(&bytes, &settings()).expect("intact snapshot");
     let belief = assess(read, now + 500.0);
     assert!(matches!(belief, Assessment::Hints { .. }));
     new.restore(now + 500.0, belief);
     assert!(!new.is_ready(now + 500.0));
-    assert!(!ask(&mut new, now + 501.0, 1, 8));
+    assert!(!admits(&mut new, now + 501.0, 1, 8));
 }
 
 #[test]
-fn age_discounts_and_ends_belief() {
-    let (old, now, _) = used();
+fn snapshot_is_discounted_by_age_and_finally_unused() {
+    let (old, now, _) = engine_with_used_quota();
     let mut snapshot = old.snapshot(now, SnapshotKind::Running);
     for (_, s) in &mut snapshot.knowledge.servers {
         (s.errors, s.silences, s.ejected) = (0.4, 3, (5000.0, 8000.0));
     }
-    let at = |age: f64| assess(snapshot.clone(), now + age);
-    let errors = |b: Assessment| match b {
+    let assess_at = |age: f64| assess(snapshot.clone(), now + age);
+    let errors = |assessment: Assessment| match assessment {
         Assessment::Hints { knowledge } => knowledge.servers[0].1.errors,
         _ => f64::NAN,
     };
-    assert!((errors(at(0.0)) - 0.4).abs() < 1e-9);
-    assert!(errors(at(10_000.0)) < 0.2 && errors(at(10_000.0)) > 0.1);
-    let Assessment::Hints { knowledge } = at(20_000.0) else { panic!("hints") };
+    assert!((errors(assess_at(0.0)) - 0.4).abs() < 1e-9);
+    assert!(errors(assess_at(10_000.0)) < 0.2 && errors(assess_at(10_000.0)) > 0.1);
+    let Assessment::Hints { knowledge } = assess_at(20_000.0) else { panic!("hints") };
     assert_eq!((knowledge.servers[0].1.silences, knowledge.servers[0].1.ejected.0), (0, 0.0));
-    assert_eq!(at(MAX_AGE_MS + 1.0), Assessment::Expired { age_ms: MAX_AGE_MS + 1.0 });
-    // A clock that went back is no age.
-    assert!((errors(at(-5000.0)) - 0.4).abs() < 1e-9);
+    assert_eq!(assess_at(MAX_AGE_MS + 1.0), Assessment::Expired { age_ms: MAX_AGE_MS + 1.0 });
+    // A clock that was set back counts as age 0.
+    assert!((errors(assess_at(-5000.0)) - 0.4).abs() < 1e-9);
     let late = Snapshot { kind: SnapshotKind::Final, ..snapshot };
-    assert!(matches!(assess(late, now + 6000.0), Assessment::Hints { .. }), "its reader slept");
+    assert!(matches!(assess(late, now + 6000.0), Assessment::Hints { .. }), "the reader stalled");
 }
 
 #[test]
-fn what_is_spoilt_is_refused_whole_and_named() {
-    let (old, now, _) = used();
+fn invalid_bytes_are_rejected_with_the_reason() {
+    let (old, now, _) = engine_with_used_quota();
     let good = old.snapshot(now, SnapshotKind::Final).to_bytes(&settings());
     let read = |bytes: &[u8]| Snapshot::from_bytes(bytes, &settings());
     assert!(read(&good).is_ok());
@@ -160,19 +163,19 @@
     let mut other = good.clone();
     other[5] = 9;
     assert_eq!(read(&other), Err(ReadError::Version(9)));
-    let mut dearer = settings();
-    dearer.plans[0].rate = 3.0;
-    assert_eq!(Snapshot::from_bytes(&good, &dearer), Err(ReadError::Settings));
-    // A record that cannot belong here, though the checksum fits.
+    let mut other_settings = settings();
+    other_settings.plans[0].rate = 3.0;
+    assert_eq!(Snapshot::from_bytes(&good, &other_settings), Err(ReadError::Settings));
+    // A record that is invalid under these settings, with a correct checksum.
     let mut wrong = old.snapshot(now, SnapshotKind::Final);
     wrong.knowledge.accounts[0].1.plan = 9;
     assert!(matches!(read(&wrong.to_bytes(&settings())), Err(ReadError::Corrupt(_))));
 }
 
-/// However many firms there are, the bytes stay within their bound and can be read.
+/// The encoding stays within its maximum size for any number of customers, and remains readable.
 #[test]
-fn the_bytes_are_bounded() {
-    let (old, now, _) = used();
+fn encoded_size_is_bounded() {
+    let (old, now, _) = engine_with_used_quota();
     let mut snapshot = old.snapshot(now, SnapshotKind::Final);
     let (customer, account) = (snapshot.knowledge.customers[0], snapshot.knowledge.accounts[0]);
     snapshot.knowledge.customers = (0..100_000).map(|n| (n, customer.1)).collect();
@@ -183,9 +186,9 @@
 }
 
 proptest! {
-    /// One byte changed anywhere is seen; no bytes make the reader panic.
+    /// A change of any one byte is detected, and no input makes the reader panic.
     #[test]
-    fn no_garbled_byte_passes(at in any::<prop::sample::Index>(), flip in 1u8..=255, noise in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_corrupt_byte_is_detected(at in any::<prop::sample::Index>(), flip in 1u8..=255, noise in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut bytes = engine(1, START).snapshot(START + 100.0, SnapshotKind::Final).to_bytes(&settings());
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
