--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,35 +1,36 @@
-//! A straight line through measured points, and how far they lie from it.
+//! Fits a straight line to measured points and computes how far they deviate from it.
 
-/// A line fitted by least squares of relative distances, so that small sizes count as much as large ones.
+/// A line fitted by least squares of relative deviations, so that small sizes count as much as large ones.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fit {
-    /// Value at nothing.
-    pub base: f64,
-    /// Value more for each unit.
+    /// Value at size 0.
+    pub intercept: f64,
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// Largest distance of a point from the line, as a share of the point.
+    /// Largest deviation of a point from the line, as a share of the point's value.
     pub max_deviation: f64,
-    /// The points, by size.
+    /// The measured points (size, value), in ascending order of size.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A figure at a size.
+/// The value of a figure at a size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Value {
-    /// The figure.
+    /// The value.
     pub value: f64,
-    /// The size lies beyond the largest that was measured.
+    /// Whether the size exceeds the largest measured one.
     pub extrapolated: bool,
-    /// The largest that was measured.
-    pub largest: f64,
+    /// The largest measured size.
+    pub largest_measured: f64,
 }
 
-/// Points that a line needs at least: two always lie on one.
+/// Minimum number of different sizes for a fit: two points always lie on a line.
 pub const MIN_POINTS: usize = 3;
-/// Distance from the line from which a fit counts as bent.
+/// Largest deviation, as a share of the point's value, up to which a series counts as linear.
 pub const MAX_DEVIATION: f64 = 0.15;
 
-/// The line through points, of which there must be three sizes at least.
+/// Fits a line to points (size, value). Returns `None` if there are fewer than [`MIN_POINTS`] different sizes or a number
+/// is not finite.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
     let mut points = points.to_vec();
     points.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -38,45 +39,48 @@
     if sizes.len() < MIN_POINTS || points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
         return None;
     }
-    // Weighted by 1/y^2; figures of nothing weigh as the least that is more, or all alike.
-    let least = points.iter().map(|p| p.1.abs()).filter(|y| *y > 0.0).fold(f64::INFINITY, f64::min);
-    let least = if least.is_finite() { least } else { 1.0 };
-    let weight = |y: f64| y.abs().max(least).powi(-2);
-    let sum = |of: &dyn Fn(f64, f64) -> f64| points.iter().map(|(x, y)| weight(*y) * of(*x, *y)).sum::<f64>();
+    // Weights are 1/y^2. A value of 0 has the weight of the smallest other one; if all are 0, weights are equal.
+    let smallest = points.iter().map(|p| p.1.abs()).filter(|y| *y > 0.0).fold(f64::INFINITY, f64::min);
+    let smallest = if smallest.is_finite() { smallest } else { 1.0 };
+    let weight = |y: f64| y.abs().max(smallest).powi(-2);
+    let sum =
+        |term: &dyn Fn(f64, f64) -> f64| points.iter().map(|(x, y)| weight(*y) * term(*x, *y)).sum::<f64>();
     let (n, sx, sy) = (sum(&|_, _| 1.0), sum(&|x, _| x), sum(&|_, y| y));
     let (sxx, sxy) = (sum(&|x, _| x * x), sum(&|x, y| x * y));
     let slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-    let base = (sy - slope * sx) / n;
-    let worst =
-        points.iter().map(|(x, y)| (base + slope * x - y).abs() / y.abs().max(least)).fold(0.0, f64::max);
-    Some(Fit { base, slope, max_deviation: worst, points })
+    let intercept = (sy - slope * sx) / n;
+    let max_deviation = points
+        .iter()
+        .map(|(x, y)| (intercept + slope * x - y).abs() / y.abs().max(smallest))
+        .fold(0.0, f64::max);
+    Some(Fit { intercept, slope, max_deviation, points })
 }
 
 impl Fit {
-    /// Points lie off the line by more than measurement explains.
+    /// Whether points deviate from the line by more than measurement noise.
     pub fn is_nonlinear(&self) -> bool {
         self.max_deviation > MAX_DEVIATION
     }
 
-    /// The figure at a size: between points along the straight way from one to the next; beyond the largest along the
-    /// line, or along the last two points where these rise faster.
-    pub fn at(&self, size: f64) -> Value {
+    /// The value at a size. Between two points it is interpolated linearly. Beyond the largest it is extrapolated by
+    /// the slope of the line, or of the last two points if that is steeper.
+    pub fn value_at(&self, size: f64) -> Value {
         let (points, last) = (&self.points, self.points[self.points.len() - 1]);
         let extrapolated = size > last.0;
         let value = if extrapolated {
-            let before = points.iter().rev().find(|p| p.0 < last.0).copied().unwrap_or((0.0, 0.0));
-            let steep = (last.1 - before.1) / (last.0 - before.0);
-            last.1 + self.slope.max(steep) * (size - last.0)
+            let previous = points.iter().rev().find(|p| p.0 < last.0).copied().unwrap_or((0.0, 0.0));
+            let last_slope = (last.1 - previous.1) / (last.0 - previous.0);
+            last.1 + self.slope.max(last_slope) * (size - last.0)
         } else {
-            let after = points.iter().position(|p| p.0 >= size).unwrap_or(0);
-            match after {
+            let next = points.iter().position(|p| p.0 >= size).unwrap_or(0);
+            match next {
                 0 => points[0].1 + self.slope * (size - points[0].0),
                 _ => {
-                    let ((x0, y0), (x1, y1)) = (points[after - 1], points[after]);
+                    let ((x0, y0), (x1, y1)) = (points[next - 1], points[next]);
                     y0 + (y1 - y0) * if x1 > x0 { (size - x0) / (x1 - x0) } else { 1.0 }
                 }
             }
         };
-        Value { value: value.max(0.0), extrapolated, largest: last.0 }
+        Value { value: value.max(0.0), extrapolated, largest_measured: last.0 }
     }
 }
