--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -29,8 +29,8 @@
 /// Largest deviation, as a share of the point's value, up to which a series counts as linear.
 pub const MAX_DEVIATION: f64 = 0.15;
 
-/// Fits a line to points (size, value). Returns `None` if there are fewer than [`MIN_POINTS`] different sizes or a number
-/// is not finite.
+/// Fits a line to points (size, value). Returns `None` if there are fewer than [`MIN_POINTS`] different sizes or a
+/// number is not finite.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
     let mut points = points.to_vec();
     points.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -16,7 +16,8 @@
 //! #     fall_multiple: 3.0, fall_ms: 2000.0, firms: 10_000,
 //! # };
 //! let limiter = Limiter::new(settings.clone(), 42, 0.0)?;
-//! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, knowledge: limiter.export_state(500.0) };
+//! let knowledge = limiter.export_state(500.0);
+//! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, knowledge };
 //! let bytes = snapshot.to_bytes(&settings);
 //! let read = Snapshot::from_bytes(&bytes, &settings).expect("bytes just encoded");
 //! assert!(matches!(assess(read, 510.0), Assessment::SameLimiter { .. }));
@@ -45,8 +46,8 @@
 pub const MAX_AGE_MS: Millis = 60_000.0;
 /// Time constant, in milliseconds, of the decay of a server's error rate and unanswered attempts.
 const HEALTH_DECAY_MS: Millis = 10_000.0;
-/// Maximum age, in milliseconds, of a final snapshot whose reader continues as the same limiter. A larger age means that
-/// the reader stalled, and the state has changed since.
+/// Maximum age, in milliseconds, of a final snapshot whose reader continues as the same limiter. A larger age means
+/// that the reader stalled, and the state has changed since.
 const MAX_FINAL_AGE_MS: Millis = 5000.0;
 
 /// Whether the writer went on after it wrote the snapshot.
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 requests on kept connections, with what is known of a request that got no answer.
+//! An HTTP/1.1 client that reuses connections and reports whether a request without an answer may have run.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,40 +11,40 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Why there is no answer.
+/// Why a request has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// No connection came about: the request was never sent.
+    /// No connection was established: the request was not sent.
     NotConnected,
-    /// The connection ended before the whole answer: the request may have run.
+    /// The connection ended before the answer was complete: the request may have run.
     ConnectionLost,
 }
 
-/// A client that keeps its connections.
+/// A client that keeps idle connections for reuse.
 #[derive(Default)]
 pub struct Client {
     idle: Mutex<HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
 }
 
 impl Client {
-    /// Sends a request and reads the whole answer. Dropping the future closes the connection.
+    /// Sends a request and reads the complete answer. Dropping the future closes the connection.
     ///
     /// # Errors
-    /// [`ExchangeError`] tells whether the request may have run.
+    /// [`ExchangeError`] says whether the request may have run.
     pub async fn exchange(
         &self,
         addr: SocketAddr,
         request: Request<Bytes>,
     ) -> Result<Response<Bytes>, ExchangeError> {
         let request = request.map(Full::new);
-        let mut sender = match self.kept(addr) {
+        let mut sender = match self.take_idle(addr) {
             Some(sender) => sender,
             None => connect(addr).await?,
         };
         let answer = sender.try_send_request(request).await;
         let answer = match answer {
             Ok(answer) => answer,
-            // A kept connection that the other side has closed gives the request back unsent.
+            // On a reused connection that the server has closed, the request comes back unsent.
             Err(mut e) => match e.take_message() {
                 Some(request) => {
                     sender = connect(addr).await?;
@@ -62,10 +62,11 @@
         Ok(Response::from_parts(head, body))
     }
 
-    fn kept(&self, addr: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+    /// Takes an idle connection that is still usable.
+    fn take_idle(&self, addr: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let all = idle.get_mut(&addr)?;
-        while let Some(sender) = all.pop() {
+        let connections = idle.get_mut(&addr)?;
+        while let Some(sender) = connections.pop() {
             if sender.is_ready() {
                 return Some(sender);
             }
--- a/crates/standin/src/counter.rs
+++ b/crates/standin/src/counter.rs
@@ -1,8 +1,9 @@
-//! The shared counter: adds an amount to a named count and tells the total, with scripted faults.
+//! The shared counter: adds an amount to a named count and returns the total, with scripted faults.
 //!
-//! `POST /v2/numbers/NAME?delta=AMOUNT&life_ms=LIFE`: 200 with the total as the body, 503 when a part's line is long,
-//! 400 or 404 for what is no such call; in the last three cases nothing is added. Answers come in the order of the
-//! calls of a connection. A name is forgotten when the life of its first call is up, 60 s at most.
+//! `POST /v2/numbers/NAME?delta=AMOUNT&life_ms=LIFE` is answered with 200 and the total as the body, with 503 if the
+//! queue of the name's partition is full, or with 400 or 404 if the call is invalid; in the last three cases nothing is
+//! added. The calls of a connection are answered in their order. A count expires when the lifetime given by its first
+//! call is over, after at most 60 s.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -14,22 +15,23 @@
 use crate::message::{self, Message};
 use crate::wait_for;
 
-/// Connections that one counter holds; further ones are reset.
-const MOST_CONNECTIONS: usize = 32;
-/// A connection that has stood idle for so long is closed.
-const IDLE: Duration = Duration::from_secs(10);
-/// Longest life of a name, in milliseconds, and the largest amount.
-const MOST_LIFE_MS: f64 = 60_000.0;
-const MOST_DELTA: f64 = 1e9;
+/// Maximum number of open connections; further ones are closed at once.
+const MAX_CONNECTIONS: usize = 32;
+/// A connection that is idle for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum lifetime of a count, in milliseconds; longer ones are shortened to it.
+const MAX_LIFE_MS: f64 = 60_000.0;
+/// Maximum absolute amount of a call.
+const MAX_DELTA: f64 = 1e9;
 
-/// How a counter works.
+/// Configuration of a counter.
 #[derive(Debug, Clone)]
 pub struct Script {
-    /// Parts that names lie on; each serves its calls in turn.
+    /// Number of partitions that names are distributed over; each serves its calls one after another.
     pub parts: usize,
-    /// Milliseconds that a call takes its part.
+    /// Time that a call occupies its partition, in milliseconds.
     pub work_ms: f64,
-    /// Calls that may wait for a part; further ones are turned away.
+    /// Maximum number of calls in progress or waiting per partition; further ones are answered with 503.
     pub queue: usize,
 }
 
@@ -39,35 +41,35 @@
     }
 }
 
-/// What goes wrong with a call.
+/// A fault that is applied to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Added, but the connection ends before the answer.
+    /// The amount is added, but the connection is closed before the answer.
     LostAnswer,
-    /// Turned away, nothing added.
+    /// Nothing is added; the answer is 503.
     Unprocessed,
-    /// Added, and answered with what is no number.
+    /// The amount is added, and the answer's body is not a number.
     Garbage,
-    /// Added, and never answered; the connection stays open.
+    /// The amount is added, and there is no answer; the connection stays open.
     Silent,
 }
 
-/// One part: its counts with the moment at which each is forgotten, and the calls that wait for it.
+/// A partition: its counts with the time at which each expires, and the number of calls in progress or waiting.
 #[derive(Default)]
-struct Part {
+struct Partition {
     counts: Mutex<HashMap<String, (f64, Instant)>>,
     waiting: AtomicUsize,
 }
 
 struct Shared {
     script: Script,
-    parts: Vec<Part>,
-    /// Times slower, in thousandths.
-    slower: AtomicU64,
-    /// The fault of the next calls, and how many.
+    partitions: Vec<Partition>,
+    /// Factor on the time that a call takes, in thousandths.
+    slowdown_thousandths: AtomicU64,
+    /// The fault of the next calls, and their number.
     fault: Mutex<Option<(Fault, usize)>>,
     connections: Mutex<Vec<TcpStream>>,
-    up: AtomicBool,
+    running: AtomicBool,
     calls: AtomicUsize,
 }
 
@@ -77,29 +79,29 @@
 
 /// A counter on a loopback address.
 pub struct Counter {
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Counter {
-    /// A counter with nothing counted.
+    /// Starts a counter without counts.
     pub fn new(script: Script) -> Counter {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
         Counter::on(listener, script)
     }
 
-    /// The same on a listener of the caller's.
+    /// Like [`Counter::new`], on the caller's listener.
     pub fn on(listener: TcpListener, script: Script) -> Counter {
         let addr = listener.local_addr().expect("an address");
-        let parts = (0..script.parts.max(1)).map(|_| Part::default()).collect();
+        let partitions = (0..script.parts.max(1)).map(|_| Partition::default()).collect();
         let shared = Arc::new(Shared {
             script,
-            parts,
-            slower: AtomicU64::new(1000),
+            partitions,
+            slowdown_thousandths: AtomicU64::new(1000),
             fault: Mutex::new(None),
             connections: Mutex::default(),
-            up: AtomicBool::new(true),
+            running: AtomicBool::new(true),
             calls: AtomicUsize::new(0),
         });
         let counter = Counter { addr, shared };
@@ -111,16 +113,16 @@
         let shared = self.shared.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                if !shared.up.load(Ordering::SeqCst) {
+                if !shared.running.load(Ordering::SeqCst) {
                     return;
                 }
                 let Ok(stream) = stream else { continue };
-                let Ok(kept) = stream.try_clone() else { continue };
+                let Ok(handle) = stream.try_clone() else { continue };
                 let mut connections = lock(&shared.connections);
-                // What has ended is known by its peer's address being gone.
+                // A connection that has ended has no peer address any more.
                 connections.retain(|c| c.peer_addr().is_ok());
-                if connections.len() < MOST_CONNECTIONS {
-                    connections.push(kept);
+                if connections.len() < MAX_CONNECTIONS {
+                    connections.push(handle);
                     let shared = shared.clone();
                     std::thread::spawn(move || connection(stream, &shared));
                 }
@@ -128,79 +130,79 @@
         });
     }
 
-    /// The next `calls` calls meet a fault.
+    /// Applies a fault to the next `calls` calls.
     pub fn fail(&self, fault: Fault, calls: usize) {
         *lock(&self.shared.fault) = Some((fault, calls));
     }
 
-    /// Calls take so many times as long from now on.
-    pub fn slow(&self, times: f64) {
-        self.shared.slower.store((times * 1000.0) as u64, Ordering::SeqCst);
+    /// Multiplies the time that each further call takes by `factor`, counted from the scripted time.
+    pub fn slow(&self, factor: f64) {
+        self.shared.slowdown_thousandths.store((factor * 1000.0) as u64, Ordering::SeqCst);
     }
 
-    /// Stops: open connections end, new ones are refused.
+    /// Stops the counter: closes open connections and refuses new ones.
     pub fn stop(&self) {
-        self.shared.up.store(false, Ordering::SeqCst);
+        self.shared.running.store(false, Ordering::SeqCst);
         for stream in lock(&self.shared.connections).drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
         wait_for("the counter to stop", || TcpStream::connect(self.addr).is_err());
     }
 
-    /// Starts again at its address, with its counts or empty.
+    /// Starts the counter again on its address, with its previous counts or without any.
     ///
     /// # Panics
-    /// When the address has been taken by another.
+    /// If the address is in use.
     pub fn start(&self, with_counts: bool) {
         if !with_counts {
-            self.shared.parts.iter().for_each(|part| lock(&part.counts).clear());
+            self.shared.partitions.iter().for_each(|partition| lock(&partition.counts).clear());
         }
-        let listener = TcpListener::bind(self.addr).expect("its address is free");
-        self.shared.up.store(true, Ordering::SeqCst);
+        let listener = TcpListener::bind(self.addr).expect("the address is free");
+        self.shared.running.store(true, Ordering::SeqCst);
         self.listen(listener);
     }
 
-    /// The total of a name, if it is known.
+    /// The total of a name, if there is one and it has not expired.
     pub fn total(&self, name: &str) -> Option<f64> {
         let now = Instant::now();
-        let counts = lock(&self.shared.part(name).counts);
-        counts.get(name).filter(|(_, until)| now < *until).map(|(total, _)| *total)
+        let counts = lock(&self.shared.partition(name).counts);
+        counts.get(name).filter(|(_, expiry)| now < *expiry).map(|(total, _)| *total)
     }
 
-    /// Calls that have come so far.
+    /// Number of calls received so far.
     pub fn calls(&self) -> usize {
         self.shared.calls.load(Ordering::SeqCst)
     }
 }
 
 impl Shared {
-    fn part(&self, name: &str) -> &Part {
-        // FNV-1a: which part a name lies on is the same in every run.
+    fn partition(&self, name: &str) -> &Partition {
+        // FNV-1a, so that a name is on the same partition in every run.
         let hash = name
             .bytes()
             .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-        &self.parts[hash as usize % self.parts.len()]
+        &self.partitions[hash as usize % self.partitions.len()]
     }
 
-    /// The next call's fault.
+    /// Takes the fault of the next call, if there is one.
     fn next_fault(&self) -> Option<Fault> {
         let mut fault = lock(&self.fault);
-        let (what, left) = (*fault)?;
-        *fault = (left > 1).then_some((what, left - 1));
-        Some(what)
+        let (next, remaining) = (*fault)?;
+        *fault = (remaining > 1).then_some((next, remaining - 1));
+        Some(next)
     }
 
-    /// Adds, after a turn at the name's part; nothing if its line is too long.
+    /// Adds the amount once the partition is free, and returns the total. Returns `None` if the queue is full.
     fn add(&self, call: &Call) -> Option<f64> {
-        let part = self.part(&call.name);
-        if part.waiting.fetch_add(1, Ordering::SeqCst) >= self.script.queue {
-            part.waiting.fetch_sub(1, Ordering::SeqCst);
+        let partition = self.partition(&call.name);
+        if partition.waiting.fetch_add(1, Ordering::SeqCst) >= self.script.queue {
+            partition.waiting.fetch_sub(1, Ordering::SeqCst);
             return None;
         }
-        let mut counts = lock(&part.counts);
-        let times = self.slower.load(Ordering::SeqCst) as f64 / 1000.0;
+        let mut counts = lock(&partition.counts);
+        let slowdown = self.slowdown_thousandths.load(Ordering::SeqCst) as f64 / 1000.0;
         if self.script.work_ms > 0.0 {
-            std::thread::sleep(Duration::from_secs_f64(self.script.work_ms * times / 1000.0));
+            std::thread::sleep(Duration::from_secs_f64(self.script.work_ms * slowdown / 1000.0));
         }
         let now = Instant::now();
         let life = Duration::from_secs_f64(call.life_ms / 1000.0);
@@ -211,7 +213,7 @@
         count.0 += call.delta;
         let total = count.0;
         drop(counts);
-        part.waiting.fetch_sub(1, Ordering::SeqCst);
+        partition.waiting.fetch_sub(1, Ordering::SeqCst);
         Some(total)
     }
 }
@@ -223,10 +225,10 @@
     life_ms: f64,
 }
 
-/// Reads a call; the status of what is none.
-fn read(message: &Message) -> Result<Call, &'static str> {
-    let mut words = message.head.split(' ');
-    let (Some("POST"), Some(target)) = (words.next(), words.next()) else { return Err("404 Not Found") };
+/// Parses a call; the error is the status line for an invalid one.
+fn parse(message: &Message) -> Result<Call, &'static str> {
+    let mut parts = message.head.split(' ');
+    let (Some("POST"), Some(target)) = (parts.next(), parts.next()) else { return Err("404 Not Found") };
     let target = target.strip_prefix("/v2/numbers/").ok_or("404 Not Found")?;
     let (name, query) = target.split_once('?').ok_or("400 Bad Request")?;
     let number = |key: &str| {
@@ -234,22 +236,22 @@
         value.and_then(|v| v.parse::<f64>().ok()).filter(|v| v.is_finite()).ok_or("400 Bad Request")
     };
     let (delta, life_ms) = (number("delta")?, number("life_ms")?);
-    if !(1..=64).contains(&name.len()) || delta.abs() > MOST_DELTA || life_ms < 1.0 {
+    if !(1..=64).contains(&name.len()) || delta.abs() > MAX_DELTA || life_ms < 1.0 {
         return Err("400 Bad Request");
     }
-    Ok(Call { name: name.to_string(), delta, life_ms: life_ms.min(MOST_LIFE_MS) })
+    Ok(Call { name: name.to_string(), delta, life_ms: life_ms.min(MAX_LIFE_MS) })
 }
 
 fn connection(mut stream: TcpStream, shared: &Shared) {
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_read_timeout(Some(IDLE));
+    let _ = stream.set_read_timeout(Some(IDLE_TIMEOUT));
     while let Some(message) = message::read(&mut stream) {
         shared.calls.fetch_add(1, Ordering::SeqCst);
         let fault = shared.next_fault();
         let answer = |stream: &mut TcpStream, status: &str, body: &str| {
             write!(stream, "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).is_ok()
         };
-        let call = match read(&message) {
+        let call = match parse(&message) {
             Ok(call) => call,
             Err(status) => {
                 if answer(&mut stream, status, "") {
@@ -259,14 +261,14 @@
             }
         };
         let total = if fault == Some(Fault::Unprocessed) { None } else { shared.add(&call) };
-        let goes_on = match (fault, total) {
+        let keep_open = match (fault, total) {
             (_, None) => answer(&mut stream, "503 Service Unavailable", ""),
             (Some(Fault::LostAnswer), _) => false,
             (Some(Fault::Silent), _) => true,
             (Some(Fault::Garbage), _) => answer(&mut stream, "200 OK", "many"),
             (_, Some(total)) => answer(&mut stream, "200 OK", &total.to_string()),
         };
-        if !goes_on {
+        if !keep_open {
             break;
         }
     }
@@ -286,7 +288,7 @@
     }
 
     #[test]
-    fn it_adds_in_order_also_to_calls_written_one_behind_another() {
+    fn pipelined_calls_are_added_and_answered_in_order() {
         let counter = Counter::new(Script::default());
         let mut stream = connect(&counter);
         let all = [call("a", 2.5, 9000), call("b", 1.0, 9000), call("a", -1.0, 9000)].concat();
@@ -297,7 +299,7 @@
     }
 
     #[test]
-    fn what_is_no_call_adds_nothing() {
+    fn invalid_calls_add_nothing() {
         let counter = Counter::new(Script::default());
         let mut stream = connect(&counter);
         let statuses: Vec<u16> = [
@@ -316,22 +318,22 @@
     }
 
     #[test]
-    fn a_name_is_forgotten_when_its_life_is_up() {
+    fn count_expires_after_its_lifetime() {
         let counter = Counter::new(Script::default());
         let mut stream = connect(&counter);
         assert_eq!(message::exchange(&mut stream, &call("a", 5.0, 1)).body, "5");
-        wait_for("the name to be forgotten", || counter.total("a").is_none());
+        wait_for("the count to expire", || counter.total("a").is_none());
         assert_eq!(message::exchange(&mut stream, &call("a", 2.0, 9000)).body, "2");
     }
 
     #[test]
-    fn faults_tell_what_was_added_and_what_was_not() {
+    fn faults_add_the_amount_or_not_as_documented() {
         let counter = Counter::new(Script::default());
         counter.fail(Fault::LostAnswer, 1);
         let mut stream = connect(&counter);
         stream.write_all(call("a", 1.0, 9000).as_bytes()).expect("write");
         assert!(message::read(&mut stream).is_none());
-        assert_eq!(counter.total("a"), Some(1.0), "added, though nobody heard");
+        assert_eq!(counter.total("a"), Some(1.0), "added although the answer was lost");
         let mut stream = connect(&counter);
         counter.fail(Fault::Unprocessed, 1);
         assert_eq!(message::exchange(&mut stream, &call("a", 1.0, 9000)).status, 503);
@@ -341,12 +343,12 @@
     }
 
     #[test]
-    fn it_stops_and_starts_with_its_counts_or_empty() {
+    fn counter_restarts_with_its_counts_or_empty() {
         let counter = Counter::new(Script::default());
         let mut stream = connect(&counter);
         message::exchange(&mut stream, &call("a", 4.0, 60_000));
         counter.stop();
-        assert!(message::read(&mut stream).is_none(), "open connections end");
+        assert!(message::read(&mut stream).is_none(), "open connections are closed");
         counter.start(true);
         assert_eq!(message::exchange(&mut connect(&counter), &call("a", 1.0, 60_000)).body, "5");
         counter.stop();
@@ -355,7 +357,7 @@
     }
 
     #[test]
-    fn a_long_line_is_turned_away() {
+    fn calls_beyond_the_queue_limit_are_rejected() {
         let counter = Counter::new(Script { parts: 1, work_ms: 200.0, queue: 1 });
         let mut first = connect(&counter);
         first.write_all(call("a", 1.0, 9000).as_bytes()).expect("write");
--- a/crates/standin/src/discovery.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery agent: watches that say what they are told, and beats in between.
+//! The discovery agent: sends scripted lists of servers on the watches opened by limiters, and heartbeats in between.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,10 +9,11 @@
 use crate::message;
 use crate::wait_for;
 
-/// Between two beats. The protocol has one every 2 s; more often does no harm and makes tests quick.
-const BEAT: Duration = Duration::from_millis(500);
+/// Interval between heartbeats. The protocol has one every 2 s; a shorter interval is valid and makes tests faster.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A line of discovery: version, whether it is the whole list, and servers by id, address and state.
+/// A line of the discovery protocol: the list's version, whether the list is complete, and servers as (ID, address,
+/// state).
 pub fn update_line(version: u64, full: bool, servers: &[(&str, SocketAddr, &str)]) -> String {
     let entry = |(id, addr, state): &(&str, SocketAddr, &str)| {
         format!(
@@ -23,116 +24,118 @@
     format!("{{\"version\":{version},\"full\":{full},\"servers\":[{}]}}\n", servers.join(","))
 }
 
-/// What a new watch is told first.
-enum First {
-    /// This, the first watch; the others only a beat.
-    Once(String),
-    /// The list as it stands.
-    Always(Mutex<String>),
+/// What is sent first on a new watch.
+enum Initial {
+    /// This text on the first watch, and a heartbeat on the others.
+    FirstWatch(String),
+    /// The current list on each watch.
+    EachWatch(Mutex<String>),
 }
 
 struct Watches {
-    first: First,
+    initial: Initial,
+    /// Heads of the requests that opened the watches.
     heads: Mutex<Vec<String>>,
     streams: Mutex<Vec<TcpStream>>,
-    muted: AtomicBool,
+    /// Whether heartbeats are suspended.
+    heartbeats_stopped: AtomicBool,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Discovery on a loopback address.
+/// A discovery agent on a loopback address.
 pub struct Discovery {
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
     watches: Arc<Watches>,
 }
 
 impl Discovery {
-    /// Tells `first` to the first watch; what comes after it is [`Discovery::push`]ed by hand.
-    pub fn new(first: String) -> Discovery {
+    /// Sends `initial` on the first watch; everything after it is sent with [`Discovery::push`].
+    pub fn new(initial: String) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
-        Discovery::on(listener, First::Once(first))
+        Discovery::on(listener, Initial::FirstWatch(initial))
     }
 
-    /// Tells each new watch the list as it stands, for several limiters; [`Discovery::announce`] changes it.
+    /// Sends the current list on each new watch, for several limiters; [`Discovery::announce`] changes the list.
     pub fn shared(list: String) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
         Discovery::shared_on(listener, list)
     }
 
-    /// The same on a listener of the caller's.
+    /// Like [`Discovery::shared`], on the caller's listener.
     pub fn shared_on(listener: TcpListener, list: String) -> Discovery {
-        Discovery::on(listener, First::Always(Mutex::new(list)))
+        Discovery::on(listener, Initial::EachWatch(Mutex::new(list)))
     }
 
-    fn on(listener: TcpListener, first: First) -> Discovery {
+    fn on(listener: TcpListener, initial: Initial) -> Discovery {
         let addr = listener.local_addr().expect("an address");
         let watches = Arc::new(Watches {
-            first,
+            initial,
             heads: Mutex::default(),
             streams: Mutex::default(),
-            muted: AtomicBool::new(false),
+            heartbeats_stopped: AtomicBool::new(false),
         });
-        let all = watches.clone();
+        let shared = watches.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(mut stream) = stream else { continue };
                 let Some(message) = message::read(&mut stream) else { continue };
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                // Held while the list is written, so that no change falls between it and the watch's start.
-                let mut streams = lock(&all.streams);
-                let mut heads = lock(&all.heads);
-                match &all.first {
-                    First::Once(text) => {
-                        chunk(&mut stream, if heads.is_empty() { text.as_str() } else { "\n" });
+                // The lock is held while the list is written, so that the watch misses no change of the list.
+                let mut streams = lock(&shared.streams);
+                let mut heads = lock(&shared.heads);
+                match &shared.initial {
+                    Initial::FirstWatch(text) => {
+                        write_chunk(&mut stream, if heads.is_empty() { text.as_str() } else { "\n" });
                     }
-                    First::Always(list) => chunk(&mut stream, &lock(list)),
+                    Initial::EachWatch(list) => write_chunk(&mut stream, &lock(list)),
                 }
                 streams.push(stream);
                 heads.push(message.head);
             }
         });
-        let beats = watches.clone();
+        let heartbeats = watches.clone();
         std::thread::spawn(move || loop {
-            std::thread::sleep(BEAT);
-            if !beats.muted.load(Ordering::SeqCst) {
-                lock(&beats.streams).iter_mut().for_each(|s| chunk(s, "\n"));
+            std::thread::sleep(HEARTBEAT_INTERVAL);
+            if !heartbeats.heartbeats_stopped.load(Ordering::SeqCst) {
+                lock(&heartbeats.streams).iter_mut().for_each(|s| write_chunk(s, "\n"));
             }
         });
         Discovery { addr, watches }
     }
 
-    /// Says something on the newest watch.
+    /// Sends text on the newest watch, waiting for a first one if there is none.
     pub fn push(&self, text: &str) {
         wait_for("a watch", || !lock(&self.watches.heads).is_empty());
         if let Some(stream) = lock(&self.watches.streams).last_mut() {
-            // A beat would end a half line: it is held back from now on.
-            self.watches.muted.store(true, Ordering::SeqCst);
-            chunk(stream, text);
+            // A heartbeat would end an incomplete line, so heartbeats are suspended until the line is complete.
+            self.watches.heartbeats_stopped.store(true, Ordering::SeqCst);
+            write_chunk(stream, text);
         }
-        self.watches.muted.store(!text.ends_with('\n'), Ordering::SeqCst);
+        self.watches.heartbeats_stopped.store(!text.ends_with('\n'), Ordering::SeqCst);
     }
 
-    /// Says a whole list on all watches, and to those that come; only for a shared one.
+    /// Sends a complete list on all watches. A shared agent also sends it first on later ones.
     pub fn announce(&self, list: &str) {
         let mut streams = lock(&self.watches.streams);
-        if let First::Always(now) = &self.watches.first {
-            *lock(now) = list.to_string();
+        if let Initial::EachWatch(current) = &self.watches.initial {
+            *lock(current) = list.to_string();
         }
-        streams.iter_mut().for_each(|s| chunk(s, list));
+        streams.iter_mut().for_each(|s| write_chunk(s, list));
     }
 
-    /// Heads of all watches so far.
+    /// Request heads of all watches so far.
     pub fn watches(&self) -> Vec<String> {
         lock(&self.watches.heads).clone()
     }
-    /// No more beats.
+    /// Stops sending heartbeats.
     pub fn stop_heartbeats(&self) {
-        self.watches.muted.store(true, Ordering::SeqCst);
+        self.watches.heartbeats_stopped.store(true, Ordering::SeqCst);
     }
-    /// Ends all watches.
+    /// Closes all watches.
     pub fn close_watches(&self) {
         for stream in lock(&self.watches.streams).drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -140,6 +143,7 @@
     }
 }
 
-fn chunk(stream: &mut TcpStream, text: &str) {
+/// Writes one chunk of the chunked response.
+fn write_chunk(stream: &mut TcpStream, text: &str) {
     let _ = write!(stream, "{:x}\r\n{text}\r\n", text.len());
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,11 +1,13 @@
-//! Stand-ins for the systems round marldeal, written from public specifications and the project's protocol: booking
-//! nodes, the discovery agent, clients, and proxies that ask an external processor. Faults are scripted, addresses
-//! are loopback, ports come from the kernel. Nothing here knows how marldeal decides.
+//! Stand-ins for the systems around marldeal, for tests and demos: back-end servers, the discovery agent, the shared
+//! counter, clients, and proxies that ask an external processor.
+//!
+//! They implement public specifications and the project's protocol, and do not depend on how marldeal decides. Faults
+//! are scripted, addresses are loopback addresses, and the kernel chooses the ports.
 //!
 //! ```
 //! use marldeal_standin::server::{Fault, Script, Server};
 //!
-//! // The second request to this node is answered 500; all others are served after 1 ms.
+//! // The second request to this server is answered with 500; all others are served after 1 ms.
 //! let script = Script { work_ms: 1, faults: vec![(1..2, Fault::Error)], ..Script::default() };
 //! let server = Server::scripted(script);
 //! assert!(server.addr.ip().is_loopback());
@@ -24,17 +26,17 @@
 
 use std::time::{Duration, Instant};
 
-/// Longest that [`wait_for`] waits, and that [`message::read`] waits for an answer.
+/// Maximum time that [`wait_for`] waits for a condition, and [`message::read_answer`] for an answer.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 ///
 /// # Panics
-/// When it does not hold within [`TIMEOUT`]; the message names `what`.
-pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
-    while !holds() {
-        assert!(began.elapsed() < TIMEOUT, "waited in vain for {what}");
+/// If the condition does not hold within [`TIMEOUT`]; the message names `what`.
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let start = Instant::now();
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,5 @@
-//! Stand-ins by hand: a booking node, a discovery agent, or a proxy before an external processor.
+//! Runs one stand-in from the command line: a back-end server, a discovery agent, a counter, or a proxy that asks an
+//! external processor.
 #![forbid(unsafe_code)]
 
 use std::convert::Infallible;
@@ -19,64 +20,64 @@
 use marldeal_standin::proxy::{Proxy, RetryMode};
 use marldeal_standin::server::{Fault, Script, Server};
 
-/// Stand-in outside systems for marldeal, on loopback addresses.
+/// Stand-ins for the systems around marldeal, on loopback addresses.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    what: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// A booking node that serves, with scripted faults.
+enum Command {
+    /// A back-end server with scripted faults.
     Node {
-        /// Where to listen; port 0 for one from the kernel.
+        /// Address to listen on; with port 0 the kernel chooses the port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Milliseconds of work for each request.
+        /// Time that a request takes, in milliseconds.
         #[arg(long, default_value_t = 20)]
         work_ms: u64,
-        /// Requests worked on at once.
+        /// Maximum number of requests processed at once.
         #[arg(long, default_value_t = 4)]
         cores: usize,
-        /// FROM..TO:FAULT, counted from 0: error, turn-away, unavailable, reset, half, silent=MS.
-        #[arg(long = "fault", value_parser = fault)]
+        /// FROM..TO:FAULT, requests counted from 0; faults: error, turn-away, unavailable, reset, half, silent=MS.
+        #[arg(long = "fault", value_parser = parse_fault)]
         faults: Vec<(Range<usize>, Fault)>,
     },
-    /// A discovery agent that tells a fixed list; type a whole line of discovery to change it.
+    /// A discovery agent that sends a fixed list; type a complete line of the protocol to change it.
     Discovery {
-        /// Where to listen; port 0 for one from the kernel.
+        /// Address to listen on; with port 0 the kernel chooses the port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// ID=ADDRESS of an active node.
-        #[arg(long = "node", value_parser = node)]
+        /// ID=ADDRESS of an active server.
+        #[arg(long = "node", value_parser = parse_server)]
         nodes: Vec<(String, SocketAddr)>,
     },
-    /// A counter that adds to named counts. Type `stop`, `start`, `start-empty` or `slow TIMES` to make it fail.
+    /// A counter that adds to named counts. Type `stop`, `start`, `start-empty` or `slow TIMES` to control it.
     Counter {
-        /// Where to listen; port 0 for one from the kernel.
+        /// Address to listen on; with port 0 the kernel chooses the port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Parts that names lie on.
+        /// Number of partitions that names are distributed over.
         #[arg(long, default_value_t = 2)]
         parts: usize,
-        /// Milliseconds that a call takes its part.
+        /// Time that a call occupies its partition, in milliseconds.
         #[arg(long, default_value_t = 1.0)]
         work_ms: f64,
-        /// Calls that may wait for a part.
+        /// Maximum number of calls in progress or waiting per partition.
         #[arg(long, default_value_t = 100)]
         queue: usize,
     },
     /// A proxy that asks an external processor about each HTTP/1.1 request.
     Proxy {
-        /// Where clients connect; port 0 for one from the kernel.
+        /// Address that clients connect to; with port 0 the kernel chooses the port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// Where the external processor listens.
+        /// Address of the external processor.
         #[arg(long)]
         processor: SocketAddr,
-        /// How further attempts are made.
+        /// How retries are made.
         #[arg(long, value_enum, default_value_t = Retries::PerTry)]
         retries: Retries,
     },
@@ -89,7 +90,8 @@
     Once,
 }
 
-fn fault(text: &str) -> Result<(Range<usize>, Fault), String> {
+/// Parses FROM..TO:FAULT.
+fn parse_fault(text: &str) -> Result<(Range<usize>, Fault), String> {
     let parts = text.split_once(':').and_then(|(range, fault)| Some((range.split_once("..")?, fault)));
     let Some(((from, to), fault)) = parts else {
         return Err(format!("'{text}' is not FROM..TO:FAULT"));
@@ -98,7 +100,8 @@
     Ok((number(from)?..number(to)?, fault.parse()?))
 }
 
-fn node(text: &str) -> Result<(String, SocketAddr), String> {
+/// Parses ID=ADDRESS.
+fn parse_server(text: &str) -> Result<(String, SocketAddr), String> {
     let (id, addr) = text.split_once('=').ok_or_else(|| format!("'{text}' is not ID=ADDRESS"))?;
     Ok((id.to_string(), addr.parse().map_err(|_| format!("'{addr}' is not an address and port"))?))
 }
@@ -106,14 +109,14 @@
 fn main() -> ExitCode {
     match run(Arguments::parse().what) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("marldeal-standin: {why}");
+        Err(error) => {
+            eprintln!("marldeal-standin: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Stand-ins face this machine only.
+/// Listens on an address, which must be a loopback address: stand-ins are reachable from this machine only.
 fn bind(listen: SocketAddr) -> Result<TcpListener, String> {
     if !listen.ip().is_loopback() {
         return Err(format!("{listen} is not a loopback address"));
@@ -121,17 +124,17 @@
     TcpListener::bind(listen).map_err(|e| format!("cannot listen on {listen}: {e}"))
 }
 
-fn run(what: What) -> Result<(), String> {
-    match what {
-        What::Node { listen, work_ms, cores, faults } => {
+fn run(command: Command) -> Result<(), String> {
+    match command {
+        Command::Node { listen, work_ms, cores, faults } => {
             let script = Script { work_ms, cores, faults, ..Script::default() };
-            let node = Server::scripted_on(bind(listen)?, script);
-            println!("node on {}", node.addr);
+            let server = Server::scripted_on(bind(listen)?, script);
+            println!("node on {}", server.addr);
             loop {
                 std::thread::park();
             }
         }
-        What::Discovery { listen, nodes } => {
+        Command::Discovery { listen, nodes } => {
             let servers: Vec<_> = nodes.iter().map(|(id, addr)| (id.as_str(), *addr, "active")).collect();
             let discovery = Discovery::shared_on(bind(listen)?, update_line(1, true, &servers));
             println!("discovery on {}", discovery.addr);
@@ -142,54 +145,56 @@
                 std::thread::park();
             }
         }
-        What::Counter { listen, parts, work_ms, queue } => {
+        Command::Counter { listen, parts, work_ms, queue } => {
             if !(0.0..=60_000.0).contains(&work_ms) {
                 return Err(format!("work-ms {work_ms} is not between 0 and 60000"));
             }
             let counter = Counter::on(bind(listen)?, counter::Script { parts, work_ms, queue });
             println!("counter on {}", counter.addr);
-            let mut up = true;
+            let mut running = true;
             for text in std::io::stdin().lines().map_while(Result::ok) {
-                match (text.trim(), up) {
+                match (text.trim(), running) {
                     ("stop", true) => counter.stop(),
                     ("start", false) => counter.start(true),
                     ("start-empty", false) => counter.start(false),
                     (other, _) => match other.strip_prefix("slow ").map(str::parse::<f64>) {
                         Some(Ok(times)) if (0.0..=1000.0).contains(&times) => counter.slow(times),
                         _ => eprintln!(
-                            "'{other}' is not stop (when up), start, start-empty (when down) or slow TIMES"
+                            "'{other}' is not stop (when running), start, start-empty (when stopped) or slow TIMES"
                         ),
                     },
                 }
-                up = match text.trim() {
+                running = match text.trim() {
                     "stop" => false,
                     "start" | "start-empty" => true,
-                    _ => up,
+                    _ => running,
                 };
             }
             loop {
                 std::thread::park();
             }
         }
-        What::Proxy { listen, processor, retries } => {
+        Command::Proxy { listen, processor, retries } => {
             let listener = bind(listen)?;
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
-            runtime.block_on(proxy(listener, processor, retries))
+            runtime.block_on(run_proxy(listener, processor, retries))
         }
     }
 }
 
-/// Longest body that the proxy buffers.
-const MOST_BODY: usize = 64 << 10;
+/// Maximum size of a request body that the proxy buffers, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
-async fn proxy(listener: TcpListener, processor: SocketAddr, retries: Retries) -> Result<(), String> {
-    let shape = match retries {
+/// Serves HTTP/1.1 clients through a proxy. Returns only if it cannot connect or accept.
+async fn run_proxy(listener: TcpListener, processor: SocketAddr, retries: Retries) -> Result<(), String> {
+    let retry_mode = match retries {
         Retries::PerTry => RetryMode::PerTry,
         Retries::Loop => RetryMode::SameStream,
         Retries::Once => RetryMode::None,
     };
-    let proxy = Proxy::connect(processor, shape).await.map_err(|e| format!("processor {processor}: {e}"))?;
+    let proxy =
+        Proxy::connect(processor, retry_mode).await.map_err(|e| format!("processor {processor}: {e}"))?;
     let proxy = Arc::new(proxy);
     listener.set_nonblocking(true).map_err(|e| e.to_string())?;
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| e.to_string())?;
@@ -205,6 +210,7 @@
     }
 }
 
+/// Answers one request of a client.
 async fn answer(proxy: &Proxy, request: hyper::Request<hyper::body::Incoming>) -> Response<Full<Bytes>> {
     let plain = |status: u16, body: Bytes| {
         let mut answer = Response::new(Full::new(body));
@@ -212,19 +218,19 @@
         answer
     };
     let (head, body) = request.into_parts();
-    let Ok(body) = Limited::new(body, MOST_BODY).collect().await else {
-        return plain(413, Bytes::from_static(b"the body is too large or did not come whole"));
+    let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
+        return plain(413, Bytes::from_static(b"the request body is too large or incomplete"));
     };
     match proxy.handle(&hyper::Request::from_parts(head, body.to_bytes())).await {
-        Ok(done) => {
-            let mut answer = plain(done.status, done.body);
-            if let Some(value) = done.retry_after.and_then(|v| v.parse().ok()) {
+        Ok(response) => {
+            let mut answer = plain(response.status, response.body);
+            if let Some(value) = response.retry_after.and_then(|v| v.parse().ok()) {
                 answer.headers_mut().insert(hyper::header::RETRY_AFTER, value);
             }
             answer
         }
-        Err(trouble) => {
-            eprintln!("processor: {trouble:?}");
+        Err(error) => {
+            eprintln!("processor: {error:?}");
             plain(500, Bytes::new())
         }
     }
--- a/crates/standin/src/message.rs
+++ b/crates/standin/src/message.rs
@@ -1,34 +1,34 @@
-//! An HTTP/1.1 message on a blocking socket, read and written by hand, so that tests can also write what no library
-//! would.
+//! HTTP/1.1 messages on blocking sockets, read and written without a library, so that tests can also send malformed
+//! ones.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
 use crate::TIMEOUT;
 
-/// Longest body that is read.
-const MOST_BODY: usize = 64 << 20;
+/// Maximum size of a body that is read, in bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// A message as it came: head and body.
+/// A received message: head and body.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Status of an answer; 0 for a request.
+    /// Status code of an answer; 0 for a request.
     pub status: u16,
     /// First line and headers.
     pub head: String,
-    /// The body that `Content-Length` tells, or the chunks of it.
+    /// The body, of the length that `Content-Length` gives, or joined from its chunks.
     pub body: String,
 }
 
 impl Message {
-    /// The first header of that name, in any case.
+    /// The value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<String> {
         let mut lines = self.head.lines().skip(1).filter_map(|l| l.split_once(':'));
         lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim().to_string())
     }
 }
 
-/// Reads one message; nothing if the connection ends first or the length makes no sense.
+/// Reads one message. Returns `None` if the connection ends first or the body is too long.
 pub fn read(stream: &mut TcpStream) -> Option<Message> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -41,11 +41,11 @@
     let mut message = Message { head: String::from_utf8_lossy(&head).into_owned(), ..Message::default() };
     message.status = message.head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
     if message.header("transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
-        message.body = String::from_utf8_lossy(&chunks(stream)?).into_owned();
+        message.body = String::from_utf8_lossy(&read_chunks(stream)?).into_owned();
         return Some(message);
     }
     let length = message.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
-    if length > MOST_BODY {
+    if length > MAX_BODY_BYTES {
         return None;
     }
     let mut body = vec![0; length];
@@ -54,9 +54,9 @@
     Some(message)
 }
 
-/// Reads chunks to the last one, with what may stand behind their sizes, and trailers (RFC 9112, 7.1).
-fn chunks(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let line = |stream: &mut TcpStream| {
+/// Reads a chunked body up to the last chunk, passing over chunk extensions and trailers (RFC 9112, section 7.1).
+fn read_chunks(stream: &mut TcpStream) -> Option<Vec<u8>> {
+    let read_line = |stream: &mut TcpStream| {
         let (mut line, mut byte) = (Vec::new(), [0]);
         while !line.ends_with(b"\r\n") {
             stream.read_exact(&mut byte).ok()?;
@@ -66,41 +66,41 @@
     };
     let mut body = Vec::new();
     loop {
-        let text = line(stream)?;
+        let text = read_line(stream)?;
         let size = usize::from_str_radix(text.trim().split(';').next()?.trim(), 16).ok()?;
         if size == 0 {
-            while line(stream)? != "\r\n" {}
+            while read_line(stream)? != "\r\n" {}
             return Some(body);
         }
-        if body.len() + size > MOST_BODY {
+        if body.len() + size > MAX_BODY_BYTES {
             return None;
         }
-        let from = body.len();
-        body.resize(from + size, 0);
-        stream.read_exact(&mut body[from..]).ok()?;
-        line(stream)?;
+        let start = body.len();
+        body.resize(start + size, 0);
+        stream.read_exact(&mut body[start..]).ok()?;
+        read_line(stream)?;
     }
 }
 
-/// Reads an answer that has to come.
+/// Reads an answer.
 ///
 /// # Panics
-/// When it does not come whole within [`TIMEOUT`].
+/// If the answer is not complete within [`TIMEOUT`].
 pub fn read_answer(stream: &mut TcpStream) -> Message {
     stream.set_read_timeout(Some(TIMEOUT)).expect("time-out");
-    read(stream).expect("a whole answer")
+    read(stream).expect("a complete answer")
 }
 
 /// Writes a request and reads its answer.
 ///
 /// # Panics
-/// As [`read_answer`], and when the request cannot be written.
+/// As [`read_answer`], and if the request cannot be written.
 pub fn exchange(stream: &mut TcpStream, request: &str) -> Message {
     stream.write_all(request.as_bytes()).expect("write");
     read_answer(stream)
 }
 
-/// Writes a 200 answer; false if the connection is gone.
+/// Writes a 200 answer. Returns false if the connection is closed.
 pub fn write_ok(stream: &mut TcpStream, body: &str) -> bool {
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).is_ok()
 }
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -1,9 +1,9 @@
-//! A proxy that asks an external processor about each request (`envoy.service.ext_proc.v3`) and enforces what it is
-//! told: it forwards to the node that `x-gateway-destination-endpoint` names, reports the response headers, and gives
-//! its client either that response or the processor's immediate one.
+//! A proxy that asks an external processor about each request (`envoy.service.ext_proc.v3`) and carries out its
+//! answers: it forwards the request to the server that `x-gateway-destination-endpoint` names, reports the response
+//! headers, and gives its client either that response or the processor's immediate one.
 //!
-//! Written from the published proto comments: one HTTP request a stream, one answer for each message, and an
-//! `ImmediateResponse` at any time ends the request.
+//! It follows the comments of the published protocol definition: one HTTP request per stream, one answer to each
+//! message, and an `ImmediateResponse` ends the request at any time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,88 +23,89 @@
 
 use crate::client::{Client, ExchangeError};
 
-/// Names the chosen node, as the endpoint picker protocol of the Gateway API inference extension has it.
+/// Header that names the chosen server, as in the endpoint picker protocol of the Gateway API inference extension.
 pub const DESTINATION_HEADER: &str = "x-gateway-destination-endpoint";
-/// Set by the processor on a response that is to be tried again.
+/// Header that the processor sets on a response after which the request is to be retried.
 pub const RETRY_HEADER: &str = "x-marldeal-retry";
-/// Counts the attempts of a proxy, from 1.
+/// Header with the number of the proxy's attempt, from 1.
 pub const ATTEMPT_COUNT_HEADER: &str = "x-envoy-attempt-count";
 
-/// How the proxy carries out a further attempt.
+/// How the proxy makes a further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryMode {
-    /// The filter runs once for each try: a new stream presents the request again.
+    /// The filter runs once per attempt: each attempt opens a new stream and sends the request headers again.
     PerTry,
-    /// One stream for the request: the answer to response headers names the next node.
+    /// All attempts use one stream: the answer to the response headers names the next server.
     SameStream,
     /// No further attempts.
     None,
 }
 
-/// What the proxy's client got.
+/// The response that the proxy gives its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinalResponse {
-    /// Status of the answer.
+    /// Status code.
     pub status: u16,
-    /// The node's body, or the processor's text.
+    /// The server's body, or the one of the processor's immediate response.
     pub body: Bytes,
-    /// `retry-after`, as it came.
+    /// Value of `retry-after`, unchanged.
     pub retry_after: Option<String>,
-    /// Nodes that the request was written to, in order.
+    /// Servers that the request was sent to, in order.
     pub servers: Vec<SocketAddr>,
 }
 
-/// Why the proxy has no answer for its client.
+/// Why the proxy has no response for its client.
 #[derive(Debug)]
 pub enum ProcessorError {
     /// The processor ended the stream with an error.
     Stream(tonic::Status),
-    /// It ended the stream, or left it silent for longer than a proxy waits.
+    /// The processor ended the stream, or did not answer in time.
     NoAnswer,
-    /// It said what does not fit the message.
+    /// The processor's answer does not fit the message, with the details.
     Unexpected(String),
 }
 
-/// Longest that the proxy waits for the processor's answer to one message, and for a node that has no time limit.
+/// Maximum time that the proxy waits for the processor's answer to one message, and for a server if the processor sets
+/// no time limit.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A stream to the processor, for one HTTP request.
 pub struct Stream {
-    to: mpsc::Sender<ext::ProcessingRequest>,
-    from: Streaming<ext::ProcessingResponse>,
+    requests: mpsc::Sender<ext::ProcessingRequest>,
+    responses: Streaming<ext::ProcessingResponse>,
 }
 
-/// Messages that a stream buffers.
-const BUFFERED: usize = 4;
+/// Number of messages that a stream buffers.
+const BUFFERED_MESSAGES: usize = 4;
 
 impl Stream {
-    /// Opens one.
+    /// Opens a stream.
     ///
     /// # Errors
-    /// The processor's status.
+    /// The status with which the processor refuses the stream.
     pub async fn open(channel: Channel) -> Result<Stream, tonic::Status> {
-        let (to, requests) = mpsc::channel(BUFFERED);
-        let answers = ExternalProcessorClient::new(channel).process(ReceiverStream::new(requests)).await?;
-        Ok(Stream { to, from: answers.into_inner() })
+        let (requests, queued) = mpsc::channel(BUFFERED_MESSAGES);
+        let responses = ExternalProcessorClient::new(channel).process(ReceiverStream::new(queued)).await?;
+        Ok(Stream { requests, responses: responses.into_inner() })
     }
 
-    /// Sends one message; false if the stream has ended.
+    /// Sends a message for a phase of the request. Returns false if the stream has ended.
     pub async fn send(&self, phase: Phase) -> bool {
         self.send_message(ext::ProcessingRequest { request: Some(phase), ..Default::default() }).await
     }
 
-    /// Sends one message with all its fields; false if the stream has ended.
+    /// Sends a complete message. Returns false if the stream has ended.
     pub async fn send_message(&self, message: ext::ProcessingRequest) -> bool {
-        self.to.send(message).await.is_ok()
+        self.requests.send(message).await.is_ok()
     }
 
-    /// The next message, passing over those that only ask for more time.
+    /// Waits for the next message, skipping those that only ask for more time.
     ///
     /// # Errors
-    /// [`ProcessorError`], when the stream ends or stays silent.
+    /// [`ProcessorError`], if the stream ends or no message comes in time.
     pub async fn next(&mut self) -> Result<ext::ProcessingResponse, ProcessorError> {
         loop {
-            match tokio::time::timeout(MESSAGE_TIMEOUT, self.from.message()).await {
+            match tokio::time::timeout(MESSAGE_TIMEOUT, self.responses.message()).await {
                 Ok(Ok(Some(answer))) if answer.response.is_none() => {}
                 Ok(Ok(Some(answer))) => return Ok(answer),
                 Ok(Ok(None)) | Err(_) => return Err(ProcessorError::NoAnswer),
@@ -114,7 +115,7 @@
     }
 }
 
-/// Headers in the form of the protocol.
+/// Converts headers to the protocol's message.
 pub fn headers(pairs: Vec<(&str, String)>, end_of_stream: bool) -> ext::HttpHeaders {
     let headers = pairs
         .into_iter()
@@ -127,7 +128,7 @@
     ext::HttpHeaders { headers: Some(HeaderMap { headers }), end_of_stream, ..Default::default() }
 }
 
-/// The request headers that a proxy sends, on its attempt number `count` from 1, if it counts.
+/// The message with the request headers. `count` is the number of the attempt, from 1, if the proxy sends it.
 pub fn request_headers(request: &Request<Bytes>, count: Option<u32>) -> Phase {
     let uri = request.uri();
     let path = uri.path_and_query().map_or("/", |p| p.as_str());
@@ -145,17 +146,18 @@
     Phase::RequestHeaders(headers(pairs, request.body().is_empty()))
 }
 
-/// What a header mutation sets a header to.
+/// The value that a response's header mutation sets a header to, if it sets it.
 pub fn set_header(response: Option<&ext::CommonResponse>, name: &str) -> Option<String> {
     let mutation = response?.header_mutation.as_ref()?;
-    let found = mutation.set_headers.iter().filter_map(|h| h.header.as_ref()).find(|h| h.key == name)?;
-    Some(if found.raw_value.is_empty() {
-        found.value.clone()
+    let header = mutation.set_headers.iter().filter_map(|h| h.header.as_ref()).find(|h| h.key == name)?;
+    Some(if header.raw_value.is_empty() {
+        header.value.clone()
     } else {
-        String::from_utf8_lossy(&found.raw_value).into_owned()
+        String::from_utf8_lossy(&header.raw_value).into_owned()
     })
 }
 
+/// Converts the processor's immediate response.
 fn immediate(response: &ext::ImmediateResponse, servers: Vec<SocketAddr>) -> FinalResponse {
     let common = ext::CommonResponse { header_mutation: response.headers.clone(), ..Default::default() };
     FinalResponse {
@@ -166,71 +168,78 @@
     }
 }
 
-/// What became of one attempt at a node, in the terms of response headers.
+/// The result of an attempt at a server, as reported in response headers.
 struct AttemptResult {
     status: u16,
     unprocessed: bool,
-    /// `%RESPONSE_FLAGS%`: `UF` for a connection that never came about, `UC` for one that broke, `UT` for time.
+    /// `%RESPONSE_FLAGS%`: `UF` if no connection was established, `UC` if it was lost, `UT` on a time-out.
     flags: Option<&'static str>,
     body: Bytes,
 }
 
-/// A proxy before one processor.
+/// A proxy that asks one external processor.
 pub struct Proxy {
     channel: Channel,
     client: Client,
-    shape: RetryMode,
+    retry_mode: RetryMode,
 }
 
 impl Proxy {
-    /// A proxy with one connection to the processor.
+    /// Connects to the processor.
     ///
     /// # Errors
-    /// No connection could be made.
-    pub async fn connect(processor: SocketAddr, shape: RetryMode) -> Result<Proxy, tonic::transport::Error> {
+    /// No connection could be established.
+    pub async fn connect(
+        processor: SocketAddr,
+        retry_mode: RetryMode,
+    ) -> Result<Proxy, tonic::transport::Error> {
         let channel = Endpoint::from_shared(format!("http://{processor}"))?.connect().await?;
-        Ok(Proxy { channel, client: Client::default(), shape })
+        Ok(Proxy { channel, client: Client::default(), retry_mode })
     }
 
-    /// Carries a request through: asks, enforces, reports.
+    /// Handles a request: asks the processor, carries out its answers and reports the results.
     ///
     /// # Errors
-    /// [`ProcessorError`] with the processor; a real proxy would answer 500 or go by its failure mode.
+    /// The processor failed. A real proxy would answer 500 or apply its configured failure mode.
     pub async fn handle(&self, request: &Request<Bytes>) -> Result<FinalResponse, ProcessorError> {
         let mut servers = Vec::new();
         let mut count = 1;
         loop {
             let mut stream = Stream::open(self.channel.clone()).await.map_err(ProcessorError::Stream)?;
-            let told = (self.shape == RetryMode::PerTry).then_some(count);
-            stream.send(request_headers(request, told)).await;
+            let sent_count = (self.retry_mode == RetryMode::PerTry).then_some(count);
+            stream.send(request_headers(request, sent_count)).await;
             let mut target = match stream.next().await?.response {
                 Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, servers)),
                 Some(Verdict::RequestHeaders(r)) => destination(r.response.as_ref(), DESTINATION_HEADER)?,
-                other => return Err(ProcessorError::Unexpected(format!("{other:?} to request headers"))),
+                other => {
+                    return Err(ProcessorError::Unexpected(format!("{other:?} in answer to request headers")))
+                }
             };
-            // One round for each attempt on this stream.
-            let again = loop {
+            // Each iteration makes one attempt on this stream.
+            let new_stream = loop {
                 servers.push(target.0);
                 let attempt = self.attempt(request, target);
-                // An immediate response may come unasked: the attempt is called off then.
-                let tried = tokio::select! {
+                // The processor may send an immediate response at any time; it cancels the attempt.
+                let result = tokio::select! {
                     biased;
-                    unasked = stream.next() => match unasked?.response {
+                    unsolicited = stream.next() => match unsolicited?.response {
                         Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, servers)),
-                        other => return Err(ProcessorError::Unexpected(format!("{other:?} unasked"))),
+                        other => return Err(ProcessorError::Unexpected(format!("unsolicited {other:?}"))),
                     },
-                    tried = attempt => tried,
+                    result = attempt => result,
                 };
-                stream.send(response_headers(&tried)).await;
+                stream.send(response_headers(&result)).await;
                 let answer = match stream.next().await?.response {
                     Some(Verdict::ImmediateResponse(r)) => return Ok(immediate(&r, servers)),
                     Some(Verdict::ResponseHeaders(r)) => r.response,
                     other => {
-                        return Err(ProcessorError::Unexpected(format!("{other:?} to response headers")))
+                        return Err(ProcessorError::Unexpected(format!(
+                            "{other:?} in answer to response headers"
+                        )))
                     }
                 };
                 if set_header(answer.as_ref(), RETRY_HEADER).is_some() {
-                    match self.shape {
+                    match self.retry_mode {
                         RetryMode::SameStream => target = destination(answer.as_ref(), RETRY_HEADER)?,
                         RetryMode::PerTry => break true,
                         RetryMode::None => break false,
@@ -238,32 +247,32 @@
                     continue;
                 }
                 return Ok(FinalResponse {
-                    status: tried.status,
-                    body: tried.body,
+                    status: result.status,
+                    body: result.body,
                     retry_after: None,
                     servers,
                 });
             };
             drop(stream);
-            if !again {
+            if !new_stream {
                 return Ok(FinalResponse { status: 503, body: Bytes::new(), retry_after: None, servers });
             }
             count += 1;
         }
     }
 
-    /// One attempt at a node.
+    /// Makes one attempt at a server.
     async fn attempt(
         &self,
         request: &Request<Bytes>,
         (addr, limit): (SocketAddr, Duration),
     ) -> AttemptResult {
         let mut request = request.clone();
-        let left = format!("{:.3}", limit.as_secs_f64());
-        if let Ok(left) = left.parse() {
-            request.headers_mut().insert("x-time-left", left);
+        let time_left = format!("{:.3}", limit.as_secs_f64());
+        if let Ok(time_left) = time_left.parse() {
+            request.headers_mut().insert("x-time-left", time_left);
         }
-        let local = |status, flags| AttemptResult { status, unprocessed: false, flags, body: Bytes::new() };
+        let failed = |status, flags| AttemptResult { status, unprocessed: false, flags, body: Bytes::new() };
         match tokio::time::timeout(limit, self.client.exchange(addr, request)).await {
             Ok(Ok(answer)) => AttemptResult {
                 status: answer.status().as_u16(),
@@ -271,42 +280,43 @@
                 flags: None,
                 body: answer.into_body(),
             },
-            Ok(Err(ExchangeError::NotConnected)) => local(503, Some("UF")),
-            Ok(Err(ExchangeError::ConnectionLost)) => local(503, Some("UC")),
-            Err(_) => local(504, Some("UT")),
+            Ok(Err(ExchangeError::NotConnected)) => failed(503, Some("UF")),
+            Ok(Err(ExchangeError::ConnectionLost)) => failed(503, Some("UC")),
+            Err(_) => failed(504, Some("UT")),
         }
     }
 }
 
-fn response_headers(tried: &AttemptResult) -> Phase {
-    let mut pairs = vec![(":status", tried.status.to_string())];
-    if tried.unprocessed {
+/// The message with the response headers of an attempt.
+fn response_headers(result: &AttemptResult) -> Phase {
+    let mut pairs = vec![(":status", result.status.to_string())];
+    if result.unprocessed {
         pairs.push(("x-unprocessed", "1".to_string()));
     }
-    if let Some(flags) = tried.flags {
+    if let Some(flags) = result.flags {
         pairs.push(("x-envoy-response-flags", flags.to_string()));
     }
-    Phase::ResponseHeaders(headers(pairs, tried.body.is_empty()))
+    Phase::ResponseHeaders(headers(pairs, result.body.is_empty()))
 }
 
-/// The node that a header names, and the time that an attempt there may take.
+/// The server that a header names, and the time limit for an attempt there.
 fn destination(
     response: Option<&ext::CommonResponse>,
     header: &str,
 ) -> Result<(SocketAddr, Duration), ProcessorError> {
-    let wrong = |what: &str| ProcessorError::Unexpected(format!("let in, but {what}"));
-    let node = set_header(response, header).ok_or_else(|| wrong("no node is named"))?;
-    let addr = node.parse().map_err(|_| wrong("the node's address makes no sense"))?;
+    let unexpected = |reason: &str| ProcessorError::Unexpected(format!("request admitted, but {reason}"));
+    let server = set_header(response, header).ok_or_else(|| unexpected("no server is named"))?;
+    let addr = server.parse().map_err(|_| unexpected("the server's address is invalid"))?;
     let limit = set_header(response, "x-envoy-upstream-rq-timeout-ms")
         .and_then(|ms| ms.parse().ok())
         .map_or(MESSAGE_TIMEOUT, Duration::from_millis);
     Ok((addr, limit))
 }
 
-/// A string field of the dynamic metadata `space.field` of an answer.
-pub fn metadata(answer: &ext::ProcessingResponse, space: &str, field: &str) -> Option<String> {
+/// The string in field `field` of the given namespace of an answer's dynamic metadata.
+pub fn metadata(answer: &ext::ProcessingResponse, namespace: &str, field: &str) -> Option<String> {
     let Some(Value { kind: Some(Kind::StructValue(Struct { fields })) }) =
-        answer.dynamic_metadata.as_ref()?.fields.get(space)
+        answer.dynamic_metadata.as_ref()?.fields.get(namespace)
     else {
         return None;
     };
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A booking node: one thread a connection, answers by a closure or by a script of faults.
+//! A back-end server with one thread per connection. A closure or a script of faults determines its answers.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,24 +12,24 @@
 use crate::message::{self, write_ok, Message};
 use crate::wait_for;
 
-/// What a scripted node does with a request in place of serving it.
+/// What a scripted server does with a request instead of serving it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// 500: it may have run.
+    /// Answers 500: the request may have run.
     Error,
-    /// 503 with `X-Unprocessed: 1`: it never ran.
+    /// Answers 503 with `X-Unprocessed: 1`: the request did not run.
     Unprocessed,
-    /// 503 without the mark: it may have run.
+    /// Answers 503 without that header: the request may have run.
     Unavailable,
-    /// The connection is closed after the request was read.
+    /// Closes the connection after reading the request.
     Reset,
-    /// Half an answer, then a close.
-    Half,
-    /// No answer for so many milliseconds, then a close.
+    /// Sends an incomplete answer, then closes the connection.
+    Truncated,
+    /// Sends no answer for this many milliseconds, then closes the connection.
     Silent(u64),
 }
 
-/// How a fault is written on the command line: `error`, `turn-away`, `unavailable`, `reset`, `half`, `silent=MS`.
+/// Parses a fault as it is written on the command line: `error`, `turn-away`, `unavailable`, `reset`, `half`, `silent=MS`.
 impl FromStr for Fault {
     type Err = String;
 
@@ -39,7 +39,7 @@
             None if text == "turn-away" => Ok(Fault::Unprocessed),
             None if text == "unavailable" => Ok(Fault::Unavailable),
             None if text == "reset" => Ok(Fault::Reset),
-            None if text == "half" => Ok(Fault::Half),
+            None if text == "half" => Ok(Fault::Truncated),
             Some(("silent", ms)) => {
                 let ms = ms.parse().map_err(|_| format!("'{ms}' is not a number of milliseconds"))?;
                 Ok(Fault::Silent(ms))
@@ -51,16 +51,16 @@
     }
 }
 
-/// How a scripted node behaves.
+/// Behaviour of a scripted server.
 #[derive(Debug, Clone)]
 pub struct Script {
-    /// Milliseconds of work for each request.
+    /// Time that a request takes, in milliseconds.
     pub work_ms: u64,
-    /// Requests worked on at once; further ones wait.
+    /// Maximum number of requests processed at once; further ones wait.
     pub cores: usize,
-    /// Body of an answer.
+    /// Body of each successful answer.
     pub body: String,
-    /// Which requests, counted from 0 over all connections, meet which fault. The first range that holds counts.
+    /// Faults by request number, counted from 0 over all connections. The first matching range applies.
     pub faults: Vec<(Range<usize>, Fault)>,
 }
 
@@ -70,13 +70,14 @@
     }
 }
 
-/// Places for work; waits while all are taken.
+/// The server's processing slots.
 struct Cores {
     free: Mutex<usize>,
     freed: Condvar,
 }
 
 impl Cores {
+    /// Waits for a free slot and occupies it for `ms` milliseconds.
     fn work(&self, ms: u64) {
         let mut free = lock(&self.free);
         while *free == 0 {
@@ -90,52 +91,52 @@
     }
 }
 
-/// A test that panics while it holds a lock must not hide its message behind a second panic.
+/// Locks a mutex even if it is poisoned: after a test panics with the lock, a second panic would hide its message.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 #[derive(Default)]
 struct Counts {
-    seen: Mutex<Vec<Message>>,
-    arrivals: AtomicUsize,
+    requests: Mutex<Vec<Message>>,
+    request_count: AtomicUsize,
     connections: AtomicUsize,
     open: AtomicUsize,
-    most_open: AtomicUsize,
-    closed_by_peer: AtomicUsize,
+    max_open: AtomicUsize,
+    closed: AtomicUsize,
     stop: AtomicBool,
-    /// Requests of each `X-Correlation-Id` that are being worked on, and the most at once.
-    at_once: Mutex<(BTreeMap<String, usize>, usize)>,
+    /// Number of requests in progress by `X-Correlation-Id`, and the maximum so far for any one.
+    concurrent: Mutex<(BTreeMap<String, usize>, usize)>,
 }
 
-/// A booking node on a loopback address.
+/// A back-end server on a loopback address.
 pub struct Server {
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
     counts: Arc<Counts>,
 }
 
 impl Server {
-    /// A node that answers as the closure does; false from it ends the connection.
+    /// Starts a server whose requests the closure answers. The closure returns false to close the connection.
     pub fn new(answer: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
         Server::on(listener, answer)
     }
 
-    /// A node that follows a script.
+    /// Starts a server that follows a script.
     pub fn scripted(script: Script) -> Server {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port");
         Server::scripted_on(listener, script)
     }
 
-    /// A node that follows a script, on a listener of the caller's.
+    /// Like [`Server::scripted`], on the caller's listener.
     pub fn scripted_on(listener: TcpListener, script: Script) -> Server {
-        let arrived = AtomicUsize::new(0);
+        let next_number = AtomicUsize::new(0);
         let cores = Cores { free: Mutex::new(script.cores.max(1)), freed: Condvar::new() };
         Server::on(listener, move |_, stream| {
-            let number = arrived.fetch_add(1, Ordering::SeqCst);
+            let number = next_number.fetch_add(1, Ordering::SeqCst);
             let fault = script.faults.iter().find(|(range, _)| range.contains(&number)).map(|(_, f)| *f);
-            let plain = |stream: &mut TcpStream, head: &str| {
+            let answer_empty = |stream: &mut TcpStream, head: &str| {
                 write!(stream, "HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n").is_ok()
             };
             match fault {
@@ -143,11 +144,13 @@
                     cores.work(script.work_ms);
                     write_ok(stream, &script.body)
                 }
-                Some(Fault::Error) => plain(stream, "500 Internal Server Error"),
-                Some(Fault::Unprocessed) => plain(stream, "503 Service Unavailable\r\nX-Unprocessed: 1"),
-                Some(Fault::Unavailable) => plain(stream, "503 Service Unavailable"),
+                Some(Fault::Error) => answer_empty(stream, "500 Internal Server Error"),
+                Some(Fault::Unprocessed) => {
+                    answer_empty(stream, "503 Service Unavailable\r\nX-Unprocessed: 1")
+                }
+                Some(Fault::Unavailable) => answer_empty(stream, "503 Service Unavailable"),
                 Some(Fault::Reset) => false,
-                Some(Fault::Half) => {
+                Some(Fault::Truncated) => {
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
                     false
                 }
@@ -165,45 +168,45 @@
     ) -> Server {
         let addr = listener.local_addr().expect("an address");
         let (counts, answer) = (Arc::new(Counts::default()), Arc::new(answer));
-        let all = counts.clone();
+        let shared = counts.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                if all.stop.load(Ordering::SeqCst) {
+                if shared.stop.load(Ordering::SeqCst) {
                     return;
                 }
                 let Ok(stream) = stream else { continue };
-                let (counts, answer) = (all.clone(), answer.clone());
+                let (counts, answer) = (shared.clone(), answer.clone());
                 std::thread::spawn(move || connection(stream, &counts, &*answer));
             }
         });
         Server { addr, counts }
     }
 
-    /// All requests so far.
+    /// All requests received so far.
     pub fn requests(&self) -> Vec<Message> {
-        lock(&self.counts.seen).clone()
+        lock(&self.counts.requests).clone()
     }
-    /// Number of requests so far.
+    /// Number of requests received so far.
     pub fn request_count(&self) -> usize {
-        self.counts.arrivals.load(Ordering::SeqCst)
+        self.counts.request_count.load(Ordering::SeqCst)
     }
-    /// Number of connections so far.
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.counts.connections.load(Ordering::SeqCst)
     }
-    /// Most connections open at once.
+    /// Maximum number of connections open at once so far.
     pub fn max_open_connections(&self) -> usize {
-        self.counts.most_open.load(Ordering::SeqCst)
+        self.counts.max_open.load(Ordering::SeqCst)
     }
-    /// Connections that ended, whoever closed them.
+    /// Number of connections that have ended, whichever side closed them.
     pub fn closed_connections(&self) -> usize {
-        self.counts.closed_by_peer.load(Ordering::SeqCst)
+        self.counts.closed.load(Ordering::SeqCst)
     }
-    /// Most requests of one `X-Correlation-Id` worked on at once, by this node.
+    /// Maximum number of requests with the same `X-Correlation-Id` that this server processed at once so far.
     pub fn max_concurrent_requests(&self) -> usize {
-        lock(&self.counts.at_once).1
+        lock(&self.counts.concurrent).1
     }
-    /// Stops listening; returns when connections are refused.
+    /// Stops listening, and returns once connections are refused.
     pub fn close(&self) {
         self.counts.stop.store(true, Ordering::SeqCst);
         wait_for("the listener to close", || TcpStream::connect(self.addr).is_err());
@@ -218,33 +221,33 @@
     let _ = stream.set_nodelay(true);
     counts.connections.fetch_add(1, Ordering::SeqCst);
     let open = counts.open.fetch_add(1, Ordering::SeqCst) + 1;
-    counts.most_open.fetch_max(open, Ordering::SeqCst);
+    counts.max_open.fetch_max(open, Ordering::SeqCst);
     while let Some(message) = message::read(&mut stream) {
         let id = message.header("x-correlation-id").unwrap_or_default();
         {
-            let mut at_once = lock(&counts.at_once);
-            let now = at_once.0.entry(id.clone()).or_default();
-            *now += 1;
-            let now = *now;
-            at_once.1 = at_once.1.max(now);
+            let mut concurrent = lock(&counts.concurrent);
+            let count = concurrent.0.entry(id.clone()).or_default();
+            *count += 1;
+            let count = *count;
+            concurrent.1 = concurrent.1.max(count);
         }
-        lock(&counts.seen).push(message.clone());
-        counts.arrivals.fetch_add(1, Ordering::SeqCst);
-        let goes_on = answer(&message, &mut stream);
-        let mut at_once = lock(&counts.at_once);
-        if let Some(now) = at_once.0.get_mut(&id) {
-            *now -= 1;
-            if *now == 0 {
-                at_once.0.remove(&id);
+        lock(&counts.requests).push(message.clone());
+        counts.request_count.fetch_add(1, Ordering::SeqCst);
+        let keep_open = answer(&message, &mut stream);
+        let mut concurrent = lock(&counts.concurrent);
+        if let Some(count) = concurrent.0.get_mut(&id) {
+            *count -= 1;
+            if *count == 0 {
+                concurrent.0.remove(&id);
             }
         }
-        drop(at_once);
-        if !goes_on {
+        drop(concurrent);
+        if !keep_open {
             break;
         }
     }
     let _ = stream.shutdown(Shutdown::Both);
-    counts.closed_by_peer.fetch_add(1, Ordering::SeqCst);
+    counts.closed.fetch_add(1, Ordering::SeqCst);
     counts.open.fetch_sub(1, Ordering::SeqCst);
 }
 
@@ -253,7 +256,7 @@
     use super::*;
 
     #[test]
-    fn faults_are_read_as_they_are_written() {
+    fn faults_are_parsed() {
         assert_eq!("silent=250".parse(), Ok(Fault::Silent(250)));
         assert_eq!("turn-away".parse(), Ok(Fault::Unprocessed));
         assert!("silent=soon".parse::<Fault>().expect_err("no number").contains("'soon'"));
@@ -261,17 +264,17 @@
     }
 
     #[test]
-    fn a_script_meets_the_requests_it_names() {
+    fn script_applies_faults_to_the_numbered_requests() {
         let script =
             Script { faults: vec![(1..2, Fault::Unprocessed), (2..3, Fault::Reset)], ..Script::default() };
-        let node = Server::scripted(script);
+        let server = Server::scripted(script);
         let request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
-        let mut stream = TcpStream::connect(node.addr).expect("connect");
+        let mut stream = TcpStream::connect(server.addr).expect("connect");
         assert_eq!(message::exchange(&mut stream, request).status, 200);
-        let away = message::exchange(&mut stream, request);
-        assert_eq!((away.status, away.header("x-unprocessed").as_deref()), (503, Some("1")));
+        let rejected = message::exchange(&mut stream, request);
+        assert_eq!((rejected.status, rejected.header("x-unprocessed").as_deref()), (503, Some("1")));
         stream.write_all(request.as_bytes()).expect("write");
         assert!(message::read(&mut stream).is_none());
-        assert_eq!((node.request_count(), node.connections()), (3, 1));
+        assert_eq!((server.request_count(), server.connections()), (3, 1));
     }
 }
--- a/crates/standin/src/traffic.rs
+++ b/crates/standin/src/traffic.rs
@@ -1,62 +1,63 @@
-//! Recorded traffic: the same requests, at the same moments, for any front.
+//! Generated traffic for repeatable runs: the same requests at the same times, whichever interface of the limiters is
+//! used.
 
 use std::fmt::Write;
 
 use bytes::Bytes;
 
-/// A member firm that asks.
+/// A customer that sends requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Customer {
-    /// Its number; below 2^33.
+    /// ID of the customer; below 2^33.
     pub id: u64,
-    /// Name of its plan.
+    /// Name of the customer's plan.
     pub plan: String,
-    /// Units a second that it asks for, on average.
+    /// Average demand, in units per second.
     pub units_per_s: f64,
-    /// How many limiters get its requests...
+    /// Number of limiters that receive its requests, in a round.
     pub spread: u32,
-    /// ...counted round from this one.
+    /// Index of the first of these limiters; the others follow it, with wrap-around.
     pub first: u32,
 }
 
-/// A class of requests.
+/// A kind of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Kind {
-    /// Its name, the first part of the path.
+    /// Name of the class, the first part of the path.
     pub class: String,
-    /// It carries a key and a body, and is sent with `POST`.
+    /// Whether requests carry an idempotency key and a body and are sent with `POST`.
     pub keyed: bool,
-    /// Share of the requests.
+    /// Share of all requests.
     pub share: f64,
-    /// Units that each takes.
+    /// Quota units per request.
     pub units: f64,
-    /// Seconds until the client gives up.
+    /// Time until the client gives up, in seconds.
     pub budget_s: f64,
 }
 
-/// One recorded request.
+/// One request of the traffic.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// When it is sent, in milliseconds from the start.
+    /// Time of sending, in milliseconds from the start.
     pub at_ms: f64,
-    /// Number of the limiter that gets it.
+    /// Index of the limiter that receives it.
     pub limiter: usize,
     /// `X-Correlation-Id`.
     pub name: String,
-    /// Whose it is.
+    /// The customer that sends it.
     pub customer: Customer,
-    /// What it is.
+    /// The kind of request.
     pub kind: Kind,
 }
 
 impl Call {
-    /// Method and path.
+    /// The method and the path.
     pub fn method_and_path(&self) -> (&'static str, String) {
         let method = if self.kind.keyed { "POST" } else { "GET" };
         (method, format!("/{}/{:016x}", self.kind.class, self.customer.id))
     }
 
-    /// Its headers, without those of framing.
+    /// The headers, except those for framing.
     pub fn headers(&self) -> Vec<(&'static str, String)> {
         let mut weight = String::new();
         let _ = write!(
@@ -81,10 +82,10 @@
         Bytes::from_static(if self.kind.keyed { b"lot=7&truck=3" } else { b"" })
     }
 
-    /// The whole request, as a client sends it.
+    /// The complete request, as a client sends it.
     ///
     /// # Panics
-    /// When a name in it is no header value.
+    /// If a name in it is not a valid header value.
     pub fn request(&self) -> hyper::Request<Bytes> {
         let (method, path) = self.method_and_path();
         let mut request =
@@ -92,19 +93,19 @@
         for (name, value) in self.headers() {
             request = request.header(name, value);
         }
-        request.body(self.body()).expect("names that a header can hold")
+        request.body(self.body()).expect("names are valid header values")
     }
 }
 
-/// Draws `seconds` of traffic. The same arguments give the same requests: arrivals of each firm are Poisson, its
-/// requests are dealt out evenly among its limiters, and names hold the seed.
+/// Generates `seconds` of traffic. The same arguments give the same requests. The requests of each customer are a
+/// Poisson process and go to its limiters in turn. Request names contain the seed.
 pub fn generate(seed: u64, customers: &[Customer], kinds: &[Kind], limiters: u32, seconds: f64) -> Vec<Call> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let shares: f64 = kinds.iter().map(|k| k.share).sum();
     let mean_units = kinds.iter().map(|k| k.share / shares * k.units).sum::<f64>();
     let mut calls = Vec::new();
-    for firm in customers {
-        let per_ms = firm.units_per_s / mean_units / 1000.0;
+    for customer in customers {
+        let per_ms = customer.units_per_s / mean_units / 1000.0;
         let mut at_ms = 0.0;
         for turn in 0.. {
             at_ms += -(1.0 - rng.f64()).ln() / per_ms;
@@ -117,33 +118,34 @@
                 pick < 0.0
             });
             let kind = kind.unwrap_or(&kinds[kinds.len() - 1]).clone();
-            let limiter = ((firm.first + turn % firm.spread) % limiters) as usize;
-            let name = format!("{seed:x}-{:x}-{turn}", firm.id);
-            calls.push(Call { at_ms, limiter, name, customer: firm.clone(), kind });
+            let limiter = ((customer.first + turn % customer.spread) % limiters) as usize;
+            let name = format!("{seed:x}-{:x}-{turn}", customer.id);
+            calls.push(Call { at_ms, limiter, name, customer: customer.clone(), kind });
         }
     }
     calls.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
     calls
 }
 
-/// Firms inside, near and beyond the quotas of three plans (1.5, 4 and 16 units a second) over three limiters, and the
-/// kinds of requests that they make. The last firm asks for `greedy` units a second on the plan `fleet`.
+/// Customers with a demand below, near and above the quotas of three plans (1.5, 4 and 16 units per second), for three
+/// limiters, and the kinds of requests that they send. The last customer demands `greedy` units per second on the plan
+/// `fleet`.
 pub fn sample_traffic(greedy: f64) -> (Vec<Customer>, [Kind; 2]) {
-    let firm = |id, plan: &str, units_per_s, spread, first| Customer {
+    let customer = |id, plan: &str, units_per_s, spread, first| Customer {
         id,
         plan: plan.into(),
         units_per_s,
         spread,
         first,
     };
-    let mut firms = Vec::new();
+    let mut customers = Vec::new();
     for n in 0..8 {
-        let (which, first) = (n as usize % 4, n as u32 % 3);
-        firms.push(firm(100 + n, "small-yard", [0.5, 1.4, 4.0, 1.0][which], 2, first));
-        firms.push(firm(200 + n, "mill", [1.5, 3.8, 12.0, 3.0][which], 3, first));
+        let (index, first) = (n as usize % 4, n as u32 % 3);
+        customers.push(customer(100 + n, "small-yard", [0.5, 1.4, 4.0, 1.0][index], 2, first));
+        customers.push(customer(200 + n, "mill", [1.5, 3.8, 12.0, 3.0][index], 3, first));
     }
-    firms.push(firm(300, "fleet", 12.0, 3, 0));
-    firms.push(firm(301, "fleet", greedy, 3, 1));
+    customers.push(customer(300, "fleet", 12.0, 3, 0));
+    customers.push(customer(301, "fleet", greedy, 3, 1));
     let kind = |class: &str, keyed, share, units, budget_s| Kind {
         class: class.into(),
         keyed,
@@ -151,33 +153,33 @@
         units,
         budget_s,
     };
-    (firms, [kind("slot-check", false, 0.62, 1.0, 4.0), kind("pickup-book", true, 0.38, 2.0, 8.0)])
+    (customers, [kind("slot-check", false, 0.62, 1.0, 4.0), kind("pickup-book", true, 0.38, 2.0, 8.0)])
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn drawn(seed: u64) -> Vec<Call> {
-        let firm = Customer { id: 9, plan: "mill".into(), units_per_s: 40.0, spread: 2, first: 2 };
+    fn generated(seed: u64) -> Vec<Call> {
+        let customer = Customer { id: 9, plan: "mill".into(), units_per_s: 40.0, spread: 2, first: 2 };
         let kind =
             |class: &str, keyed, units| Kind { class: class.into(), keyed, share: 0.5, units, budget_s: 2.0 };
-        generate(seed, &[firm], &[kind("look", false, 1.0), kind("book", true, 3.0)], 3, 20.0)
+        generate(seed, &[customer], &[kind("look", false, 1.0), kind("book", true, 3.0)], 3, 20.0)
     }
 
     #[test]
-    fn the_same_seed_gives_the_same_traffic_at_the_asked_rate() {
-        let calls = drawn(5);
-        assert_eq!(calls, drawn(5));
-        assert_ne!(calls, drawn(6));
+    fn same_seed_gives_the_same_traffic_at_the_given_rate() {
+        let calls = generated(5);
+        assert_eq!(calls, generated(5));
+        assert_ne!(calls, generated(6));
         let units: f64 = calls.iter().map(|c| c.kind.units).sum();
         assert!((units / 20.0 - 40.0).abs() < 8.0, "{units}");
-        assert!(calls.iter().all(|c| c.limiter == 2 || c.limiter == 0), "two in a row, counted round");
+        assert!(calls.iter().all(|c| c.limiter == 2 || c.limiter == 0), "two limiters, with wrap-around");
     }
 
     #[test]
-    fn a_keyed_request_carries_its_key() {
-        let call = drawn(5).into_iter().find(|c| c.kind.keyed).expect("some");
+    fn keyed_request_carries_its_key() {
+        let call = generated(5).into_iter().find(|c| c.kind.keyed).expect("some");
         let request = call.request();
         assert_eq!(request.method(), "POST");
         assert_eq!(request.headers()["idempotency-key"], format!("key-{}", call.name).as_str());
--- a/crates/standin/tests/program.rs
+++ b/crates/standin/tests/program.rs
@@ -1,4 +1,4 @@
-//! The stand-ins started by hand.
+//! The stand-ins as run from the command line.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -26,7 +26,7 @@
     (standin, addr)
 }
 
-fn refused(arguments: &[&str]) -> String {
+fn error_output(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_marldeal-standin")).args(arguments).output();
     let output = output.expect("the program starts");
     assert!(!output.status.success());
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn a_node_follows_the_faults_of_its_command_line() {
-    let (_node, addr) = start(&["node", "--work-ms", "1", "--fault", "1..2:turn-away"]);
+fn server_follows_the_faults_of_its_command_line() {
+    let (_server, addr) = start(&["node", "--work-ms", "1", "--fault", "1..2:turn-away"]);
     let mut stream = TcpStream::connect(addr).expect("connect");
     let request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
     let statuses: Vec<u16> = (0..3).map(|_| exchange(&mut stream, request).status).collect();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn discovery_tells_its_nodes_and_what_is_typed() {
+fn discovery_sends_its_servers_and_typed_lines() {
     let (mut discovery, addr) = start(&["discovery", "--node", "s-1=127.0.0.1:9"]);
     let mut stream = TcpStream::connect(addr).expect("connect");
     stream.write_all(b"GET /api/targets?watch=1 HTTP/1.1\r\nHost: x\r\n\r\n").expect("write");
@@ -55,23 +55,24 @@
 }
 
 #[test]
-fn a_counter_stops_and_starts_empty_as_it_is_told() {
+fn counter_follows_typed_commands() {
     let (mut counter, addr) = start(&["counter", "--work-ms", "0"]);
     let call = "POST /v2/numbers/a?delta=3&life_ms=60000 HTTP/1.1\r\nHost: x\r\n\r\n";
-    let ask = || TcpStream::connect(addr).ok().map(|mut stream| exchange(&mut stream, call).body);
-    assert_eq!(ask().as_deref(), Some("3"));
-    let mut tell = |text: &[u8]| counter.0.stdin.as_mut().expect("piped").write_all(text).expect("write");
-    tell(b"stop\n");
+    let send_call = || TcpStream::connect(addr).ok().map(|mut stream| exchange(&mut stream, call).body);
+    assert_eq!(send_call().as_deref(), Some("3"));
+    let mut type_line =
+        |text: &[u8]| counter.0.stdin.as_mut().expect("piped").write_all(text).expect("write");
+    type_line(b"stop\n");
     marldeal_standin::wait_for("the counter to refuse", || TcpStream::connect(addr).is_err());
-    tell(b"start-empty\n");
-    marldeal_standin::wait_for("the counter to be back", || TcpStream::connect(addr).is_ok());
-    assert_eq!(ask().as_deref(), Some("3"), "its counts are gone");
+    type_line(b"start-empty\n");
+    marldeal_standin::wait_for("the counter to accept", || TcpStream::connect(addr).is_ok());
+    assert_eq!(send_call().as_deref(), Some("3"), "it starts without counts");
 }
 
 #[test]
-fn bad_arguments_are_named() {
-    assert!(refused(&["node", "--listen", "192.0.2.1:0"]).contains("not a loopback address"));
-    assert!(refused(&["node", "--fault", "1..2:explode"]).contains("'explode' is no fault"));
-    assert!(refused(&["discovery", "--node", "s-1"]).contains("'s-1' is not ID=ADDRESS"));
-    assert!(refused(&["proxy", "--processor", "127.0.0.1:1"]).contains("processor 127.0.0.1:1"));
+fn error_names_the_invalid_argument() {
+    assert!(error_output(&["node", "--listen", "192.0.2.1:0"]).contains("not a loopback address"));
+    assert!(error_output(&["node", "--fault", "1..2:explode"]).contains("'explode' is no fault"));
+    assert!(error_output(&["discovery", "--node", "s-1"]).contains("'s-1' is not ID=ADDRESS"));
+    assert!(error_output(&["proxy", "--processor", "127.0.0.1:1"]).contains("processor 127.0.0.1:1"));
 }
