--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -402,23 +402,18 @@
 
     /// Returns the state at `now` for a successor process. `kind` says what this process does from here on.
     pub fn snapshot(&self, now: Millis, kind: SnapshotKind) -> Snapshot {
-        Snapshot {
-            kind,
-            written_ms: now,
-            next_request: self.next_id,
-            knowledge: self.limiter.export_state(now),
-        }
+        Snapshot { kind, written_ms: now, next_request: self.next_id, state: self.limiter.export_state(now) }
     }
 
     /// Restores state from the snapshot of another process. To be called before the first request only, because the
     /// state learnt by this process is replaced.
     pub fn restore(&mut self, now: Millis, assessment: Assessment) {
         match assessment {
-            Assessment::SameLimiter { knowledge, next_request } => {
+            Assessment::SameLimiter { state, next_request } => {
                 self.next_id = self.next_id.max(next_request);
-                self.limiter.import_state(now, &knowledge, true);
+                self.limiter.import_state(now, &state, true);
             }
-            Assessment::Hints { knowledge } => self.limiter.import_state(now, &knowledge, false),
+            Assessment::Hints { state } => self.limiter.import_state(now, &state, false),
             Assessment::Expired { .. } => {}
         }
     }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -7,7 +7,7 @@
 //! not call the decision module: bytes and times are arguments.
 //!
 //! ```
-//! use marldeal_snapshot::{assess, Assessment, SnapshotKind, ReadError, Snapshot};
+//! use marldeal_snapshot::{assess, Assessment, ReadError, Snapshot, SnapshotKind};
 //! # use fawnhill::{Limiter, Settings};
 //! # let settings = Settings {
 //! #     limiters: 1, position: 0, zone: 0, classes: vec![], plans: vec![], round_ms: 1.0,
@@ -16,8 +16,8 @@
 //! #     fall_multiple: 3.0, fall_ms: 2000.0, firms: 10_000,
 //! # };
 //! let limiter = Limiter::new(settings.clone(), 42, 0.0)?;
-//! let knowledge = limiter.export_state(500.0);
-//! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, knowledge };
+//! let state = limiter.export_state(500.0);
+//! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, state };
 //! let bytes = snapshot.to_bytes(&settings);
 //! let read = Snapshot::from_bytes(&bytes, &settings).expect("bytes just encoded");
 //! assert!(matches!(assess(read, 510.0), Assessment::SameLimiter { .. }));
@@ -69,7 +69,7 @@
     /// All request IDs that the writer has assigned are below this.
     pub next_request: RequestId,
     /// The state.
-    pub knowledge: LimiterState,
+    pub state: LimiterState,
 }
 
 /// Why bytes were rejected as a snapshot.
@@ -120,12 +120,12 @@
                 return bytes;
             }
             // Accounts are dropped last, as no other limiter has their contents.
-            let knowledge = &mut reduced.knowledge;
-            knowledge.customers.truncate(knowledge.customers.len() / 2);
-            knowledge.grants.truncate(knowledge.grants.len() / 2);
-            if knowledge.customers.len() + knowledge.grants.len() < 1000 {
-                knowledge.accounts.truncate(knowledge.accounts.len() / 2);
-                knowledge.servers.truncate(knowledge.servers.len() / 2);
+            let state = &mut reduced.state;
+            state.customers.truncate(state.customers.len() / 2);
+            state.grants.truncate(state.grants.len() / 2);
+            if state.customers.len() + state.grants.len() < 1000 {
+                state.accounts.truncate(state.accounts.len() / 2);
+                state.servers.truncate(state.servers.len() / 2);
             }
         }
     }
@@ -157,7 +157,7 @@
             return Err(ReadError::Corrupt("the checksum does not match".to_string()));
         }
         let read: Snapshot = postcard::from_bytes(body).map_err(|e| ReadError::Corrupt(e.to_string()))?;
-        read.knowledge.fits(settings).map_err(ReadError::Corrupt)?;
+        read.state.fits(settings).map_err(ReadError::Corrupt)?;
         if !read.written_ms.is_finite() {
             return Err(ReadError::Corrupt("the time of writing is not a finite number".to_string()));
         }
@@ -176,14 +176,14 @@
     /// The reader continues as the same limiter.
     SameLimiter {
         /// The writer's state, brought forward to the present.
-        knowledge: LimiterState,
+        state: LimiterState,
         /// First request ID that the reader assigns.
         next_request: RequestId,
     },
     /// The reader starts as a new limiter, with this state of servers, rates and demand.
     Hints {
         /// The writer's state, brought forward to the present and discounted by age.
-        knowledge: LimiterState,
+        state: LimiterState,
     },
     /// The reader starts as a new limiter without any state.
     Expired {
@@ -199,29 +199,29 @@
 /// age 0.
 pub fn assess(snapshot: Snapshot, now: Millis) -> Assessment {
     let age_ms = (now - snapshot.written_ms).max(0.0);
-    let mut knowledge = snapshot.knowledge;
+    let mut state = snapshot.state;
     match snapshot.kind {
         _ if age_ms > MAX_AGE_MS => Assessment::Expired { age_ms },
         SnapshotKind::Final if age_ms <= MAX_FINAL_AGE_MS => {
-            advance(&mut knowledge, age_ms);
+            advance(&mut state, age_ms);
             Assessment::SameLimiter {
-                knowledge,
+                state,
                 next_request: snapshot.next_request.wrapping_add(REQUEST_ID_GAP),
             }
         }
         SnapshotKind::Running | SnapshotKind::Final => {
-            advance(&mut knowledge, age_ms);
-            discount(&mut knowledge, age_ms);
-            Assessment::Hints { knowledge }
+            advance(&mut state, age_ms);
+            discount(&mut state, age_ms);
+            Assessment::Hints { state }
         }
     }
 }
 
 /// Brings the state forward by `elapsed_ms`: times grow older, rates decay.
-fn advance(knowledge: &mut LimiterState, elapsed_ms: Millis) {
-    knowledge.started.0 += elapsed_ms;
+fn advance(state: &mut LimiterState, elapsed_ms: Millis) {
+    state.started.0 += elapsed_ms;
     let decay = |(sum, span): &mut (f64, Millis)| *sum *= (-elapsed_ms / *span).exp();
-    for (_, server) in &mut knowledge.servers {
+    for (_, server) in &mut state.servers {
         server.ejected.0 = (server.ejected.0 - elapsed_ms).max(0.0);
         server.full = (server.full - elapsed_ms).max(0.0);
         server.since_answer += elapsed_ms;
@@ -231,18 +231,18 @@
             level.1 += elapsed_ms;
         }
     }
-    for (_, customer) in &mut knowledge.customers {
+    for (_, customer) in &mut state.customers {
         customer.equal_share.1 += elapsed_ms;
         customer.demand.1 += elapsed_ms;
     }
-    knowledge.accounts.iter_mut().for_each(|(_, a)| a.ago += elapsed_ms);
-    knowledge.leased.iter_mut().for_each(|(ago, ..)| *ago += elapsed_ms);
-    knowledge.open_grants.iter_mut().for_each(|(ago, _)| *ago += elapsed_ms);
-    for (_, cells) in &mut knowledge.deficits {
+    state.accounts.iter_mut().for_each(|(_, a)| a.ago += elapsed_ms);
+    state.leased.iter_mut().for_each(|(ago, ..)| *ago += elapsed_ms);
+    state.open_grants.iter_mut().for_each(|(ago, _)| *ago += elapsed_ms);
+    for (_, cells) in &mut state.deficits {
         cells.iter_mut().for_each(|(_, owes)| *owes -= elapsed_ms);
         cells.retain(|(_, owes)| *owes > 0.0);
     }
-    let feedback = &mut knowledge.feedback;
+    let feedback = &mut state.feedback;
     feedback.means.iter_mut().for_each(|(sum, count)| {
         decay(sum);
         decay(count);
@@ -251,9 +251,9 @@
 }
 
 /// Reduces what may have changed since the snapshot: errors of servers decay, allowances count as spent.
-fn discount(knowledge: &mut LimiterState, elapsed_ms: Millis) {
+fn discount(state: &mut LimiterState, elapsed_ms: Millis) {
     let remaining = (-elapsed_ms / HEALTH_DECAY_MS).exp();
-    for (_, server) in &mut knowledge.servers {
+    for (_, server) in &mut state.servers {
         server.errors *= remaining;
         server.answers.0 *= remaining;
         server.silences = (f64::from(server.silences) * remaining) as u32;
@@ -262,7 +262,7 @@
             *level = (0.0, 0.0);
         }
     }
-    for (_, customer) in &mut knowledge.customers {
+    for (_, customer) in &mut state.customers {
         // The writer may have spent what was refilled since the snapshot.
         customer.equal_share.1 = 0.0;
         customer.store_left = 0.0;
--- a/crates/snapshot/tests/snapshot.rs
+++ b/crates/snapshot/tests/snapshot.rs
@@ -130,18 +130,18 @@
 fn snapshot_is_discounted_by_age_and_finally_unused() {
     let (old, now, _) = engine_with_used_quota();
     let mut snapshot = old.snapshot(now, SnapshotKind::Running);
-    for (_, s) in &mut snapshot.knowledge.servers {
+    for (_, s) in &mut snapshot.state.servers {
         (s.errors, s.silences, s.ejected) = (0.4, 3, (5000.0, 8000.0));
     }
     let assess_at = |age: f64| assess(snapshot.clone(), now + age);
     let errors = |assessment: Assessment| match assessment {
-        Assessment::Hints { knowledge } => knowledge.servers[0].1.errors,
+        Assessment::Hints { state } => state.servers[0].1.errors,
         _ => f64::NAN,
     };
     assert!((errors(assess_at(0.0)) - 0.4).abs() < 1e-9);
     assert!(errors(assess_at(10_000.0)) < 0.2 && errors(assess_at(10_000.0)) > 0.1);
-    let Assessment::Hints { knowledge } = assess_at(20_000.0) else { panic!("hints") };
-    assert_eq!((knowledge.servers[0].1.silences, knowledge.servers[0].1.ejected.0), (0, 0.0));
+    let Assessment::Hints { state } = assess_at(20_000.0) else { panic!("hints") };
+    assert_eq!((state.servers[0].1.silences, state.servers[0].1.ejected.0), (0, 0.0));
     assert_eq!(assess_at(MAX_AGE_MS + 1.0), Assessment::Expired { age_ms: MAX_AGE_MS + 1.0 });
     // A clock that was set back counts as age 0.
     assert!((errors(assess_at(-5000.0)) - 0.4).abs() < 1e-9);
@@ -168,7 +168,7 @@
     assert_eq!(Snapshot::from_bytes(&good, &other_settings), Err(ReadError::Settings));
     // A record that is invalid under these settings, with a correct checksum.
     let mut wrong = old.snapshot(now, SnapshotKind::Final);
-    wrong.knowledge.accounts[0].1.plan = 9;
+    wrong.state.accounts[0].1.plan = 9;
     assert!(matches!(read(&wrong.to_bytes(&settings())), Err(ReadError::Corrupt(_))));
 }
 
@@ -177,9 +177,9 @@
 fn encoded_size_is_bounded() {
     let (old, now, _) = engine_with_used_quota();
     let mut snapshot = old.snapshot(now, SnapshotKind::Final);
-    let (customer, account) = (snapshot.knowledge.customers[0], snapshot.knowledge.accounts[0]);
-    snapshot.knowledge.customers = (0..100_000).map(|n| (n, customer.1)).collect();
-    snapshot.knowledge.accounts = (0..100_000).map(|n| (n, account.1)).collect();
+    let (customer, account) = (snapshot.state.customers[0], snapshot.state.accounts[0]);
+    snapshot.state.customers = (0..100_000).map(|n| (n, customer.1)).collect();
+    snapshot.state.accounts = (0..100_000).map(|n| (n, account.1)).collect();
     let bytes = snapshot.to_bytes(&settings());
     assert!(bytes.len() <= MAX_BYTES, "{}", bytes.len());
     assert!(Snapshot::from_bytes(&bytes, &settings()).is_ok());
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -377,11 +377,11 @@
         let now = self.now();
         let belief = marldeal_snapshot::assess(read, now);
         let said = match &belief {
-            Assessment::SameLimiter { knowledge, .. } => format!(
+            Assessment::SameLimiter { state, .. } => format!(
                 "goes on as the same limiter with {} servers, {} customers, {} accounts",
-                knowledge.servers.len(),
-                knowledge.customers.len(),
-                knowledge.accounts.len()
+                state.servers.len(),
+                state.customers.len(),
+                state.accounts.len()
             ),
             Assessment::Hints { .. } => "knows the servers; ceilings start as if spent".to_string(),
             Assessment::Expired { age_ms } => format!("a snapshot {age_ms} ms old is not believed"),
