--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -33,7 +33,7 @@
 use crate::tapped::Shared;
 use clock::Clock;
 use proxied::Proxied;
-pub use proxied::Word;
+pub use proxied::ProxyReply;
 
 /// The final answer to a client of the direct front.
 #[derive(Debug)]
@@ -49,39 +49,39 @@
 }
 
 /// What of a request goes on to a server unchanged.
-pub struct Content {
+pub struct RequestContent {
     /// `GET` or `POST`.
     pub method: hyper::Method,
     /// Path and query.
     pub target: hyper::Uri,
     /// `X-Correlation-Id`.
-    pub correlation: HeaderValue,
+    pub correlation_id: HeaderValue,
     /// `Idempotency-Key`.
-    pub key: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
     /// The body.
     pub body: Payload,
     /// The client's whole time, in milliseconds.
     pub budget_ms: f64,
     /// How long its final answer is kept by its key, in milliseconds; nothing for one that is not.
-    pub keep_ms: Option<f64>,
+    pub answer_retention_ms: Option<f64>,
     /// What a second execution would do.
     pub effect: marldeal_permit::Effect,
     /// When the first attempt that may have run went out.
-    pub may_have_run: Cell<Option<f64>>,
+    pub may_have_run_since: Cell<Option<f64>>,
     /// When the present attempt went out.
-    pub sent: Cell<Option<f64>>,
+    pub attempt_sent_at: Cell<Option<f64>>,
 }
 
-impl Content {
+impl RequestContent {
     /// What was asked under its key: the path names class and firm.
     fn question(&self) -> Option<KeyedRequest<'_>> {
-        let key = self.key.as_ref()?.as_bytes();
+        let key = self.idempotency_key.as_ref()?.as_bytes();
         Some(KeyedRequest { scope: self.target.path().as_bytes(), key, content: self.body.small()? })
     }
 }
 
 /// One attempt that this program makes itself.
-pub struct Job {
+pub struct AttemptJob {
     /// Which request.
     pub id: RequestId,
     /// Which of its attempts.
@@ -89,15 +89,15 @@
     /// Where to.
     pub server: ServerId,
     /// What.
-    pub content: Rc<Content>,
+    pub content: Rc<RequestContent>,
     /// When it is given up, in the module's milliseconds.
     pub deadline: f64,
 }
 
 /// Carries attempts to servers.
 pub trait Upstream {
-    /// Starts an attempt, and reports its end with [`Driver::ended`]. `stopped` calls it off.
-    fn start(&self, driver: Rc<Driver>, job: Job, stopped: oneshot::Receiver<Outcome>);
+    /// Starts an attempt, and reports its end with [`Driver::attempt_ended`]. `stopped` calls it off.
+    fn start(&self, driver: Rc<Driver>, job: AttemptJob, stopped: oneshot::Receiver<Outcome>);
     /// Closes the idle connections to a server.
     fn close_idle(&self, server: &ServerId);
     /// Closes idle connections until no more than so many are open, where that can be.
@@ -106,7 +106,7 @@
 
 /// A request of the direct front, until its final answer.
 struct Direct {
-    content: Rc<Content>,
+    content: Rc<RequestContent>,
     answer: oneshot::Sender<Answer>,
     client: Shared,
     /// When its client was last seen to be connected.
@@ -147,7 +147,7 @@
 
 /// How often the configuration was read again, with what result.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Reloads {
+pub struct ReloadCounts {
     /// It took effect, or told nothing new.
     pub applied: u64,
     /// It had a mistake, and nothing changed.
@@ -156,15 +156,15 @@
 
 /// What operators are told.
 #[derive(Debug, Clone)]
-pub struct Figures {
+pub struct DriverStats {
     /// Requests and attempts.
-    pub ledger: RequestCounters,
+    pub request_counters: RequestCounters,
     /// Servers in the list.
     pub discovered: usize,
     /// Of these, those that the module avoids now.
     pub ejected: usize,
     /// Reloads.
-    pub reloads: Reloads,
+    pub reloads: ReloadCounts,
     /// Attempts that were not sent, since something had changed after the decision.
     pub denied: u64,
     /// Rules that this process broke, as far as it can see.
@@ -178,7 +178,7 @@
     /// Where the list of servers comes from.
     pub sources: Sources,
     /// The module wants the list anew; how often it has asked for all of it. Each watch hears of it, whatever it is at.
-    pub list_wanted: watch::Sender<u64>,
+    pub list_refresh: watch::Sender<u64>,
     told: Cell<bool>,
     /// The sockets over which sources of the list are watched, by the sources' numbers.
     watches: RefCell<BTreeMap<u32, Shared>>,
@@ -191,12 +191,12 @@
     pauses: RefCell<StallDetector>,
     /// A command has changed the phase.
     pub phase_changed: Notify,
-    reloads: Cell<Reloads>,
+    reloads: Cell<ReloadCounts>,
     clock: Clock,
     /// Where peers are told and heard; nowhere while another process of this limiter does.
     mail: RefCell<Option<Rc<UdpSocket>>>,
     /// The mail has been closed.
-    pub mail_closed: Notify,
+    pub peer_socket_closed: Notify,
     /// A predecessor has told what it knows.
     follows: Cell<bool>,
     /// Another process of this limiter lives: each holds half of what one may.
@@ -207,11 +207,11 @@
     record: RefCell<Option<AnswerCache>>,
     timers_changed: Notify,
     /// Bytes of requests' bodies that are held.
-    pub bodies: Rc<Budget>,
+    pub body_budget: Rc<Budget>,
 }
 
 /// Longest datagram between limiters.
-pub const MOST_DATAGRAM: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// A list that was handed over at the start counts as good after this long without word from discovery.
 const UNTOLD_MS: f64 = 2000.0;
@@ -238,9 +238,9 @@
         };
         let driver = Rc::new(Driver {
             sources: Sources::new(config.discovery),
-            bodies: Budget::new(config.most_body_bytes),
+            body_budget: Budget::new(config.most_body_bytes),
             config,
-            list_wanted: watch::Sender::new(0),
+            list_refresh: watch::Sender::new(0),
             told: Cell::new(false),
             watches: RefCell::default(),
             list_read: Cell::new(f64::NEG_INFINITY),
@@ -252,7 +252,7 @@
             reloads: Cell::default(),
             clock,
             mail: RefCell::default(),
-            mail_closed: Notify::new(),
+            peer_socket_closed: Notify::new(),
             follows: Cell::new(false),
             overlaps: Cell::new(beside),
             upstream,
@@ -276,7 +276,7 @@
 
     /// A request could be served: a server takes work, discovery has spoken or had its chance, and the module is
     /// ready to let requests in.
-    pub fn able(&self) -> bool {
+    pub fn can_serve(&self) -> bool {
         let told = self.told.get() || self.since_start_ms() > UNTOLD_MS;
         let now = self.now();
         let engine = &self.state.borrow().engine;
@@ -292,8 +292,8 @@
     }
 
     /// Clients may come.
-    pub fn ready(&self) -> bool {
-        self.able() && self.life.borrow().is_ready()
+    pub fn is_ready(&self) -> bool {
+        self.can_serve() && self.life.borrow().is_ready()
     }
 
     /// What this limiter is at.
@@ -302,7 +302,7 @@
     }
 
     /// Asks the lifecycle something, at this moment.
-    pub fn life<T>(&self, ask: impl Fn(&Lifecycle, f64) -> T) -> T {
+    pub fn with_lifecycle<T>(&self, ask: impl Fn(&Lifecycle, f64) -> T) -> T {
         ask(&self.life.borrow(), self.now())
     }
 
@@ -310,8 +310,8 @@
     ///
     /// # Errors
     /// The process is ending.
-    pub fn command(&self, command: Command) -> Result<Phase, AlreadyEnding> {
-        self.able();
+    pub fn handle_command(&self, command: Command) -> Result<Phase, AlreadyEnding> {
+        self.can_serve();
         let before = self.phase();
         let now = self.now();
         let said = self.life.borrow_mut().handle(now, command);
@@ -329,7 +329,7 @@
     ///
     /// # Errors
     /// It cannot be bound, as while another process has it.
-    pub async fn open_mail(&self) -> std::io::Result<Option<Rc<UdpSocket>>> {
+    pub async fn open_peer_socket(&self) -> std::io::Result<Option<Rc<UdpSocket>>> {
         let Some(at) = self.config.peer_listen else { return Ok(None) };
         let socket = Rc::new(UdpSocket::bind(at).await?);
         *self.mail.borrow_mut() = Some(socket.clone());
@@ -337,20 +337,20 @@
     }
 
     /// Tells and hears peers no more: nothing is granted from here on.
-    pub fn close_mail(&self) {
+    pub fn close_peer_socket(&self) {
         drop(self.mail.borrow_mut().take());
-        self.mail_closed.notify_waiters();
+        self.peer_socket_closed.notify_waiters();
     }
 
     /// Another process of this limiter lives, or none does any more.
-    pub fn overlap(&self, overlaps: bool) {
+    pub fn set_overlapping(&self, overlaps: bool) {
         self.overlaps.set(overlaps);
-        self.bodies.set_max_bytes(self.room(self.config.most_body_bytes));
-        self.upstream.trim(self.room(self.config.most_servers));
+        self.body_budget.set_max_bytes(self.share_of(self.config.most_body_bytes));
+        self.upstream.trim(self.share_of(self.config.most_servers));
     }
 
     /// How much of a bound this process may use.
-    pub fn room(&self, most: usize) -> usize {
+    pub fn share_of(&self, most: usize) -> usize {
         if self.overlaps.get() {
             most / 2
         } else {
@@ -359,7 +359,7 @@
     }
 
     /// Closes all idle connections to servers.
-    pub fn close_idle(&self) {
+    pub fn close_idle_connections(&self) {
         self.upstream.trim(0);
     }
 
@@ -369,7 +369,7 @@
     }
 
     /// Learns what another process of this limiter knew; tells what was made of it.
-    pub fn learn(self: &Rc<Self>, bytes: &[u8]) -> String {
+    pub fn restore_snapshot(self: &Rc<Self>, bytes: &[u8]) -> String {
         let read = match Snapshot::from_bytes(bytes, &self.config.settings) {
             Ok(read) => read,
             Err(why) => return format!("{why}; it starts as if alone"),
@@ -396,10 +396,10 @@
     }
 
     /// What has been counted, and how things stand.
-    pub fn figures(&self) -> Figures {
+    pub fn stats(&self) -> DriverStats {
         let state = self.state.borrow();
-        Figures {
-            ledger: state.engine.counters().clone(),
+        DriverStats {
+            request_counters: state.engine.counters().clone(),
             discovered: state.addresses.len(),
             ejected: state.engine.ejected_servers(self.now()),
             reloads: self.reloads.get(),
@@ -409,12 +409,12 @@
     }
 
     /// Counts something that happens outside the engine.
-    pub fn count(&self, what: impl Fn(&mut RequestCounters)) {
+    pub fn update_counters(&self, what: impl Fn(&mut RequestCounters)) {
         what(self.state.borrow_mut().engine.counters_mut());
     }
 
     /// New names come so fast that the module refuses those it has never seen.
-    pub fn flooding(&self) -> bool {
+    pub fn refuses_new_customers(&self) -> bool {
         self.state.borrow().engine.refuses_new_customers()
     }
 
@@ -443,21 +443,21 @@
         true
     }
 
-    fn count_reload(&self, count: impl Fn(&mut Reloads)) {
+    fn count_reload(&self, count: impl Fn(&mut ReloadCounts)) {
         let mut reloads = self.reloads.get();
         count(&mut reloads);
         self.reloads.set(reloads);
     }
 
     /// A peer has told something.
-    pub fn heard(self: &Rc<Self>, from: u32, body: Vec<u8>) {
+    pub fn receive_peer_message(self: &Rc<Self>, from: u32, body: Vec<u8>) {
         let mut state = self.state.borrow_mut();
         self.input(&mut state, Input::MessageReceived { from, body });
         self.perform(&mut state, None);
     }
 
     /// Discovery's news.
-    pub fn servers(self: &Rc<Self>, news: News) {
+    pub fn update_servers(self: &Rc<Self>, news: News) {
         let first = !self.told.replace(true);
         self.apply(news);
         if first {
@@ -513,9 +513,9 @@
 
     /// A client's request that has come whole: its id, and where its final answer will come from. Nothing if
     /// one with the same `X-Correlation-Id` is open.
-    pub fn request(
+    pub fn submit(
         self: &Rc<Self>,
-        content: Content,
+        content: RequestContent,
         mut request: Request,
         client: Shared,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
@@ -525,9 +525,9 @@
             request.budget_ms -= self.pauses.borrow_mut().max_queued_ms(self.now());
         }
         // Past that nobody is left to answer.
-        request.budget_ms = request.budget_ms.min(self.life(Lifecycle::remaining_ms));
+        request.budget_ms = request.budget_ms.min(self.with_lifecycle(Lifecycle::remaining_ms));
         let mut state = self.state.borrow_mut();
-        let correlation_id = content.correlation.as_bytes().into();
+        let correlation_id = content.correlation_id.as_bytes().into();
         let id = self.input(&mut state, Input::Request { correlation_id, request })?;
         if matches!(content.body, Payload::Piped(_)) {
             self.input(&mut state, Input::Uploading { id });
@@ -540,24 +540,24 @@
     }
 
     /// Final answers to keyed requests are kept from now on.
-    pub fn keep_answers(&self, bounds: marldeal_outcomes::Limits) {
+    pub fn enable_answer_cache(&self, bounds: marldeal_outcomes::Limits) {
         *self.record.borrow_mut() = Some(AnswerCache::new(bounds));
     }
 
     /// Holds units of quotas ahead of need, for so many customers at most.
-    pub fn prefetch(&self, most: usize) {
+    pub fn enable_prefetch(&self, most: usize) {
         self.state.borrow_mut().engine.enable_prefetch(most);
     }
 
     /// How long the answer to a request is kept from when it came: the class's window, in which servers drop its repeats.
-    pub fn keep_ms(&self, request: &Request) -> Option<f64> {
+    pub fn answer_retention_ms(&self, request: &Request) -> Option<f64> {
         let class = self.config.settings.classes.get(request.class)?;
         (class.effect == Effect::Keyed && self.record.borrow().is_some()).then_some(class.window_ms)
     }
 
     /// The answer that there was to this very request, asked before under its key.
-    pub fn recorded(&self, content: &Content) -> Option<Bytes> {
-        content.keep_ms?;
+    pub fn cached_answer(&self, content: &RequestContent) -> Option<Bytes> {
+        content.answer_retention_ms?;
         let found = self.record.borrow_mut().as_mut()?.lookup(self.now(), &content.question()?);
         match found {
             Lookup::Hit(body) => Some(body),
@@ -567,7 +567,7 @@
     }
 
     /// An attempt's last byte has been written.
-    pub fn written(self: &Rc<Self>, id: RequestId, attempt: u32) {
+    pub fn attempt_written(self: &Rc<Self>, id: RequestId, attempt: u32) {
         let mut state = self.state.borrow_mut();
         self.check_written(&state, id, attempt);
         self.input(&mut state, Input::Written { id, attempt });
@@ -575,7 +575,11 @@
     }
 
     /// An attempt's answer is passed on as it comes: where its pieces go; nothing if nobody waits for them any more.
-    pub fn streams(self: &Rc<Self>, job: &Job, length: Option<u64>) -> Option<mpsc::Sender<Piece>> {
+    pub fn begin_streaming(
+        self: &Rc<Self>,
+        job: &AttemptJob,
+        length: Option<u64>,
+    ) -> Option<mpsc::Sender<Piece>> {
         let mut state = self.state.borrow_mut();
         let direct = state.direct.remove(&job.id)?;
         // One piece waits: the pace is the reader's.
@@ -587,31 +591,31 @@
     }
 
     /// The client has gone, or does not read on, in the middle of its answer.
-    pub fn reader_gone(self: &Rc<Self>, id: RequestId) {
+    pub fn reader_disconnected(self: &Rc<Self>, id: RequestId) {
         let mut state = self.state.borrow_mut();
         self.input(&mut state, Input::ClientDisconnected { id });
         self.perform(&mut state, None);
     }
 
     /// The client has gone before its answer.
-    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let mut state = self.state.borrow_mut();
         let waited = state.direct.remove(&id).is_some();
         drop(state);
         if waited {
-            self.reader_gone(id);
+            self.reader_disconnected(id);
         }
     }
 
     /// Where a server listens, if it takes work at this moment.
-    pub fn address(&self, server: &ServerId) -> Option<SocketAddr> {
+    pub fn server_address(&self, server: &ServerId) -> Option<SocketAddr> {
         let state = self.state.borrow();
         state.addresses.get(server).filter(|_| state.engine.accepts_requests(server)).copied()
     }
 
     /// An attempt has ended; its connection is closed or back in the pool by now. An answer in time goes to
     /// the client; one for a request that is over is dropped.
-    pub fn ended(self: &Rc<Self>, job: &Job, outcome: Outcome, body: Option<Bytes>) {
+    pub fn attempt_ended(self: &Rc<Self>, job: &AttemptJob, outcome: Outcome, body: Option<Bytes>) {
         let (id, attempt) = (job.id, job.attempt);
         debug!(
             event = "ended",
@@ -620,12 +624,12 @@
             ?outcome,
             "request {id}: attempt {attempt} ended, {outcome:?}"
         );
-        if let Some(sent) = job.content.sent.take().filter(|_| permission::may_have_run(outcome)) {
-            let first = job.content.may_have_run.get().unwrap_or(sent);
-            job.content.may_have_run.set(Some(first));
+        if let Some(sent) = job.content.attempt_sent_at.take().filter(|_| permission::may_have_run(outcome)) {
+            let first = job.content.may_have_run_since.get().unwrap_or(sent);
+            job.content.may_have_run_since.set(Some(first));
         }
         // Also where the client has left: its next try under the key gets this answer.
-        if let (Outcome::Ok, Some(body), Some(keep_ms)) = (outcome, &body, job.content.keep_ms) {
+        if let (Outcome::Ok, Some(body), Some(keep_ms)) = (outcome, &body, job.content.answer_retention_ms) {
             if let (Some(record), Some(question)) = (&mut *self.record.borrow_mut(), job.content.question()) {
                 record.insert(self.now(), keep_ms, &question, body.clone());
             }
@@ -653,7 +657,7 @@
             match output {
                 Output::Send { id, attempt, server, deadline } => {
                     let Some(direct) = state.direct.get(&id) else { continue };
-                    let job = Job { id, attempt, server, content: direct.content.clone(), deadline };
+                    let job = AttemptJob { id, attempt, server, content: direct.content.clone(), deadline };
                     let (cancel, cancelled) = oneshot::channel();
                     state.out.insert((id, attempt), Out { cancel, deadline });
                     self.upstream.start(self.clone(), job, cancelled);
@@ -678,8 +682,8 @@
                 }
                 Output::SendMessage { to, body } => self.tell(to, &body),
                 Output::CloseIdle { server } => self.upstream.close_idle(&server),
-                Output::RefreshWatch => self.list_wanted.send_modify(|_| {}),
-                Output::FetchServerList => self.list_wanted.send_modify(|times| *times += 1),
+                Output::RefreshWatch => self.list_refresh.send_modify(|_| {}),
+                Output::FetchServerList => self.list_refresh.send_modify(|times| *times += 1),
                 Output::Log(line) => info!("{line}"),
             }
         }
@@ -694,7 +698,7 @@
             Some(position) => self.config.peers.get(position as usize).copied(),
             None => self.config.peers_all,
         };
-        if let (Some(socket), Some(to), true) = (&*self.mail.borrow(), to, body.len() <= MOST_DATAGRAM) {
+        if let (Some(socket), Some(to), true) = (&*self.mail.borrow(), to, body.len() <= MAX_DATAGRAM_BYTES) {
             let _ = socket.try_send_to(body, to);
         }
     }
--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-use super::{Driver, Job, State};
+use super::{AttemptJob, Driver, State};
 use crate::tapped::{Shared, Unread};
 
 /// How long what discovery has told is waited for after the process stood still, where its watch has ended meanwhile or is
@@ -36,7 +36,7 @@
 
 impl Driver {
     /// Connections may be accepted.
-    pub fn informed(&self) -> bool {
+    pub fn may_accept_connections(&self) -> bool {
         let settings = &self.config.settings;
         let aims = settings.classes.iter().map(|class| class.aim_ms);
         may_accept(&StartupState {
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// Why it may not; a client that has left is withdrawn.
-    pub async fn permit(self: &Rc<Self>, job: &Job) -> Result<(), Denied> {
+    pub async fn check_permission(self: &Rc<Self>, job: &AttemptJob) -> Result<(), Denied> {
         loop {
             match self.verdict(job) {
                 Verdict::Allowed => return Ok(()),
@@ -77,7 +77,7 @@
         }
     }
 
-    fn verdict(&self, job: &Job) -> Verdict {
+    fn verdict(&self, job: &AttemptJob) -> Verdict {
         let now = self.now();
         let state = self.state.borrow();
         let client = match state.direct.get(&job.id) {
@@ -92,7 +92,7 @@
             server_list_current: self.list_is_read(now),
             deadline: job.deadline,
             effect: job.content.effect,
-            may_have_run: job.content.may_have_run.get(),
+            may_have_run: job.content.may_have_run_since.get(),
             another_outstanding: earlier_out(&state, job.id, job.attempt),
         })
     }
@@ -106,7 +106,7 @@
             direct.client.unread() == Unread::Over
         };
         if left {
-            self.client_gone(id);
+            self.client_disconnected(id);
         }
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// A source of the list is watched over this socket from now on, or over none.
-    pub fn watched_over(&self, source: u32, socket: Option<Shared>) {
+    pub fn set_watch_socket(&self, source: u32, socket: Option<Shared>) {
         match socket {
             Some(socket) => drop(self.watches.borrow_mut().insert(source, socket)),
             None => drop(self.watches.borrow_mut().remove(&source)),
--- a/marldeal/src/driver/proxied.rs
+++ b/marldeal/src/driver/proxied.rs
@@ -11,7 +11,7 @@
 
 /// What a stream of a proxy is told.
 #[derive(Debug)]
-pub struct Word {
+pub struct ProxyReply {
     /// The verdict.
     pub verdict: Verdict,
     /// Where the granted attempt goes.
@@ -23,18 +23,22 @@
 /// Requests that proxies carry out.
 pub(super) struct Proxied {
     pub(super) machine: ExternalProcessor,
-    pub(super) streams: HashMap<StreamId, mpsc::Sender<Word>>,
+    pub(super) streams: HashMap<StreamId, mpsc::Sender<ProxyReply>>,
 }
 
 impl Driver {
     /// Proxies may ask from now on.
-    pub fn serve_proxies(&self, config: ProcessorConfig) {
+    pub fn enable_external_processor(&self, config: ProcessorConfig) {
         let machine = ExternalProcessor::new(config, &self.config.settings);
         self.state.borrow_mut().proxied = Some(Proxied { machine, streams: HashMap::new() });
     }
 
     /// Something that a stream said. `words` is where a stream that presents a request hears its verdicts.
-    pub fn proxied(self: &Rc<Self>, input: external::Input, words: Option<mpsc::Sender<Word>>) {
+    pub fn handle_proxy_input(
+        self: &Rc<Self>,
+        input: external::Input,
+        words: Option<mpsc::Sender<ProxyReply>>,
+    ) {
         let mut state = self.state.borrow_mut();
         if let (external::Input::Presented { stream, .. }, Some(words), Some(proxied)) =
             (&input, words, &mut state.proxied)
@@ -53,7 +57,7 @@
     }
 
     /// Requests of proxies that are open, and what has happened since the start.
-    pub fn proxied_counts(&self) -> (usize, Counts) {
+    pub fn proxied_request_counts(&self) -> (usize, Counts) {
         let state = self.state.borrow();
         state
             .proxied
@@ -78,7 +82,7 @@
                     let left_ms = grant.map_or(0.0, |g| g.deadline - now);
                     // A stream that is gone, or takes nothing in, has its end told by another way.
                     if let Some(words) = proxied.streams.get(&stream) {
-                        let _ = words.try_send(Word { verdict, node, left_ms });
+                        let _ = words.try_send(ProxyReply { verdict, node, left_ms });
                     }
                 }
             }
--- a/marldeal/src/front/answer.rs
+++ b/marldeal/src/front/answer.rs
@@ -14,7 +14,7 @@
 use tokio::time::{timeout, Instant};
 use tracing::debug;
 
-use crate::driver::{Answer, Content, Driver};
+use crate::driver::{Answer, Driver, RequestContent};
 use crate::front::connection::Client;
 use crate::front::head;
 use crate::payload::{self, Payload, Refused, Reply};
@@ -34,7 +34,7 @@
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.driver.client_gone(self.id);
+        self.driver.client_disconnected(self.id);
     }
 }
 
@@ -47,15 +47,15 @@
     // What comes from here on, but for this request's body, belongs to the next one.
     client.begun.set(None);
     if request.uri().path() == "/-/ready" {
-        let status = if driver.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        let status = if driver.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         return plain(status, "");
     }
     let (head, body) = request.into_parts();
     if client.late {
         // Its sender reads the answer once it has sent all.
         let _ = timeout(LATE_TIME, discard(body)).await;
-        if let Some(class) = head::class(&driver.config, &client.layout, &head) {
-            driver.count(|ledger| ledger.record_answered_locally(class, RequestOutcome::Declined));
+        if let Some(class) = head::named_class(&driver.config, &client.layout, &head) {
+            driver.update_counters(|ledger| ledger.record_answered_locally(class, RequestOutcome::Declined));
         }
         let mut answer =
             refusal(f64::from(driver.config.settings.may_advise) * LATE_TIME.as_secs_f64() * 1000.0);
@@ -68,16 +68,17 @@
         tokio::time::sleep_until(until).await;
         rested_ms += came.elapsed().as_secs_f64() * 1000.0;
     }
-    let mut read = match head::read(&driver.config, &client.layout, &head) {
+    let mut read = match head::parse(&driver.config, &client.layout, &head) {
         Ok(read) => read,
         Err((status, why)) => {
-            if let Some(class) = head::class(&driver.config, &client.layout, &head) {
-                driver.count(|ledger| ledger.record_answered_locally(class, RequestOutcome::Aborted));
+            if let Some(class) = head::named_class(&driver.config, &client.layout, &head) {
+                driver
+                    .update_counters(|ledger| ledger.record_answered_locally(class, RequestOutcome::Aborted));
             }
             return bad(status, why);
         }
     };
-    let taken = payload::take_in(body, &driver.bodies).await;
+    let taken = payload::take_in(body, &driver.body_budget).await;
     client.reading.set(false);
     let body = match taken {
         Ok(body) => body,
@@ -98,20 +99,22 @@
     };
     // The client's time has run while its connection waited to be accepted, or rested.
     read.request.budget_ms = (read.request.budget_ms - rested_ms).max(0.0);
-    let content = Content {
+    let content = RequestContent {
         method: head.method,
         target: read.target,
-        correlation: read.correlation,
-        key: read.key,
+        correlation_id: read.correlation_id,
+        idempotency_key: read.idempotency_key,
         body,
         budget_ms: read.request.budget_ms,
-        keep_ms: driver.keep_ms(&read.request),
+        answer_retention_ms: driver.answer_retention_ms(&read.request),
         effect: driver.effect(&read.request),
-        may_have_run: Cell::new(None),
-        sent: Cell::new(None),
+        may_have_run_since: Cell::new(None),
+        attempt_sent_at: Cell::new(None),
     };
-    if let Some(body) = driver.recorded(&content) {
-        driver.count(|ledger| ledger.record_answered_locally(read.request.class, RequestOutcome::Succeeded));
+    if let Some(body) = driver.cached_answer(&content) {
+        driver.update_counters(|ledger| {
+            ledger.record_answered_locally(read.request.class, RequestOutcome::Succeeded)
+        });
         return Response::new(Reply::Whole(body));
     }
     // It lay behind another one, and its client left while that was open: nothing is owed, and nothing goes out for it.
@@ -119,9 +122,9 @@
         return bad(StatusCode::BAD_REQUEST, "its client has left");
     }
     let class = read.request.class;
-    let correlation = content.correlation.clone();
-    let Some((id, answered)) = driver.request(content, read.request, socket.clone()) else {
-        driver.count(|ledger| ledger.record_answered_locally(class, RequestOutcome::Aborted));
+    let correlation = content.correlation_id.clone();
+    let Some((id, answered)) = driver.submit(content, read.request, socket.clone()) else {
+        driver.update_counters(|ledger| ledger.record_answered_locally(class, RequestOutcome::Aborted));
         return bad(StatusCode::CONFLICT, "a request with this X-Correlation-Id is open");
     };
     debug!(event = "taken", request = id, ?correlation, class, "request {id} is taken");
--- a/marldeal/src/front/clients.rs
+++ b/marldeal/src/front/clients.rs
@@ -17,10 +17,10 @@
 use tracing::{debug, info};
 
 use crate::driver::Driver;
+use crate::front::accept_queue;
 use crate::front::answer::LATE_TIME;
 use crate::front::connection::{connection, Client};
-use crate::front::head::Layout;
-use crate::front::last;
+use crate::front::head::HeaderLayout;
 use crate::payload::STILL;
 use crate::transient;
 use crate::upgrade::{Heir, Passed};
@@ -52,8 +52,8 @@
 pub(super) struct Clients {
     pub(super) all: RefCell<BTreeMap<u64, Rc<Client>>>,
     pub(super) closed: Notify,
-    pub(super) layout: Rc<Layout>,
-    pub(super) heir: Rc<Heir>,
+    pub(super) layout: Rc<HeaderLayout>,
+    pub(super) successor: Rc<Heir>,
 }
 
 impl Clients {
@@ -62,7 +62,7 @@
     async fn sweep(&self, driver: &Driver) {
         loop {
             tokio::time::sleep(SWEEP).await;
-            let closes = driver.life(Lifecycle::closes_idle);
+            let closes = driver.with_lifecycle(Lifecycle::closes_idle);
             let idle = if closes { Duration::ZERO } else { IDLE_TIME };
             for client in self.all.borrow().values().filter(|c| !c.busy.get()) {
                 if client.answering.get() {
@@ -126,7 +126,7 @@
     /// From a predecessor.
     pub arrivals: mpsc::UnboundedReceiver<Passed>,
     /// To a successor.
-    pub heir: Rc<Heir>,
+    pub successor: Rc<Heir>,
     /// No other process shares the listener.
     pub own_listener: bool,
 }
@@ -138,7 +138,7 @@
     mut handover: Handover,
     stop: impl Future<Output = &'static str>,
 ) {
-    let clients = Rc::new(Clients { heir: handover.heir, ..Clients::default() });
+    let clients = Rc::new(Clients { successor: handover.successor, ..Clients::default() });
     let (sweeping, lives) = (clients.clone(), driver.clone());
     tokio::task::spawn_local(async move { sweeping.sweep(&lives).await });
     let mut listener = Some(listener);
@@ -150,12 +150,12 @@
     let (mut stopped, mut closing) = (false, false);
     let (mut away, mut last, mut shut_out) = (false, None, false);
     loop {
-        let (phase, accepts) = (driver.phase(), driver.life(Lifecycle::accepts_connections));
-        let turns_away = driver.life(Lifecycle::rejects_connections);
+        let (phase, accepts) = (driver.phase(), driver.with_lifecycle(Lifecycle::accepts_connections));
+        let turns_away = driver.with_lifecycle(Lifecycle::rejects_connections);
         if turns_away && !std::mem::replace(&mut away, true) {
             info!("new connections are turned away from now on");
         }
-        let over = clients.all.borrow().len() as isize - driver.room(driver.config.most_clients) as isize;
+        let over = clients.all.borrow().len() as isize - driver.share_of(driver.config.most_clients) as isize;
         if over >= 0 && accepts {
             clients.evict();
         }
@@ -163,28 +163,30 @@
         let room = match turns_away {
             // They hold no place that those who were here before could miss.
             true => over < 0 && clients.late() < MOST_LATE,
-            false => over < SPARE as isize && accepts && driver.informed(),
+            false => over < SPARE as isize && accepts && driver.may_accept_connections(),
         };
         let tick = over >= 0 || !matches!(phase, Phase::Warming | Phase::Serving);
-        let closes = driver.life(Lifecycle::closes_idle);
+        let closes = driver.with_lifecycle(Lifecycle::closes_idle);
         if phase == Phase::HandingOver {
             listener = None;
         }
-        if phase == Phase::HandingOver && clients.heir.is_there() {
+        if phase == Phase::HandingOver && clients.successor.is_there() {
             clients.pass_on();
         }
         if closes && !closing {
             clients.all.borrow().values().for_each(|c| c.close.notify_one());
         }
         closing = closes;
-        if driver.life(|life, now| life.may_exit(now, clients.owe(), !clients.all.borrow().is_empty())) {
+        if driver
+            .with_lifecycle(|life, now| life.may_exit(now, clients.owe(), !clients.all.borrow().is_empty()))
+        {
             let since = last.get_or_insert_with(Instant::now).elapsed();
             let Some(queue) = &listener else { return };
             if since >= LAST_TIME {
                 if handover.own_listener && !std::mem::replace(&mut shut_out, true) {
-                    last::shut_out(queue);
+                    accept_queue::shut_out(queue);
                 }
-                for stream in last::in_queue(queue) {
+                for stream in accept_queue::in_queue(queue) {
                     number += 1;
                     open(driver, &clients, number, stream, Before::default());
                 }
@@ -230,7 +232,7 @@
             why = &mut stop, if !stopped => {
                 stopped = true;
                 info!(event = "finishing", %why, "{why}: finishing");
-                let _ = driver.command(Command::Stop);
+                let _ = driver.handle_command(Command::Stop);
             }
             () = driver.phase_changed.notified() => {}
             Some(passed) = handover.arrivals.recv() => {
@@ -262,8 +264,8 @@
 
 fn open(driver: &Rc<Driver>, clients: &Rc<Clients>, number: u64, stream: TcpStream, before: Before) {
     let _ = stream.set_nodelay(true);
-    let late = driver.life(Lifecycle::rejects_connections);
-    let client = Rc::new(Client::new(clients.layout.clone(), clients.heir.clone(), late));
+    let late = driver.with_lifecycle(Lifecycle::rejects_connections);
+    let client = Rc::new(Client::new(clients.layout.clone(), clients.successor.clone(), late));
     let mut read = Bytes::new();
     client.waited.set(before.waited);
     if let Some((begun, bytes)) = before.passed {
--- a/marldeal/src/front/connection.rs
+++ b/marldeal/src/front/connection.rs
@@ -23,7 +23,7 @@
 use crate::driver::Driver;
 use crate::front::answer::respond;
 use crate::front::clients::Clients;
-use crate::front::head::Layout;
+use crate::front::head::HeaderLayout;
 use crate::payload::{Progress, Watched};
 use crate::tapped::{Shared, Tap, Tapped, Unread};
 use crate::upgrade::{Heir, Passed};
@@ -56,12 +56,12 @@
     pub(super) rest: Cell<Option<Instant>>,
     /// It may have waited so long to be accepted, and its first request with it.
     pub(super) waited: Cell<Duration>,
-    pub(super) layout: Rc<Layout>,
+    pub(super) layout: Rc<HeaderLayout>,
     /// The same, or the last byte of its answer is still to be taken by the connection, or to be written.
     pub(super) answering: Cell<bool>,
     pub(super) taken: Cell<bool>,
     /// Where it goes once another process has taken this one's place, and when to look.
-    pub(super) heir: Rc<Heir>,
+    pub(super) successor: Rc<Heir>,
     pub(super) pass: Notify,
     /// It came while this process ends: what it asks is refused.
     pub(super) late: bool,
@@ -80,7 +80,7 @@
 }
 
 impl Client {
-    pub(super) fn new(layout: Rc<Layout>, heir: Rc<Heir>, late: bool) -> Client {
+    pub(super) fn new(layout: Rc<HeaderLayout>, successor: Rc<Heir>, late: bool) -> Client {
         let now = Instant::now();
         Client {
             busy: Cell::new(false),
@@ -93,7 +93,7 @@
             layout,
             answering: Cell::new(false),
             taken: Cell::new(true),
-            heir,
+            successor,
             pass: Notify::new(),
             late,
             leaving: Cell::new(false),
@@ -143,7 +143,7 @@
     }
 
     /// Bytes have come: the first of a request, unless they are its body.
-    pub(super) fn heard(&self) {
+    pub(super) fn bytes_received(&self) {
         // What comes only now did not wait with the connection.
         if !self.spoke.get() && self.used.get().elapsed() > READ_SOON {
             self.waited.set(Duration::ZERO);
@@ -161,7 +161,7 @@
     fn read(&mut self, _: &mut Context<'_>, bytes: usize) -> io::Result<()> {
         self.drained.set(bytes == 0);
         if bytes > 0 {
-            self.heard();
+            self.bytes_received();
         }
         Ok(())
     }
@@ -171,7 +171,7 @@
     fn flushed(&mut self) {
         if self.taken.get() {
             self.answering.set(false);
-            if self.heir.is_there() {
+            if self.successor.is_there() {
                 self.pass.notify_one();
             }
         }
@@ -202,11 +202,11 @@
         client.reading.set(true);
         async move {
             let mut answer = respond(&driver, &client, &socket, request).await;
-            if answer.status() == StatusCode::TOO_MANY_REQUESTS && driver.flooding() {
+            if answer.status() == StatusCode::TOO_MANY_REQUESTS && driver.refuses_new_customers() {
                 let open = u32::try_from(clients.all.borrow().len()).unwrap_or(u32::MAX);
                 client.rest.set(Some(Instant::now() + REST_EACH.saturating_mul(open)));
             }
-            if !driver.life(Lifecycle::keeps_alive) && !clients.heir.is_there() {
+            if !driver.with_lifecycle(Lifecycle::keeps_alive) && !clients.successor.is_there() {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             client.busy.set(false);
@@ -239,7 +239,7 @@
                 let Some(Ok(stream)) = stream else { return Closed::Broken };
                 let passed = Passed { stream, begun, read: parts.read_buf };
                 // The heir has gone: the connection ends here.
-                clients.heir.pass(passed);
+                clients.successor.pass(passed);
                 return Closed::PassedOn;
             },
             // A request that came in between the word to cut and this has been taken: it stays.
--- a/marldeal/src/front/external.rs
+++ b/marldeal/src/front/external.rs
@@ -29,9 +29,9 @@
 use tonic::{Request, Response, Status, Streaming};
 use tracing::info;
 
-use crate::driver::{Driver, Word};
-use crate::front::head::{self, Bad, Told};
-use crate::front::words;
+use crate::driver::{Driver, ProxyReply};
+use crate::front::head::{self, Rejection, RequestHead};
+use crate::front::proxy_messages;
 use crate::settings::config::Config;
 use crate::settings::extensions::ExternalProcessor;
 use crate::tapped::{Tap, Tapped};
@@ -50,7 +50,7 @@
 /// How often readiness is told to the health service.
 const HEALTH: Duration = Duration::from_millis(250);
 
-type Said = (Input, Option<mpsc::Sender<Word>>);
+type Said = (Input, Option<mpsc::Sender<ProxyReply>>);
 
 /// What all streams share.
 struct Front {
@@ -63,18 +63,21 @@
 
 impl Front {
     /// Reads what a proxy presents, with the one reader of heads.
-    fn read(&self, head: Result<(Parts, Option<u32>), Bad>) -> Result<(Told, Option<u32>), Bad> {
+    fn read(
+        &self,
+        head: Result<(Parts, Option<u32>), Rejection>,
+    ) -> Result<(RequestHead, Option<u32>), Rejection> {
         let (parts, count) = head?;
-        Ok((head::read(&self.config, &self.options.layout, &parts)?, count))
+        Ok((head::parse(&self.config, &self.options.layout, &parts)?, count))
     }
 
     /// Presents a request on a stream of its own.
-    fn present(&self, told: Told, attempt: Option<u32>) -> (Leave, mpsc::Receiver<Word>) {
+    fn present(&self, told: RequestHead, attempt: Option<u32>) -> (Leave, mpsc::Receiver<ProxyReply>) {
         let stream = self.next.fetch_add(1, Ordering::Relaxed);
         let (words, heard) = mpsc::channel(WORDS);
         let presentation = Presentation {
-            correlation_id: told.correlation.as_bytes().into(),
-            key: told.key.map(|key| key.as_bytes().into()),
+            correlation_id: told.correlation_id.as_bytes().into(),
+            key: told.idempotency_key.map(|key| key.as_bytes().into()),
             attempt,
             request: told.request,
         };
@@ -92,7 +95,7 @@
 
 impl Leave {
     /// Bounded by the streams: each says no more than it has verdicts for, and its end.
-    fn say(&self, input: Input, words: Option<mpsc::Sender<Word>>) {
+    fn say(&self, input: Input, words: Option<mpsc::Sender<ProxyReply>>) {
         let _ = self.said.send((input, words));
     }
 }
@@ -147,7 +150,7 @@
     async_stream::stream! {
         let options = &front.options;
         let mut stage = Stage::Fresh;
-        let mut held: Option<(Leave, mpsc::Receiver<Word>)> = None;
+        let mut held: Option<(Leave, mpsc::Receiver<ProxyReply>)> = None;
         let mut budget_ms = 0.0;
         let mut kept_back = Vec::new();
         let opened = Instant::now();
@@ -186,11 +189,11 @@
                         }
                         // The last word of the stream.
                         _ => {
-                            yield Ok(words::verdict(&word, false, false));
+                            yield Ok(proxy_messages::verdict(&word, false, false));
                             break;
                         }
                     }
-                    yield Ok(words::verdict(&word, options.clear_route_cache, options.response_trailers));
+                    yield Ok(proxy_messages::verdict(&word, options.clear_route_cache, options.response_trailers));
                     for answer in kept_back.drain(..) {
                         yield Ok(answer);
                     }
@@ -201,7 +204,7 @@
                     if nudge.take().is_some() {
                         alarm.as_mut().reset(end);
                         if options.override_message_timeout {
-                            yield Ok(words::more_time(budget_ms));
+                            yield Ok(proxy_messages::more_time(budget_ms));
                         }
                         continue;
                     }
@@ -231,7 +234,7 @@
             }
             match &message.request {
                 Some(Phase::RequestHeaders(headers)) if stage == Stage::Fresh => {
-                    match front.read(words::head(words::pairs(headers).into_iter())) {
+                    match front.read(proxy_messages::head(proxy_messages::pairs(headers).into_iter())) {
                         Ok((told, count)) => {
                             budget_ms = told.request.budget_ms;
                             held = Some(front.present(told, count));
@@ -241,7 +244,7 @@
                             alarm.as_mut().reset(at);
                         }
                         Err((status, why)) => {
-                            yield Ok(words::immediate(status, why, 0.0));
+                            yield Ok(proxy_messages::immediate(status, why, 0.0));
                             break;
                         }
                     }
@@ -252,11 +255,11 @@
                 }
                 Some(Phase::ResponseHeaders(headers)) if stage == Stage::Granted => {
                     let Some((leave, _)) = &held else { break };
-                    match words::outcome(headers, &message) {
+                    match proxy_messages::outcome(headers, &message) {
                         Ok(fawnhill::Outcome::Ok) if options.response_trailers && !headers.end_of_stream => {
                             stage = Stage::Trailing;
-                            let word = Word { verdict: Verdict::PassThrough, node: None, left_ms: 0.0 };
-                            yield Ok(words::verdict(&word, false, false));
+                            let word = ProxyReply { verdict: Verdict::PassThrough, node: None, left_ms: 0.0 };
+                            yield Ok(proxy_messages::verdict(&word, false, false));
                         }
                         Ok(outcome) => {
                             leave.say(responded(leave, outcome), None);
@@ -289,7 +292,7 @@
                         leave.say(responded(leave, fawnhill::Outcome::Ok), None);
                         stage = Stage::Trailed;
                     }
-                    let Some(answer) = words::carry_on(phase) else { break };
+                    let Some(answer) = proxy_messages::carry_on(phase) else { break };
                     if !matches!(stage, Stage::Asked | Stage::Answering) {
                         yield Ok(answer);
                     } else if kept_back.len() < MOST_KEPT_BACK {
@@ -313,7 +316,10 @@
 }
 
 /// One question without a stream: nobody tells what comes of it.
-async fn ask(front: &Front, told: Result<(Told, Option<u32>), Bad>) -> Result<Word, Bad> {
+async fn ask(
+    front: &Front,
+    told: Result<(RequestHead, Option<u32>), Rejection>,
+) -> Result<ProxyReply, Rejection> {
     let (told, count) = told?;
     let (leave, mut words) = front.present(told, count);
     let word = words.recv().await.ok_or((StatusCode::BAD_GATEWAY, "the limiter stops"))?;
@@ -324,10 +330,10 @@
 }
 
 /// Status, text and advice of what is not let in; nothing if it is.
-fn turned_away(asked: &Result<Word, Bad>) -> Option<(StatusCode, &'static str, f64)> {
+fn turned_away(asked: &Result<ProxyReply, Rejection>) -> Option<(StatusCode, &'static str, f64)> {
     match asked {
-        Ok(Word { verdict: Verdict::Admit(_), .. }) => None,
-        Ok(word) => Some(words::refusal(&word.verdict)),
+        Ok(ProxyReply { verdict: Verdict::Admit(_), .. }) => None,
+        Ok(word) => Some(proxy_messages::refusal(&word.verdict)),
         Err((status, why)) => Some((*status, why, 0.0)),
     }
 }
@@ -346,24 +352,25 @@
         let mut pairs: Vec<(&str, &[u8])> =
             vec![(":method", http.method.as_bytes()), (":path", http.path.as_bytes())];
         match &http.header_map {
-            Some(map) => pairs.extend(words::map_pairs(map)),
+            Some(map) => pairs.extend(proxy_messages::map_pairs(map)),
             None => pairs.extend(http.headers.iter().map(|(k, v)| (k.as_str(), v.as_bytes()))),
         }
         pairs.retain(|(name, _)| !name.starts_with(':') || matches!(*name, ":method" | ":path"));
         pairs.dedup_by(|b, a| a.0 == b.0 && a.0.starts_with(':'));
-        let asked = ask(&self.0, self.0.read(words::head(pairs.into_iter()))).await;
+        let asked = ask(&self.0, self.0.read(proxy_messages::head(pairs.into_iter()))).await;
         let answer = match (&asked, turned_away(&asked)) {
             (Ok(word), None) => auth::CheckResponse {
                 status: Some(rpc::Status::default()),
-                dynamic_metadata: words::metadata(word),
+                dynamic_metadata: proxy_messages::metadata(word),
                 http_response: Some(auth::check_response::HttpResponse::OkResponse(auth::OkHttpResponse {
-                    headers: words::grant(words::DESTINATION, word),
+                    headers: proxy_messages::grant(proxy_messages::DESTINATION, word),
                     ..Default::default()
                 })),
             },
             (_, away) => {
                 let (status, why, retry_ms) = away.unwrap_or((StatusCode::BAD_GATEWAY, "", 0.0));
-                let headers = words::retry_after(retry_ms).map(|v| words::set("retry-after", &v));
+                let headers =
+                    proxy_messages::retry_after(retry_ms).map(|v| proxy_messages::set("retry-after", &v));
                 let code = envoy_types::pb::envoy::r#type::v3::HttpStatus { code: status.as_u16().into() };
                 auth::CheckResponse {
                     status: Some(rpc::Status {
@@ -412,7 +419,7 @@
         if !pairs.iter().any(|(key, _)| *key == correlation.as_str()) {
             pairs.push((correlation.as_str(), name.as_bytes()));
         }
-        let asked = ask(&self.0, self.0.read(words::head(pairs.into_iter()))).await;
+        let asked = ask(&self.0, self.0.read(proxy_messages::head(pairs.into_iter()))).await;
         let away = turned_away(&asked);
         if let Some((status, why, _)) = away.filter(|(status, ..)| status.is_client_error()) {
             if status != StatusCode::TOO_MANY_REQUESTS {
@@ -424,7 +431,7 @@
         } else {
             rls::rate_limit_response::Code::OverLimit
         };
-        let advice = away.and_then(|(.., retry_ms)| words::retry_after(retry_ms));
+        let advice = away.and_then(|(.., retry_ms)| proxy_messages::retry_after(retry_ms));
         let header = advice.map(|value| envoy_types::pb::envoy::config::core::v3::HeaderValue {
             key: "retry-after".to_string(),
             value,
@@ -501,7 +508,7 @@
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
 ) {
-    driver.serve_proxies(options.config);
+    driver.enable_external_processor(options.config);
     let (said, mut heard) = mpsc::unbounded_channel::<Said>();
     let front = Arc::new(Front {
         config: driver.config.clone(),
@@ -513,7 +520,7 @@
     let listening = driver.clone();
     tokio::task::spawn_local(async move {
         while let Some((input, words)) = heard.recv().await {
-            listening.proxied(input, words);
+            listening.handle_proxy_input(input, words);
         }
     });
     let (health, healthy) = tonic_health::server::health_reporter();
@@ -521,7 +528,7 @@
     tokio::task::spawn_local(async move {
         let mut told = None;
         loop {
-            let ready = asking.ready();
+            let ready = asking.is_ready();
             if told.replace(ready) != Some(ready) {
                 let status = if ready {
                     tonic_health::ServingStatus::Serving
@@ -567,7 +574,7 @@
         }
         () = forced => info!("external processor: streams were left open"),
     }
-    let (open, counts) = driver.proxied_counts();
+    let (open, counts) = driver.proxied_request_counts();
     let observed = front.observed.load(Ordering::Relaxed);
     info!("external processor: {open} open, {observed} observed, {counts:?}");
 }
--- a/marldeal/src/front/head.rs
+++ b/marldeal/src/front/head.rs
@@ -7,9 +7,9 @@
 use crate::settings::config::Config;
 
 /// Names the request.
-pub const CORRELATION: HeaderName = HeaderName::from_static("x-correlation-id");
+pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 /// Marks repeats of one effect.
-pub const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Seconds that the sender will wait.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 const PLAN: HeaderName = HeaderName::from_static("x-tariff");
@@ -21,7 +21,7 @@
 
 /// Which header tells what. The default is the platform's protocol.
 #[derive(Debug, Clone)]
-pub struct Layout {
+pub struct HeaderLayout {
     /// Names the request.
     pub correlation: HeaderName,
     /// Names the plan.
@@ -44,14 +44,14 @@
     pub default_weight: Option<String>,
 }
 
-impl Default for Layout {
-    fn default() -> Layout {
-        Layout {
-            correlation: CORRELATION,
+impl Default for HeaderLayout {
+    fn default() -> HeaderLayout {
+        HeaderLayout {
+            correlation: CORRELATION_ID,
             plan: PLAN,
             time_left: TIME_LEFT,
             weight: WEIGHT,
-            key: KEY,
+            key: IDEMPOTENCY_KEY,
             class: None,
             customer: None,
             default_plan: None,
@@ -63,22 +63,26 @@
 
 /// What a request's head says.
 #[derive(Debug)]
-pub struct Told {
+pub struct RequestHead {
     /// In the module's terms; its id is still to be given.
     pub request: Request,
     /// Path and query.
     pub target: hyper::Uri,
     /// `X-Correlation-Id`.
-    pub correlation: HeaderValue,
+    pub correlation_id: HeaderValue,
     /// `Idempotency-Key`.
-    pub key: Option<HeaderValue>,
+    pub idempotency_key: Option<HeaderValue>,
 }
 
 /// A status, and one plain line on what was wrong.
-pub type Bad = (StatusCode, &'static str);
+pub type Rejection = (StatusCode, &'static str);
 
 /// Reads a head whole; what is malformed or unknown reaches neither the module nor a server.
-pub fn read(config: &Config, layout: &Layout, head: &hyper::http::request::Parts) -> Result<Told, Bad> {
+pub fn parse(
+    config: &Config,
+    layout: &HeaderLayout,
+    head: &hyper::http::request::Parts,
+) -> Result<RequestHead, Rejection> {
     let bad = |why| (StatusCode::BAD_REQUEST, why);
     // Guards against a request hidden in a body, where two readers frame it differently (RFC 9112, 6.1): one coding, and no
     // length beside it.
@@ -132,9 +136,10 @@
         .or(layout.default_weight.as_deref())
         .and_then(|w| weight(w, settings.limiters, config.most_units))
         .ok_or_else(|| bad("no good X-Weight"))?;
-    let correlation = full(&head.headers, &layout.correlation).ok_or_else(|| bad("no X-Correlation-Id"))?;
-    let key = full(&head.headers, &layout.key);
-    if effect == Effect::Keyed && key.is_none() {
+    let correlation_id =
+        full(&head.headers, &layout.correlation).ok_or_else(|| bad("no X-Correlation-Id"))?;
+    let idempotency_key = full(&head.headers, &layout.key);
+    if effect == Effect::Keyed && idempotency_key.is_none() {
         return Err(bad("no Idempotency-Key"));
     }
     let target = head.uri.path_and_query().ok_or_else(|| bad("no path"))?.clone().into();
@@ -148,11 +153,15 @@
         spread,
         first,
     };
-    Ok(Told { request, target, correlation, key })
+    Ok(RequestHead { request, target, correlation_id, idempotency_key })
 }
 
 /// The class that a head names, good or bad as the rest of it may be.
-pub fn class(config: &Config, layout: &Layout, head: &hyper::http::request::Parts) -> Option<usize> {
+pub fn named_class(
+    config: &Config,
+    layout: &HeaderLayout,
+    head: &hyper::http::request::Parts,
+) -> Option<usize> {
     let named = match &layout.class {
         Some(name) => head.headers.get(name)?.to_str().ok()?.trim(),
         None => head.uri.path().strip_prefix('/')?.split('/').next()?,
--- a/marldeal/src/front/words.rs
+++ b/marldeal/src/front/proxy_messages.rs
@@ -14,8 +14,8 @@
 use marldeal_engine::outcomes;
 use marldeal_external::{Conflict, Verdict};
 
-use crate::driver::Word;
-use crate::front::head::{Bad, TIME_LEFT};
+use crate::driver::ProxyReply;
+use crate::front::head::{Rejection, TIME_LEFT};
 
 /// Names the chosen node: endpoint picker protocol of the Gateway API inference extension.
 pub const DESTINATION: &str = "x-gateway-destination-endpoint";
@@ -44,7 +44,7 @@
 /// The request's head as any HTTP/1.1 front would have read it, and the proxy's count of its attempts.
 pub fn head<'a>(
     headers: impl ExactSizeIterator<Item = (&'a str, &'a [u8])>,
-) -> Result<(Parts, Option<u32>), Bad> {
+) -> Result<(Parts, Option<u32>), Rejection> {
     let bad = |why| (StatusCode::BAD_REQUEST, why);
     if headers.len() > MOST_HEADERS {
         return Err((StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "too many headers"));
@@ -129,7 +129,7 @@
 }
 
 /// The headers that tell a proxy about a granted attempt; `named` is the one that names the node.
-pub fn grant(named: &str, word: &Word) -> Vec<core::HeaderValueOption> {
+pub fn grant(named: &str, word: &ProxyReply) -> Vec<core::HeaderValueOption> {
     let node = word.node.map(|n| n.to_string()).unwrap_or_default();
     let left_ms = word.left_ms.max(1.0);
     vec![
@@ -140,7 +140,7 @@
 }
 
 /// The chosen node as dynamic metadata.
-pub fn metadata(word: &Word) -> Option<Struct> {
+pub fn metadata(word: &ProxyReply) -> Option<Struct> {
     let text = |text: String| Value { kind: Some(Kind::StringValue(text)) };
     let node = Struct { fields: [(DESTINATION.to_string(), text(word.node?.to_string()))].into() };
     let node = Value { kind: Some(Kind::StructValue(node)) };
@@ -203,7 +203,7 @@
 }
 
 /// A verdict as the answer to a message, or unasked.
-pub fn verdict(word: &Word, clear_route_cache: bool, trailers: bool) -> ext::ProcessingResponse {
+pub fn verdict(word: &ProxyReply, clear_route_cache: bool, trailers: bool) -> ext::ProcessingResponse {
     use processing_mode::{BodySendMode, HeaderSendMode};
     match &word.verdict {
         Verdict::Admit(_) => {
--- a/marldeal/src/management/line.rs
+++ b/marldeal/src/management/line.rs
@@ -4,7 +4,7 @@
 
 use marldeal_engine::counters::RequestOutcome;
 
-use crate::driver::Figures;
+use crate::driver::DriverStats;
 
 /// What may be called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,7 +59,7 @@
 }
 
 /// All figures, a line each, for classes of these names.
-pub fn figures(names: &[String], figures: &Figures) -> String {
+pub fn figures(names: &[String], figures: &DriverStats) -> String {
     let mut text = String::new();
     for (what, end) in [
         ("succeeded", RequestOutcome::Succeeded),
@@ -67,12 +67,12 @@
         ("aborted", RequestOutcome::Aborted),
     ] {
         for (class, name) in names.iter().enumerate() {
-            let _ = writeln!(text, "{what}.{name}={}", figures.ledger.finished(class, end));
+            let _ = writeln!(text, "{what}.{name}={}", figures.request_counters.finished(class, end));
         }
     }
     let rest = [
-        ("forwards", figures.ledger.forwarded()),
-        ("outstanding", figures.ledger.outstanding()),
+        ("forwards", figures.request_counters.forwarded()),
+        ("outstanding", figures.request_counters.outstanding()),
         ("discovered", figures.discovered as u64),
         ("ejected", figures.ejected as u64),
         ("sighup_applied", figures.reloads.applied),
--- a/marldeal/src/management/mod.rs
+++ b/marldeal/src/management/mod.rs
@@ -91,12 +91,12 @@
         Err(ending) => line::failure(&ending.to_string()),
     };
     match call {
-        Call::Status if driver.able() => line::success(&driver.phase().to_string(), None),
+        Call::Status if driver.can_serve() => line::success(&driver.phase().to_string(), None),
         Call::Status => line::failure("no server takes work yet, or the ceilings are still filling"),
         Call::Stats => {
-            line::success("figures", Some(&line::figures(&driver.config.classes, &driver.figures())))
+            line::success("figures", Some(&line::figures(&driver.config.classes, &driver.stats())))
         }
-        Call::Standby => told(driver.command(Command::Standby)),
-        Call::Active => told(driver.command(Command::Active)),
+        Call::Standby => told(driver.handle_command(Command::Standby)),
+        Call::Active => told(driver.handle_command(Command::Active)),
     }
 }
--- a/marldeal/src/run.rs
+++ b/marldeal/src/run.rs
@@ -68,16 +68,17 @@
     let beside = predecessor.is_some();
     let driver = Driver::new(config, Rc::new(servers.clone()), beside)?;
     if let Some(bounds) = extensions.final_answers {
-        driver.keep_answers(bounds);
+        driver.enable_answer_cache(bounds);
         info!("keeps up to {} final answers by key", bounds.max_answers);
     }
     if let Some(most) = extensions.prefetch {
-        driver.prefetch(most);
+        driver.enable_prefetch(most);
         info!("holds units of quotas ahead of need for up to {most} customers");
     }
     if !beside {
-        let mail =
-            transient::retried(|| driver.open_mail()).await.map_err(|e| format!("peer_listen: {e}"))?;
+        let mail = transient::retried(|| driver.open_peer_socket())
+            .await
+            .map_err(|e| format!("peer_listen: {e}"))?;
         if let Some(mail) = mail {
             tokio::task::spawn_local(peers::listen(driver.clone(), mail));
         }
@@ -126,8 +127,13 @@
         let _ = stopping.send(true);
         why
     };
-    clients::serve(&driver, listener, Handover { arrivals, heir: heir.clone(), own_listener }, signalled)
-        .await;
+    clients::serve(
+        &driver,
+        listener,
+        Handover { arrivals, successor: heir.clone(), own_listener },
+        signalled,
+    )
+    .await;
     if let Some(proxies) = proxies {
         let _ = proxies.await;
     }
--- a/marldeal/src/settings/extensions.rs
+++ b/marldeal/src/settings/extensions.rs
@@ -7,7 +7,7 @@
 use marldeal_external::{ProcessorConfig, RetryMode};
 use serde::Deserialize;
 
-use crate::front::head::Layout;
+use crate::front::head::HeaderLayout;
 use crate::logging;
 use crate::settings::mistakes::{self, Mistake};
 
@@ -104,7 +104,7 @@
 impl Default for Headers {
     fn default() -> Headers {
         let own = |name: &HeaderName| name.as_str().to_string();
-        let layout = Layout::default();
+        let layout = HeaderLayout::default();
         Headers {
             correlation: own(&layout.correlation),
             plan: own(&layout.plan),
@@ -152,7 +152,7 @@
     /// What the state machine holds.
     pub config: ProcessorConfig,
     /// Which header tells what.
-    pub layout: Layout,
+    pub layout: HeaderLayout,
     /// Connections held at most; further ones are closed at once.
     pub max_connections: usize,
     /// Streams open at once on one connection (RFC 9113, SETTINGS_MAX_CONCURRENT_STREAMS).
@@ -260,7 +260,7 @@
             })
         };
         let headers = &self.headers;
-        let layout = Layout {
+        let layout = HeaderLayout {
             correlation: name("correlation", &headers.correlation),
             plan: name("plan", &headers.plan),
             time_left: name("time_left", &headers.time_left),
--- a/marldeal/src/tier/peers.rs
+++ b/marldeal/src/tier/peers.rs
@@ -5,20 +5,20 @@
 
 use tokio::net::UdpSocket;
 
-use crate::driver::{Driver, MOST_DATAGRAM};
+use crate::driver::{Driver, MAX_DATAGRAM_BYTES};
 
 /// Hands what peers tell to the module, until the mail is closed. Guards against strangers and oversized datagrams: both are ignored.
 pub async fn listen(driver: Rc<Driver>, socket: Rc<UdpSocket>) {
-    let mut buffer = [0u8; MOST_DATAGRAM + 1];
+    let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
     loop {
         let received = tokio::select! {
             received = socket.recv_from(&mut buffer) => received,
-            () = driver.mail_closed.notified() => return,
+            () = driver.peer_socket_closed.notified() => return,
         };
         match received {
-            Ok((length, sender)) if length <= MOST_DATAGRAM => {
+            Ok((length, sender)) if length <= MAX_DATAGRAM_BYTES => {
                 if let Some(from) = position(&driver.config.peers, sender) {
-                    driver.heard(from, buffer[..length].to_vec());
+                    driver.receive_peer_message(from, buffer[..length].to_vec());
                 }
             }
             Ok(_) => {}
--- a/marldeal/src/upgrade/mod.rs
+++ b/marldeal/src/upgrade/mod.rs
@@ -125,7 +125,7 @@
         }
     };
     info!("{why}");
-    let _ = driver.command(Command::TakeOver);
+    let _ = driver.handle_command(Command::TakeOver);
     tokio::task::spawn_local(hear_peers(driver.clone()));
     tokio::task::spawn_local(offer(driver.clone(), at.clone()));
     loop {
@@ -146,7 +146,7 @@
             }
         }
     }
-    driver.overlap(at.heir.attending.get());
+    driver.set_overlapping(at.heir.attending.get());
     info!("the predecessor has gone");
 }
 
@@ -165,7 +165,7 @@
         let why = match received {
             Ok(Some((Frame::Snapshot(bytes), _))) => {
                 snapshots += 1;
-                let said = driver.learn(&bytes);
+                let said = driver.restore_snapshot(&bytes);
                 if snapshots == 1 {
                     info!("warming up beside a predecessor: {said}");
                     continue;
@@ -185,7 +185,7 @@
 pub async fn hear_peers(driver: Rc<Driver>) {
     let mut told = false;
     loop {
-        match driver.open_mail().await {
+        match driver.open_peer_socket().await {
             Ok(Some(mail)) => return peers::listen(driver.clone(), mail).await,
             Ok(None) => return,
             Err(e) => {
@@ -241,13 +241,13 @@
         let _ = timeout(PATIENCE, line.send(&Frame::Busy, None)).await;
         return;
     }
-    driver.overlap(true);
+    driver.set_overlapping(true);
     let why = attend(&driver, &mut line, &heir).await;
     info!("a successor: {why}");
     drop(heir.to.borrow_mut().take());
     heir.attending.set(false);
     heir.left.notify_waiters();
-    driver.overlap(false);
+    driver.set_overlapping(false);
 }
 
 /// A new name is put in the place of the old one in one step: whoever comes finds one of both.
@@ -279,9 +279,9 @@
             _ = line.receive() => return "it has gone; this process serves on".to_string(),
         }
     }
-    let _ = driver.command(Command::HandOver);
-    driver.close_mail();
-    driver.close_idle();
+    let _ = driver.handle_command(Command::HandOver);
+    driver.close_peer_socket();
+    driver.close_idle_connections();
     let last = Frame::Snapshot(driver.snapshot(SnapshotKind::Final).into());
     if !matches!(timeout(PATIENCE, line.send(&last, None)).await, Ok(Ok(()))) {
         return "it does not take the last snapshot in; connections are closed here".to_string();
--- a/marldeal/src/upstream/discovery.rs
+++ b/marldeal/src/upstream/discovery.rs
@@ -90,7 +90,7 @@
     let began = Instant::now();
     let now = || began.elapsed().as_secs_f64() * 1000.0;
     let mut machine = resumption(&driver, &source);
-    let mut wishes = driver.list_wanted.subscribe();
+    let mut wishes = driver.list_refresh.subscribe();
     let mut whole = *wishes.borrow();
     let mut calls = JoinSet::new();
     let mut waiting: HashMap<Call, AbortHandle> = HashMap::new();
@@ -98,7 +98,7 @@
     let mut said = String::new();
     loop {
         if watch.is_none() {
-            driver.watched_over(source.number, None);
+            driver.set_watch_socket(source.number, None);
         }
         while let Some(step) = machine.step(now()) {
             match step {
@@ -131,7 +131,7 @@
                     Ok(Answered { connection, body, socket }) => {
                         if machine.answered(now(), call) {
                             said.clear();
-                            driver.watched_over(source.number, Some(socket));
+                            driver.set_watch_socket(source.number, Some(socket));
                             watch = Some(Watch { call, body, words: Words::default(), _connection: connection });
                         }
                     }
@@ -157,7 +157,7 @@
             () = tokio::time::sleep_until(due.into()) => None,
         };
         if driver.sources.told.get() > source.number {
-            driver.watched_over(source.number, None);
+            driver.set_watch_socket(source.number, None);
             return info!("discovery: another source speaks; {} is watched no more", source.addr);
         }
         if let Some(why) = why {
@@ -197,7 +197,7 @@
         driver.sources.told.set(source.number);
         let (news, notes) = news(list, &driver.config.names);
         notes.iter().for_each(|note| info!("{note}"));
-        driver.servers(news);
+        driver.update_servers(news);
     }
     Ok(())
 }
--- a/marldeal/src/upstream/servers.rs
+++ b/marldeal/src/upstream/servers.rs
@@ -22,8 +22,8 @@
 use tokio::time::{timeout, timeout_at};
 use tracing::{debug, info};
 
-use crate::driver::{Driver, Job, Upstream};
-use crate::front::head::{CORRELATION, KEY, TIME_LEFT};
+use crate::driver::{AttemptJob, Driver, Upstream};
+use crate::front::head::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
 use crate::payload::{Outgoing, Piece, Progress, Watched, MOST_WHOLE, STILL};
 use crate::settings::config::Config;
 use crate::tapped::{Shared, Tap, Tapped, Unread};
@@ -55,7 +55,7 @@
 }
 
 impl Writing {
-    fn begin(&self, job: &Job) {
+    fn begin(&self, job: &AttemptJob) {
         self.what.set(Some((job.id, job.attempt)));
         self.taken.set(false);
         self.wrote.set(false);
@@ -216,7 +216,7 @@
 }
 
 impl Upstream for Rc<Servers> {
-    fn start(&self, driver: Rc<Driver>, job: Job, stopped: oneshot::Receiver<Outcome>) {
+    fn start(&self, driver: Rc<Driver>, job: AttemptJob, stopped: oneshot::Receiver<Outcome>) {
         tokio::task::spawn_local(attempt(self.clone(), driver, job, stopped));
     }
     fn close_idle(&self, server: &ServerId) {
@@ -229,35 +229,40 @@
 
 /// Makes one attempt and reports its end. What is stopped closes its connection first: the `select` has
 /// dropped it when the module hears of the end, so that a request never has two attempts out.
-async fn attempt(servers: Rc<Servers>, driver: Rc<Driver>, job: Job, stopped: oneshot::Receiver<Outcome>) {
+async fn attempt(
+    servers: Rc<Servers>,
+    driver: Rc<Driver>,
+    job: AttemptJob,
+    stopped: oneshot::Receiver<Outcome>,
+) {
     let (outcome, body) = tokio::select! {
         biased;
         Ok(how) = stopped => (how, None),
         end = exchange(&servers, &driver, &job) => end,
     };
-    driver.ended(&job, outcome, body);
+    driver.attempt_ended(&job, outcome, body);
 }
 
-async fn exchange(servers: &Servers, driver: &Rc<Driver>, job: &Job) -> (Outcome, Option<Bytes>) {
-    if driver.permit(job).await.is_err() {
+async fn exchange(servers: &Servers, driver: &Rc<Driver>, job: &AttemptJob) -> (Outcome, Option<Bytes>) {
+    if driver.check_permission(job).await.is_err() {
         return (Outcome::NotSent, None);
     }
-    let Some(addr) = driver.address(&job.server) else { return (Outcome::NotSent, None) };
+    let Some(addr) = driver.server_address(&job.server) else { return (Outcome::NotSent, None) };
     let pooled = servers.pool.borrow_mut().take(&job.server);
     let mut link = match pooled {
         Some(link) => link,
         None => match connect(servers, driver, addr).await {
             // The wait for a connection may have outlived whatever allowed the attempt.
-            Ok(_) if driver.permit(job).await.is_err() => return (Outcome::NotSent, None),
+            Ok(_) if driver.check_permission(job).await.is_err() => return (Outcome::NotSent, None),
             Ok(link) => link,
             Err(outcome) => return (outcome, None),
         },
     };
-    if driver.address(&job.server) != Some(addr) {
+    if driver.server_address(&job.server) != Some(addr) {
         return (Outcome::NotSent, None);
     }
     let now = driver.now();
-    job.content.sent.set(Some(now));
+    job.content.attempt_sent_at.set(Some(now));
     let (id, attempt) = (job.id, job.attempt);
     debug!(event = "sent", request = id, attempt, server = %job.server, "request {id}: attempt {attempt} to {}", job.server);
     let left_ms = (job.deadline - now).min(job.content.budget_ms);
@@ -282,7 +287,7 @@
     // Only a connection whose answer was read to its end may serve again.
     ended |= !matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
     // Nor one of a server that takes nothing new by now: nobody would close it.
-    if !ended && driver.address(&job.server) == Some(addr) && link.alive() {
+    if !ended && driver.server_address(&job.server) == Some(addr) && link.alive() {
         servers.pool.borrow_mut().put(&job.server, link);
     }
     (outcome, body)
@@ -291,7 +296,7 @@
 /// Takes an answer's body in: a short one whole, a longer one piece by piece to its client.
 async fn take_answer(
     driver: &Rc<Driver>,
-    job: &Job,
+    job: &AttemptJob,
     outcome: Outcome,
     mut body: Incoming,
 ) -> (Outcome, Option<Bytes>) {
@@ -319,11 +324,11 @@
     if outcome != Outcome::Ok {
         return (outcome, None);
     }
-    let Some(pieces) = driver.streams(job, told) else { return (Outcome::Cancelled, None) };
+    let Some(pieces) = driver.begin_streaming(job, told) else { return (Outcome::Cancelled, None) };
     let mut next = whole.freeze();
     loop {
         if !next.is_empty() && !matches!(timeout(STILL, pieces.send(Piece::Data(next))).await, Ok(Ok(()))) {
-            driver.reader_gone(job.id);
+            driver.reader_disconnected(job.id);
             return (Outcome::Cancelled, None);
         }
         next = match timeout(STILL, body.frame()).await {
@@ -355,7 +360,7 @@
 }
 
 async fn connect(servers: &Servers, driver: &Rc<Driver>, addr: SocketAddr) -> Result<Link, Outcome> {
-    let most = driver.room(driver.config.most_servers);
+    let most = driver.share_of(driver.config.most_servers);
     let room = servers.pool.borrow_mut().reserve(most).ok_or(Outcome::NotSent)?;
     let limit = Duration::from_secs_f64(driver.config.settings.connect_timeout_ms.max(1.0) / 1000.0);
     let stream = match timeout(limit, TcpStream::connect(addr)).await {
@@ -368,7 +373,7 @@
         Ok(Err(_)) | Err(_) => return Err(Outcome::NoConnection),
     };
     let driver = driver.clone();
-    link(stream, Box::new(move |id, attempt| driver.written(id, attempt)), room).await
+    link(stream, Box::new(move |id, attempt| driver.attempt_written(id, attempt)), room).await
 }
 
 async fn link(stream: TcpStream, written: Written, room: Room) -> Result<Link, Outcome> {
@@ -383,7 +388,7 @@
 }
 
 fn request(
-    job: &Job,
+    job: &AttemptJob,
     addr: SocketAddr,
     left_ms: f64,
     writing: &Rc<Writing>,
@@ -393,10 +398,10 @@
         .method(content.method.clone())
         .uri(content.target.clone())
         .header(hyper::header::HOST, addr.to_string())
-        .header(CORRELATION, content.correlation.clone())
+        .header(CORRELATION_ID, content.correlation_id.clone())
         .header(TIME_LEFT, format!("{:.3}", (left_ms / 1000.0).max(0.001)));
-    if let Some(key) = &content.key {
-        request = request.header(KEY, key.clone());
+    if let Some(key) = &content.idempotency_key {
+        request = request.header(IDEMPOTENCY_KEY, key.clone());
     }
     request.body(Watched::new(Outgoing::new(&content.body), writing.clone()))
 }
