--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -26,11 +26,11 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tracing::{debug, info};
 
-use crate::payload::{Payload, Piece};
-use crate::reload::Turn;
+use crate::payload::{Chunk, Payload};
+use crate::reload::ReloadTrigger;
 use crate::settings::config::Config;
 use crate::settings::roster::{self, News, Sources, MOST_SERVERS};
-use crate::tapped::Shared;
+use crate::socket::SharedSocket;
 use clock::Clock;
 use proxied::Proxied;
 pub use proxied::ProxyReply;
@@ -41,7 +41,7 @@
     /// A server's body.
     Served(Bytes),
     /// A server's body that is too long to be read whole first, of so many bytes if that was told.
-    Streamed(mpsc::Receiver<Piece>, Option<u64>),
+    Streamed(mpsc::Receiver<Chunk>, Option<u64>),
     /// Trying again is harmless, after so many milliseconds if not 0.
     Refused(f64),
     /// No promise.
@@ -108,7 +108,7 @@
 struct Direct {
     content: Rc<RequestContent>,
     answer: oneshot::Sender<Answer>,
-    client: Shared,
+    client: SharedSocket,
     /// When its client was last seen to be connected.
     seen: Cell<f64>,
 }
@@ -181,7 +181,7 @@
     pub list_refresh: watch::Sender<u64>,
     told: Cell<bool>,
     /// The sockets over which sources of the list are watched, by the sources' numbers.
-    watches: RefCell<BTreeMap<u32, Shared>>,
+    watches: RefCell<BTreeMap<u32, SharedSocket>>,
     /// All that discovery had told by then has been read, also what came while the process stood still.
     list_read: Cell<f64>,
     violations: Cell<ViolationCounts>,
@@ -420,11 +420,11 @@
 
     /// Reads the configuration again; of what it says only where discovery is can change while serving. One that cannot be
     /// read, or makes no sense, changes nothing: false. What is counted is signals, not readings.
-    pub fn reload(&self, turn: Turn) -> bool {
+    pub fn reload(&self, trigger: ReloadTrigger) -> bool {
         let new = match Config::reloaded() {
             Ok(new) => new,
             Err(why) => {
-                if turn == Turn::First {
+                if trigger == ReloadTrigger::Signal {
                     self.count_reload(|reloads| reloads.rejected += 1);
                     info!(
                         event = "reload",
@@ -517,11 +517,11 @@
         self: &Rc<Self>,
         content: RequestContent,
         mut request: Request,
-        client: Shared,
+        client: SharedSocket,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         // Its client counts from when it was sent: while this process stood still, it may have lain here. The clock of
         // one whose body is still to come has not begun.
-        if !matches!(content.body, Payload::Piped(_)) {
+        if !matches!(content.body, Payload::Streamed(_)) {
             request.budget_ms -= self.pauses.borrow_mut().max_queued_ms(self.now());
         }
         // Past that nobody is left to answer.
@@ -529,7 +529,7 @@
         let mut state = self.state.borrow_mut();
         let correlation_id = content.correlation_id.as_bytes().into();
         let id = self.input(&mut state, Input::Request { correlation_id, request })?;
-        if matches!(content.body, Payload::Piped(_)) {
+        if matches!(content.body, Payload::Streamed(_)) {
             self.input(&mut state, Input::Uploading { id });
         }
         let (answer, answered) = oneshot::channel();
@@ -579,7 +579,7 @@
         self: &Rc<Self>,
         job: &AttemptJob,
         length: Option<u64>,
-    ) -> Option<mpsc::Sender<Piece>> {
+    ) -> Option<mpsc::Sender<Chunk>> {
         let mut state = self.state.borrow_mut();
         let direct = state.direct.remove(&job.id)?;
         // One piece waits: the pace is the reader's.
--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -11,7 +11,7 @@
 use tracing::{info, warn};
 
 use super::{AttemptJob, Driver, State};
-use crate::tapped::{Shared, Unread};
+use crate::socket::{SharedSocket, Unread};
 
 /// How long what discovery has told is waited for after the process stood still, where its watch has ended meanwhile or is
 /// silent; and how often it is looked at.
@@ -103,7 +103,7 @@
             let state = self.state.borrow();
             let Some(direct) = state.direct.get(&id) else { return };
             direct.seen.set(self.now());
-            direct.client.unread() == Unread::Over
+            direct.client.unread() == Unread::Closed
         };
         if left {
             self.client_disconnected(id);
@@ -136,7 +136,7 @@
     }
 
     /// A source of the list is watched over this socket from now on, or over none.
-    pub fn set_watch_socket(&self, source: u32, socket: Option<Shared>) {
+    pub fn set_watch_socket(&self, source: u32, socket: Option<SharedSocket>) {
         match socket {
             Some(socket) => drop(self.watches.borrow_mut().insert(source, socket)),
             None => drop(self.watches.borrow_mut().remove(&source)),
--- a/marldeal/src/front/accept_queue.rs
+++ b/marldeal/src/front/accept_queue.rs
@@ -26,7 +26,7 @@
         match next(listener) {
             Ok(stream) => all.push(stream),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
-            Err(e) if transient::passes(&e) => failures += 1,
+            Err(e) if transient::is_transient(&e) => failures += 1,
             Err(_) => break,
         }
     }
--- a/marldeal/src/front/answer.rs
+++ b/marldeal/src/front/answer.rs
@@ -17,8 +17,8 @@
 use crate::driver::{Answer, Driver, RequestContent};
 use crate::front::connection::Client;
 use crate::front::head;
-use crate::payload::{self, Payload, Refused, Reply};
-use crate::tapped::Shared;
+use crate::payload::{self, Payload, ReceiveError, ResponseBody};
+use crate::socket::SharedSocket;
 
 /// Connections that are turned away at once while this process ends, and how long one of them may take to ask.
 pub(super) const LATE_TIME: Duration = Duration::from_millis(400);
@@ -41,9 +41,9 @@
 pub(super) async fn respond(
     driver: &Rc<Driver>,
     client: &Client,
-    socket: &Shared,
+    socket: &SharedSocket,
     request: hyper::Request<Incoming>,
-) -> Response<Reply> {
+) -> Response<ResponseBody> {
     // What comes from here on, but for this request's body, belongs to the next one.
     client.begun.set(None);
     if request.uri().path() == "/-/ready" {
@@ -78,24 +78,26 @@
             return bad(status, why);
         }
     };
-    let taken = payload::take_in(body, &driver.body_budget).await;
+    let taken = payload::receive(body, &driver.body_budget).await;
     client.reading.set(false);
     let body = match taken {
         Ok(body) => body,
-        Err(Refused::TooLarge(body)) => {
+        Err(ReceiveError::TooLarge(body)) => {
             let _ = timeout(DISCARD_TIME, discard(body)).await;
             return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
         }
-        Err(Refused::Broken) => return bad(StatusCode::BAD_REQUEST, "the body did not come whole"),
-        Err(Refused::Late) => return bad(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+        Err(ReceiveError::Incomplete) => return bad(StatusCode::BAD_REQUEST, "the body did not come whole"),
+        Err(ReceiveError::TimedOut) => {
+            return bad(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")
+        }
     };
-    let empty = matches!(body, Payload::Held { length: 0, .. });
+    let empty = matches!(body, Payload::Buffered { length: 0, .. });
     if head.method == Method::GET && !empty {
         return bad(StatusCode::BAD_REQUEST, "a GET has no body");
     }
     let pipe = match &body {
-        Payload::Piped(pipe) => Some(pipe.clone()),
-        Payload::Held { .. } => None,
+        Payload::Streamed(pipe) => Some(pipe.clone()),
+        Payload::Buffered { .. } => None,
     };
     // The client's time has run while its connection waited to be accepted, or rested.
     read.request.budget_ms = (read.request.budget_ms - rested_ms).max(0.0);
@@ -115,10 +117,10 @@
         driver.update_counters(|ledger| {
             ledger.record_answered_locally(read.request.class, RequestOutcome::Succeeded)
         });
-        return Response::new(Reply::Whole(body));
+        return Response::new(ResponseBody::Buffered(body));
     }
     // It lay behind another one, and its client left while that was open: nothing is owed, and nothing goes out for it.
-    if !client.drained.get() && socket.closed() {
+    if !client.drained.get() && socket.remote_closed() {
         return bad(StatusCode::BAD_REQUEST, "its client has left");
     }
     let class = read.request.class;
@@ -134,11 +136,13 @@
     // A sender reads its answer once it has sent all. Of one that streams the server still takes the rest.
     let sent_all = match (&pipe, &answer) {
         (None, _) | (_, Ok(Answer::Streamed(..))) => true,
-        (Some(pipe), _) => pipe.read_off().await,
+        (Some(pipe), _) => pipe.discard_rest().await,
     };
     let mut answer = match answer {
-        Ok(Answer::Served(body)) => Response::new(Reply::Whole(body)),
-        Ok(Answer::Streamed(pieces, left)) => Response::new(Reply::Pieces { pieces, left, ended: false }),
+        Ok(Answer::Served(body)) => Response::new(ResponseBody::Buffered(body)),
+        Ok(Answer::Streamed(pieces, left)) => {
+            Response::new(ResponseBody::Streamed { chunks: pieces, remaining: left, ended: false })
+        }
         Ok(Answer::Refused(retry_ms)) => refusal(retry_ms),
         Ok(Answer::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, ""),
     };
@@ -160,7 +164,7 @@
 }
 
 /// Trying again is harmless, after so many milliseconds if not 0.
-fn refusal(retry_ms: f64) -> Response<Reply> {
+fn refusal(retry_ms: f64) -> Response<ResponseBody> {
     let mut answer = plain(StatusCode::TOO_MANY_REQUESTS, "");
     if retry_ms > 0.0 {
         if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_ms / 1000.0)) {
@@ -170,14 +174,14 @@
     answer
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Reply> {
-    let mut answer = Response::new(Reply::Whole(Bytes::from_static(text.as_bytes())));
+fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::Buffered(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
     answer
 }
 
 /// Answers what cannot be taken. Its body may be unread, so the connection ends.
-fn bad(status: StatusCode, why: &'static str) -> Response<Reply> {
+fn bad(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
     let mut answer = plain(status, why);
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
--- a/marldeal/src/front/clients.rs
+++ b/marldeal/src/front/clients.rs
@@ -21,9 +21,9 @@
 use crate::front::answer::LATE_TIME;
 use crate::front::connection::{connection, Client};
 use crate::front::head::HeaderLayout;
-use crate::payload::STILL;
+use crate::payload::TRANSFER_IDLE_TIMEOUT;
 use crate::transient;
-use crate::upgrade::{Heir, Passed};
+use crate::upgrade::{SuccessorHandle, TransferredConnection};
 
 /// A client that has sent a part of a head, or has connected and said nothing, is cut off after this time from the
 /// first byte on, however it trickles: the platform's slowest takes 2 s.
@@ -53,7 +53,7 @@
     pub(super) all: RefCell<BTreeMap<u64, Rc<Client>>>,
     pub(super) closed: Notify,
     pub(super) layout: Rc<HeaderLayout>,
-    pub(super) successor: Rc<Heir>,
+    pub(super) successor: Rc<SuccessorHandle>,
 }
 
 impl Clients {
@@ -67,7 +67,7 @@
             for client in self.all.borrow().values().filter(|c| !c.busy.get()) {
                 if client.answering.get() {
                     // Its reader stands still.
-                    if client.used.get().elapsed() > STILL {
+                    if client.used.get().elapsed() > TRANSFER_IDLE_TIMEOUT {
                         client.end(CloseReason::Stalled);
                     }
                     continue;
@@ -124,9 +124,9 @@
 /// Connections that come from a predecessor, and where they go with a successor.
 pub struct Handover {
     /// From a predecessor.
-    pub arrivals: mpsc::UnboundedReceiver<Passed>,
+    pub arrivals: mpsc::UnboundedReceiver<TransferredConnection>,
     /// To a successor.
-    pub successor: Rc<Heir>,
+    pub successor: Rc<SuccessorHandle>,
     /// No other process shares the listener.
     pub own_listener: bool,
 }
@@ -170,7 +170,7 @@
         if phase == Phase::HandingOver {
             listener = None;
         }
-        if phase == Phase::HandingOver && clients.successor.is_there() {
+        if phase == Phase::HandingOver && clients.successor.is_accepting() {
             clients.pass_on();
         }
         if closes && !closing {
@@ -215,7 +215,7 @@
                     open(driver, &clients, number, stream, Before { waited, ..Before::default() });
                 }
                 // The connection was aborted, or the call interrupted: the next one may do.
-                Err(e) if !transient::is_want(&e) => tokio::task::yield_now().await,
+                Err(e) if !transient::is_resource_exhaustion(&e) => tokio::task::yield_now().await,
                 // Out of descriptors: what waits to be accepted is taken a little later, and where that does not pass by
                 // itself an idle connection makes way.
                 Err(e) => {
@@ -246,8 +246,8 @@
 }
 
 /// Takes in a connection that another process, or this one, held before.
-fn adopt(driver: &Rc<Driver>, clients: &Rc<Clients>, number: u64, passed: Passed) {
-    let Passed { stream, begun, read } = passed;
+fn adopt(driver: &Rc<Driver>, clients: &Rc<Clients>, number: u64, passed: TransferredConnection) {
+    let TransferredConnection { stream, request_age: begun, read_ahead: read } = passed;
     let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) else { return };
     let begun = begun.map(|waited| Instant::now().checked_sub(waited).unwrap_or_else(Instant::now));
     open(driver, clients, number, stream, Before { passed: Some((begun, read)), ..Before::default() });
--- a/marldeal/src/front/connection.rs
+++ b/marldeal/src/front/connection.rs
@@ -24,9 +24,9 @@
 use crate::front::answer::respond;
 use crate::front::clients::Clients;
 use crate::front::head::HeaderLayout;
-use crate::payload::{Progress, Watched};
-use crate::tapped::{Shared, Tap, Tapped, Unread};
-use crate::upgrade::{Heir, Passed};
+use crate::payload::{Progress, TrackedBody};
+use crate::socket::{IoObserver, ObservedStream, SharedSocket, Unread};
+use crate::upgrade::{SuccessorHandle, TransferredConnection};
 
 /// Longest head of a request.
 const MOST_HEAD: usize = 16 << 10;
@@ -61,7 +61,7 @@
     pub(super) answering: Cell<bool>,
     pub(super) taken: Cell<bool>,
     /// Where it goes once another process has taken this one's place, and when to look.
-    pub(super) successor: Rc<Heir>,
+    pub(super) successor: Rc<SuccessorHandle>,
     pub(super) pass: Notify,
     /// It came while this process ends: what it asks is refused.
     pub(super) late: bool,
@@ -80,7 +80,7 @@
 }
 
 impl Client {
-    pub(super) fn new(layout: Rc<HeaderLayout>, successor: Rc<Heir>, late: bool) -> Client {
+    pub(super) fn new(layout: Rc<HeaderLayout>, successor: Rc<SuccessorHandle>, late: bool) -> Client {
         let now = Instant::now();
         Client {
             busy: Cell::new(false),
@@ -107,7 +107,7 @@
 
     /// Waits until the client turns out to have left while its request is open, hidden by what it has sent behind it. It is
     /// polled whenever the connection is, and costs nothing as long as clients send one request at a time.
-    pub(super) async fn left(&self, socket: &Shared) {
+    pub(super) async fn left(&self, socket: &SharedSocket) {
         let mut look: Option<std::pin::Pin<Box<tokio::time::Sleep>>> = None;
         std::future::poll_fn(|context| {
             if !self.busy.get() || self.drained.get() {
@@ -115,7 +115,7 @@
                 return Poll::Pending;
             }
             loop {
-                if socket.closed() {
+                if socket.remote_closed() {
                     return Poll::Ready(());
                 }
                 let look = look.get_or_insert_with(|| Box::pin(tokio::time::sleep(LOOK)));
@@ -127,7 +127,7 @@
     }
 
     /// Whether its connection may be closed at this moment.
-    pub(super) fn may_close(&self, socket: &Shared, why: CloseReason) -> bool {
+    pub(super) fn may_close(&self, socket: &SharedSocket, why: CloseReason) -> bool {
         let unread = socket.unread() == Unread::Bytes;
         let connection =
             Connection { request_open: self.busy.get(), unread, already_deferred: self.reread.get() };
@@ -157,21 +157,21 @@
 }
 
 /// Hyper says only once a head is whole that bytes have come.
-impl Tap for Rc<Client> {
-    fn read(&mut self, _: &mut Context<'_>, bytes: usize) -> io::Result<()> {
+impl IoObserver for Rc<Client> {
+    fn on_read(&mut self, _: &mut Context<'_>, bytes: usize) -> io::Result<()> {
         self.drained.set(bytes == 0);
         if bytes > 0 {
             self.bytes_received();
         }
         Ok(())
     }
-    fn wrote(&mut self, _: usize) {
+    fn on_written(&mut self, _: usize) {
         self.used.set(Instant::now());
     }
-    fn flushed(&mut self) {
+    fn on_flushed(&mut self) {
         if self.taken.get() {
             self.answering.set(false);
-            if self.successor.is_there() {
+            if self.successor.is_accepting() {
                 self.pass.notify_one();
             }
         }
@@ -179,7 +179,7 @@
 }
 
 impl Progress for Client {
-    fn taken(&self) {
+    fn body_consumed(&self) {
         self.taken.set(true);
     }
 }
@@ -191,7 +191,7 @@
     stream: TcpStream,
     read: Bytes,
 ) -> Closed {
-    let stream = Shared::new(stream);
+    let stream = SharedSocket::new(stream);
     let socket = stream.clone();
     let service = service_fn(|request| {
         let (driver, clients, client) = (driver.clone(), clients.clone(), client.clone());
@@ -206,19 +206,19 @@
                 let open = u32::try_from(clients.all.borrow().len()).unwrap_or(u32::MAX);
                 client.rest.set(Some(Instant::now() + REST_EACH.saturating_mul(open)));
             }
-            if !driver.with_lifecycle(Lifecycle::keeps_alive) && !clients.successor.is_there() {
+            if !driver.with_lifecycle(Lifecycle::keeps_alive) && !clients.successor.is_accepting() {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             client.busy.set(false);
             client.reading.set(false);
             client.used.set(Instant::now());
-            Ok::<_, Infallible>(answer.map(|body| Watched::new(body, client)))
+            Ok::<_, Infallible>(answer.map(|body| TrackedBody::new(body, client)))
         }
     });
-    let mut serving = http1::Builder::new()
-        .max_buf_size(MOST_HEAD)
-        .auto_date_header(false)
-        .serve_connection(TokioIo::new(Tapped { stream, tap: client.clone(), read }), service);
+    let mut serving = http1::Builder::new().max_buf_size(MOST_HEAD).auto_date_header(false).serve_connection(
+        TokioIo::new(ObservedStream { stream, observer: client.clone(), prefix: read }),
+        service,
+    );
     let left = client.left(&socket);
     tokio::pin!(left);
     let (mut closing, mut postponed) = (false, 0);
@@ -237,9 +237,9 @@
                 let begun = client.begun.get().map(|at| at.elapsed());
                 let stream = parts.io.into_inner().stream.take().map(TcpStream::into_std);
                 let Some(Ok(stream)) = stream else { return Closed::Broken };
-                let passed = Passed { stream, begun, read: parts.read_buf };
+                let passed = TransferredConnection { stream, request_age: begun, read_ahead: parts.read_buf };
                 // The heir has gone: the connection ends here.
-                clients.successor.pass(passed);
+                clients.successor.hand_over(passed);
                 return Closed::PassedOn;
             },
             // A request that came in between the word to cut and this has been taken: it stays.
--- a/marldeal/src/front/external.rs
+++ b/marldeal/src/front/external.rs
@@ -34,7 +34,7 @@
 use crate::front::proxy_messages;
 use crate::settings::config::Config;
 use crate::settings::extensions::ExternalProcessor;
-use crate::tapped::{Tap, Tapped};
+use crate::socket::{IoObserver, ObservedStream};
 
 /// A proxy is asked for more time once it has waited so long: well before the 200 ms that Envoy waits by default.
 const NUDGE: Duration = Duration::from_millis(50);
@@ -453,8 +453,8 @@
     _place: OwnedSemaphorePermit,
 }
 
-impl Tap for Proxy {
-    fn read(&mut self, cx: &mut Context<'_>, bytes: usize) -> io::Result<()> {
+impl IoObserver for Proxy {
+    fn on_read(&mut self, cx: &mut Context<'_>, bytes: usize) -> io::Result<()> {
         let Some(late) = &mut self.late else { return Ok(()) };
         self.seen += bytes;
         if self.seen >= PREFACE {
@@ -466,7 +466,7 @@
     }
 }
 
-impl Connected for Tapped<Proxy> {
+impl Connected for ObservedStream<Proxy> {
     type ConnectInfo = TcpConnectInfo;
 
     fn connect_info(&self) -> TcpConnectInfo {
@@ -475,7 +475,7 @@
 }
 
 /// Accepts proxies; one too many is closed at once, so that it hears and goes elsewhere.
-fn accepted(listener: TcpListener, most: usize) -> impl Stream<Item = io::Result<Tapped<Proxy>>> {
+fn accepted(listener: TcpListener, most: usize) -> impl Stream<Item = io::Result<ObservedStream<Proxy>>> {
     let places = Arc::new(Semaphore::new(most));
     let mut full = false;
     async_stream::stream! {
@@ -486,7 +486,7 @@
                         full = false;
                         let _ = stream.set_nodelay(true);
                         let late = Some(Box::pin(tokio::time::sleep(PREFACE_TIME)));
-                        yield Ok(Tapped { stream, tap: Proxy { seen: 0, late, _place: place }, read: bytes::Bytes::new() });
+                        yield Ok(ObservedStream { stream, observer: Proxy { seen: 0, late, _place: place }, prefix: bytes::Bytes::new() });
                     }
                     Err(_) => {
                         if !std::mem::replace(&mut full, true) {
--- a/marldeal/src/lib.rs
+++ b/marldeal/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod reload;
 pub mod run;
 pub mod settings;
-pub mod tapped;
+pub mod socket;
 pub mod tier;
 pub mod transient;
 pub mod upgrade;
--- a/marldeal/src/payload.rs
+++ b/marldeal/src/payload.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way: a request's to a server, held or piped; an answer's to its client, whole or in pieces.
+//! Bodies on their way: a request's to a server, held or piped; an answer's to its client, whole or in chunks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -17,20 +17,20 @@
 use tokio::time::{Instant, Sleep};
 
 /// Longest answer that is read whole before it is passed on, and longest body that counts as a small one.
-pub const MOST_WHOLE: usize = 64 << 10;
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
 /// Longest body of a request.
-pub const MOST_BODY: u64 = 64 << 20;
+pub const MAX_REQUEST_BODY_BYTES: u64 = 64 << 20;
 /// A pipe on which either side stands still for so long has broken.
-pub const STILL: Duration = Duration::from_secs(10);
+pub const TRANSFER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What a request's sender is asked for: the platform's slowest client writes 64 kB a second.
-pub const PACE: MinDataRate = MinDataRate { grace_ms: 2400.0, bytes_per_s: 60_000.0 };
+pub const MIN_UPLOAD_RATE: MinDataRate = MinDataRate { grace_ms: 2400.0, bytes_per_s: 60_000.0 };
 
 /// A request's body.
 #[derive(Debug)]
 pub enum Payload {
     /// All of it is here, and may be sent again.
-    Held {
+    Buffered {
         /// Its bytes.
         blocks: Vec<Bytes>,
         /// How many.
@@ -39,19 +39,19 @@
         held: Option<BufferedBody>,
     },
     /// It is still to come, and can be sent once.
-    Piped(Rc<Pipe>),
+    Streamed(Rc<StreamedBody>),
 }
 
 impl Payload {
     /// A whole one.
     pub fn held(mut held: BufferedBody) -> Payload {
-        Payload::Held { blocks: held.blocks().to_vec(), length: held.len(), held: Some(held) }
+        Payload::Buffered { blocks: held.blocks().to_vec(), length: held.len(), held: Some(held) }
     }
 
     /// The bytes of a small one that is here.
     pub fn small(&self) -> Option<&[u8]> {
         match self {
-            Payload::Held { blocks, .. } if blocks.len() <= 1 => Some(blocks.first().map_or(&[], |b| b)),
+            Payload::Buffered { blocks, .. } if blocks.len() <= 1 => Some(blocks.first().map_or(&[], |b| b)),
             _ => None,
         }
     }
@@ -59,7 +59,7 @@
 
 /// A body that is passed on as it comes.
 #[derive(Debug)]
-pub struct Pipe {
+pub struct StreamedBody {
     /// What has been read of it already.
     first: RefCell<(VecDeque<Bytes>, Option<BufferedBody>)>,
     rest: RefCell<Incoming>,
@@ -70,7 +70,7 @@
     ended: Cell<bool>,
 }
 
-impl Pipe {
+impl StreamedBody {
     /// With what was held of it, and a piece that found no room.
     pub fn new(
         mut held: BufferedBody,
@@ -78,12 +78,12 @@
         rest: Incoming,
         told: Option<u64>,
         began: Instant,
-    ) -> Pipe {
+    ) -> StreamedBody {
         let mut first: VecDeque<Bytes> = held.blocks().iter().cloned().collect();
         first.extend((!piece.is_empty()).then_some(piece));
         let came = first.iter().map(|b| b.len() as u64).sum();
         let ended = Cell::new(told == Some(came));
-        Pipe {
+        StreamedBody {
             first: RefCell::new((first, Some(held))),
             rest: RefCell::new(rest),
             told,
@@ -95,7 +95,7 @@
 
     /// The sender is waited for until then.
     fn until(&self) -> Instant {
-        self.began + Duration::from_secs_f64(PACE.deadline_ms(self.came.get()) / 1000.0)
+        self.began + Duration::from_secs_f64(MIN_UPLOAD_RATE.deadline_ms(self.came.get()) / 1000.0)
     }
 
     fn poll_piece(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
@@ -118,7 +118,7 @@
             if !piece.is_empty() {
                 self.came.set(self.came.get() + piece.len() as u64);
                 // One whose length was not told: what has gone cannot be called back, the rest need not follow.
-                if self.came.get() > MOST_BODY {
+                if self.came.get() > MAX_REQUEST_BODY_BYTES {
                     return Poll::Ready(Some(Err(io::Error::other("the body is too long"))));
                 }
                 self.ended.set(self.told == Some(self.came.get()));
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Reads off what is left, at the sender's pace, so that it sees its answer; false if it does not come.
-    pub async fn read_off(&self) -> bool {
+    /// Reads off what is remaining, at the sender's pace, so that it sees its answer; false if it does not come.
+    pub async fn discard_rest(&self) -> bool {
         while !self.ended.get() {
             let piece = std::future::poll_fn(|cx| self.poll_piece(cx));
             match tokio::time::timeout_at(self.until(), piece).await {
@@ -144,26 +144,26 @@
 /// How far a message on a connection has gone.
 pub trait Progress {
     /// The connection has taken its last byte in.
-    fn taken(&self);
+    fn body_consumed(&self);
 }
 
 /// A body that tells its progress when its last byte has been taken.
-pub struct Watched<B, P> {
+pub struct TrackedBody<B, P> {
     body: B,
     progress: Rc<P>,
 }
 
-impl<B: Body, P: Progress> Watched<B, P> {
+impl<B: Body, P: Progress> TrackedBody<B, P> {
     /// Of a body; an empty one has been taken from the start, for the connection never asks it.
-    pub fn new(body: B, progress: Rc<P>) -> Watched<B, P> {
+    pub fn new(body: B, progress: Rc<P>) -> TrackedBody<B, P> {
         if body.is_end_stream() {
-            progress.taken();
+            progress.body_consumed();
         }
-        Watched { body, progress }
+        TrackedBody { body, progress }
     }
 }
 
-impl<B: Body + Unpin, P: Progress> Body for Watched<B, P> {
+impl<B: Body + Unpin, P: Progress> Body for TrackedBody<B, P> {
     type Data = B::Data;
     type Error = B::Error;
 
@@ -173,7 +173,7 @@
     ) -> Poll<Option<Result<Frame<B::Data>, B::Error>>> {
         let frame = Pin::new(&mut self.body).poll_frame(cx);
         if matches!(frame, Poll::Ready(None)) || self.body.is_end_stream() {
-            self.progress.taken();
+            self.progress.body_consumed();
         }
         frame
     }
@@ -188,39 +188,39 @@
 }
 
 /// A request's body on its way to a server.
-pub enum Outgoing {
-    /// Of a held payload: blocks, and bytes that are left.
-    Held(std::vec::IntoIter<Bytes>, u64),
+pub enum OutgoingBody {
+    /// Of a held payload: blocks, and bytes that are remaining.
+    Buffered(std::vec::IntoIter<Bytes>, u64),
     /// Of a piped one, and when its sender is late.
-    Piped(Rc<Pipe>, Pin<Box<Sleep>>),
+    Streamed(Rc<StreamedBody>, Pin<Box<Sleep>>),
 }
 
-impl Outgoing {
+impl OutgoingBody {
     /// Of a payload.
-    pub fn new(payload: &Payload) -> Outgoing {
+    pub fn new(payload: &Payload) -> OutgoingBody {
         match payload {
-            Payload::Held { blocks, length, .. } => {
-                Outgoing::Held(blocks.clone().into_iter(), *length as u64)
+            Payload::Buffered { blocks, length, .. } => {
+                OutgoingBody::Buffered(blocks.clone().into_iter(), *length as u64)
             }
-            Payload::Piped(pipe) => {
-                Outgoing::Piped(pipe.clone(), Box::pin(tokio::time::sleep_until(pipe.until())))
+            Payload::Streamed(pipe) => {
+                OutgoingBody::Streamed(pipe.clone(), Box::pin(tokio::time::sleep_until(pipe.until())))
             }
         }
     }
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match &mut *self {
-            Outgoing::Held(blocks, left) => {
+            OutgoingBody::Buffered(blocks, remaining) => {
                 let block = blocks.next();
-                *left -= block.as_ref().map_or(0, |b| b.len() as u64);
+                *remaining -= block.as_ref().map_or(0, |b| b.len() as u64);
                 Poll::Ready(block.map(|b| Ok(Frame::data(b))))
             }
-            Outgoing::Piped(pipe, late) => match pipe.poll_piece(cx) {
+            OutgoingBody::Streamed(pipe, late) => match pipe.poll_piece(cx) {
                 Poll::Ready(piece) => {
                     late.as_mut().reset(pipe.until());
                     Poll::Ready(piece.map(|p| p.map(Frame::data)))
@@ -232,24 +232,24 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Held(_, left) => *left == 0,
-            Outgoing::Piped(pipe, _) => pipe.ended.get() && pipe.first.borrow().0.is_empty(),
+            OutgoingBody::Buffered(_, remaining) => *remaining == 0,
+            OutgoingBody::Streamed(pipe, _) => pipe.ended.get() && pipe.first.borrow().0.is_empty(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        let left = match self {
-            Outgoing::Held(_, left) => Some(*left),
+        let remaining = match self {
+            OutgoingBody::Buffered(_, remaining) => Some(*remaining),
             // As the connection has not taken any of it yet when it asks.
-            Outgoing::Piped(pipe, _) => pipe.told,
+            OutgoingBody::Streamed(pipe, _) => pipe.told,
         };
-        left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-/// A part of an answer that is passed on as it comes. Without [`Piece::End`] it was broken off.
+/// A part of an answer that is passed on as it comes. Without [`Chunk::End`] it was broken off.
 #[derive(Debug)]
-pub enum Piece {
+pub enum Chunk {
     /// More of it.
     Data(Bytes),
     /// That was all.
@@ -258,56 +258,58 @@
 
 /// An answer's body on its way to a client.
 #[derive(Debug)]
-pub enum Reply {
+pub enum ResponseBody {
     /// All of it is here.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It comes as its reader takes it.
-    Pieces {
-        /// Its pieces.
-        pieces: mpsc::Receiver<Piece>,
+    Streamed {
+        /// Its chunks.
+        chunks: mpsc::Receiver<Chunk>,
         /// Bytes that are still to come, where they were told.
-        left: Option<u64>,
+        remaining: Option<u64>,
         /// There are no more.
         ended: bool,
     },
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match &mut *self {
-            Reply::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Reply::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Reply::Pieces { ended: true, .. } => Poll::Ready(None),
-            Reply::Pieces { pieces, left, ended } => match std::task::ready!(pieces.poll_recv(cx)) {
-                Some(Piece::Data(bytes)) => {
-                    *left = left.map(|l| l.saturating_sub(bytes.len() as u64));
-                    Poll::Ready(Some(Ok(Frame::data(bytes))))
+            ResponseBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            ResponseBody::Streamed { ended: true, .. } => Poll::Ready(None),
+            ResponseBody::Streamed { chunks, remaining, ended } => {
+                match std::task::ready!(chunks.poll_recv(cx)) {
+                    Some(Chunk::Data(bytes)) => {
+                        *remaining = remaining.map(|l| l.saturating_sub(bytes.len() as u64));
+                        Poll::Ready(Some(Ok(Frame::data(bytes))))
+                    }
+                    Some(Chunk::End) => {
+                        *ended = true;
+                        Poll::Ready(None)
+                    }
+                    // The reader must be able to tell: the connection ends in the middle.
+                    None => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
                 }
-                Some(Piece::End) => {
-                    *ended = true;
-                    Poll::Ready(None)
-                }
-                // The reader must be able to tell: the connection ends in the middle.
-                None => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
-            },
+            }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Whole(bytes) => bytes.is_empty(),
-            Reply::Pieces { left, ended, .. } => *ended || *left == Some(0),
+            ResponseBody::Buffered(bytes) => bytes.is_empty(),
+            ResponseBody::Streamed { remaining, ended, .. } => *ended || *remaining == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Reply::Pieces { left: Some(left), .. } => SizeHint::with_exact(*left),
-            Reply::Pieces { .. } => SizeHint::default(),
+            ResponseBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::Streamed { remaining: Some(remaining), .. } => SizeHint::with_exact(*remaining),
+            ResponseBody::Streamed { .. } => SizeHint::default(),
         }
     }
 }
@@ -316,37 +318,37 @@
 ///
 /// # Errors
 /// It did not come, or not at the pace that is asked for.
-pub async fn take_in(mut body: Incoming, budget: &Rc<Budget>) -> Result<Payload, Refused> {
+pub async fn receive(mut body: Incoming, budget: &Rc<Budget>) -> Result<Payload, ReceiveError> {
     let began = Instant::now();
     let told = body.size_hint().exact();
     let mut held = BufferedBody::new(budget, told.and_then(|told| usize::try_from(told).ok()));
     if body.is_end_stream() {
         return Ok(Payload::held(held));
     }
-    if told.is_some_and(|told| told > MOST_BODY) {
-        return Err(Refused::TooLarge(body));
+    if told.is_some_and(|told| told > MAX_REQUEST_BODY_BYTES) {
+        return Err(ReceiveError::TooLarge(body));
     }
     loop {
-        let until = began + Duration::from_secs_f64(PACE.deadline_ms(held.len() as u64) / 1000.0);
+        let until = began + Duration::from_secs_f64(MIN_UPLOAD_RATE.deadline_ms(held.len() as u64) / 1000.0);
         let piece = match tokio::time::timeout_at(until, body.frame()).await {
             Ok(None) => return Ok(Payload::held(held)),
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
-            Ok(Some(Err(_))) => return Err(Refused::Broken),
-            Err(_) => return Err(Refused::Late),
+            Ok(Some(Err(_))) => return Err(ReceiveError::Incomplete),
+            Err(_) => return Err(ReceiveError::TimedOut),
         };
         if !held.push(&piece) {
-            return Ok(Payload::Piped(Rc::new(Pipe::new(held, piece, body, told, began))));
+            return Ok(Payload::Streamed(Rc::new(StreamedBody::new(held, piece, body, told, began))));
         }
     }
 }
 
 /// Why a body was not taken in.
 #[derive(Debug)]
-pub enum Refused {
+pub enum ReceiveError {
     /// It says that it is longer than any may be.
     TooLarge(Incoming),
     /// It did not come whole.
-    Broken,
+    Incomplete,
     /// It came too slowly.
-    Late,
+    TimedOut,
 }
--- a/marldeal/src/reload.rs
+++ b/marldeal/src/reload.rs
@@ -11,11 +11,11 @@
 
 /// Which reading after a signal it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum ReloadTrigger {
     /// The one that the signal asked for.
-    First,
+    Signal,
     /// The one before found no good file.
-    Again,
+    Retry,
 }
 
 /// How long after the signal it is tried again, and how often. What a new place of discovery has counts 4 s after the signal.
@@ -26,19 +26,19 @@
 pub async fn on_hangup(driver: Rc<Driver>, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         let mut until = Instant::now() + PATIENCE;
-        let mut read = driver.reload(Turn::First);
+        let mut read = driver.reload(ReloadTrigger::Signal);
         while !read && Instant::now() < until {
-            let turn = tokio::select! {
+            let trigger = tokio::select! {
                 again = hangup.recv() => match again {
-                    Some(()) => Turn::First,
+                    Some(()) => ReloadTrigger::Signal,
                     None => return,
                 },
-                () = tokio::time::sleep(EVERY) => Turn::Again,
+                () = tokio::time::sleep(EVERY) => ReloadTrigger::Retry,
             };
-            if turn == Turn::First {
+            if trigger == ReloadTrigger::Signal {
                 until = Instant::now() + PATIENCE;
             }
-            read = driver.reload(turn);
+            read = driver.reload(trigger);
         }
     }
 }
--- a/marldeal/src/run.rs
+++ b/marldeal/src/run.rs
@@ -17,7 +17,7 @@
 use crate::settings::extensions::Extensions;
 use crate::settings::mistakes;
 use crate::tier::peers;
-use crate::upgrade::{Heir, Meeting};
+use crate::upgrade::{SuccessorHandle, UpgradeEndpoint};
 use crate::upstream::discovery;
 use crate::upstream::servers::Servers;
 use crate::{logging, management, reload, transient, upgrade};
@@ -32,7 +32,7 @@
         std::env::var("MARLDEAL_PLANTED").ok().and_then(|f| fawnhill::planted::Fault::from_name(&f)),
     );
     let inherited = upgrade::inherit::listener()?;
-    let runtime = transient::retried_blocking(|| {
+    let runtime = transient::retry_blocking(|| {
         Builder::new_current_thread().enable_all().build_local(LocalOptions::default())
     });
     runtime.map_err(|e| format!("cannot start: {e}"))?.block_on(serve(extensions, inherited))
@@ -76,9 +76,8 @@
         info!("holds units of quotas ahead of need for up to {most} customers");
     }
     if !beside {
-        let mail = transient::retried(|| driver.open_peer_socket())
-            .await
-            .map_err(|e| format!("peer_listen: {e}"))?;
+        let mail =
+            transient::retry(|| driver.open_peer_socket()).await.map_err(|e| format!("peer_listen: {e}"))?;
         if let Some(mail) = mail {
             tokio::task::spawn_local(peers::listen(driver.clone(), mail));
         }
@@ -107,9 +106,9 @@
     tokio::task::spawn_local(async move { servers.sweep().await });
     tokio::task::spawn_local(discovery::watch(driver.clone()));
     let (arrive, arrivals) = mpsc::unbounded_channel();
-    let heir = Rc::<Heir>::default();
+    let heir = Rc::<SuccessorHandle>::default();
     if let Some(path) = meeting {
-        let (driver, at) = (driver.clone(), Meeting { path, heir: heir.clone() });
+        let (driver, at) = (driver.clone(), UpgradeEndpoint { path, successor: heir.clone() });
         match predecessor {
             Some(stream) => drop(tokio::task::spawn_local(async move {
                 upgrade::succeed(driver, stream, &at, arrive).await;
@@ -143,5 +142,5 @@
 }
 
 async fn listen(at: std::net::SocketAddr) -> Result<TcpListener, String> {
-    transient::retried(|| TcpListener::bind(at)).await.map_err(|e| format!("cannot listen on {at}: {e}"))
+    transient::retry(|| TcpListener::bind(at)).await.map_err(|e| format!("cannot listen on {at}: {e}"))
 }
--- a/marldeal/src/settings/config.rs
+++ b/marldeal/src/settings/config.rs
@@ -161,7 +161,7 @@
 impl Config {
     /// Reads the environment at a start. The error is one plain line.
     pub fn from_environment() -> Result<Config, String> {
-        Config::read(variable, |path| transient::retried_blocking(|| std::fs::read_to_string(path)))
+        Config::read(variable, |path| transient::retry_blocking(|| std::fs::read_to_string(path)))
     }
 
     /// Reads the file again. `ROUTER_DISCOVERY` tells of the start: only the file can name another address.
--- a/marldeal/src/tapped.rs
+++ b/marldeal/src/socket.rs
@@ -14,15 +14,15 @@
 use tokio::net::TcpStream;
 
 /// What is told.
-pub trait Tap: Unpin {
+pub trait IoObserver: Unpin {
     /// A read was tried and brought so many bytes. An error ends the connection.
-    fn read(&mut self, _: &mut Context<'_>, _bytes: usize) -> io::Result<()> {
+    fn on_read(&mut self, _: &mut Context<'_>, _bytes: usize) -> io::Result<()> {
         Ok(())
     }
     /// So many bytes were written.
-    fn wrote(&mut self, _bytes: usize) {}
+    fn on_written(&mut self, _bytes: usize) {}
     /// All that there was to write has been written.
-    fn flushed(&mut self) {}
+    fn on_flushed(&mut self) {}
 }
 
 /// What lies in a socket, unread.
@@ -33,37 +33,37 @@
     /// Bytes.
     Bytes,
     /// Nothing, and nothing more will come: the other side has closed or reset it.
-    Over,
+    Closed,
 }
 
 /// A socket that another part of the program can look at while its owner reads and writes it, until it is taken away.
 #[derive(Debug, Clone)]
-pub struct Shared(Rc<RefCell<Option<TcpStream>>>);
+pub struct SharedSocket(Rc<RefCell<Option<TcpStream>>>);
 
-impl Shared {
+impl SharedSocket {
     /// Of a socket.
-    pub fn new(stream: TcpStream) -> Shared {
-        Shared(Rc::new(RefCell::new(Some(stream))))
+    pub fn new(stream: TcpStream) -> SharedSocket {
+        SharedSocket(Rc::new(RefCell::new(Some(stream))))
     }
 
     /// What the kernel holds at this very moment, whether or not the event loop has been told: one system call.
     pub fn unread(&self) -> Unread {
         let stream = self.0.borrow();
-        let Some(stream) = &*stream else { return Unread::Over };
+        let Some(stream) = &*stream else { return Unread::Closed };
         loop {
             return match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
-                Ok(0) => Unread::Over,
+                Ok(0) => Unread::Closed,
                 Ok(_) => Unread::Bytes,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
-                Err(_) => Unread::Over,
+                Err(_) => Unread::Closed,
             };
         }
     }
 
     /// The other side sends nothing more, behind whatever it has sent and is still unread.
-    pub fn closed(&self) -> bool {
-        if self.unread() == Unread::Over {
+    pub fn remote_closed(&self) -> bool {
+        if self.unread() == Unread::Closed {
             return true;
         }
         let stream = self.0.borrow();
@@ -97,13 +97,13 @@
     }
 }
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         self.once_ready(|s| s.poll_read_ready(cx), |s| s.try_read_buf(to).map(drop))
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         self.once_ready(|s| s.poll_write_ready(cx), |s| s.try_write(data))
     }
@@ -130,40 +130,40 @@
 }
 
 /// A socket and what it tells.
-pub struct Tapped<T, S = TcpStream> {
+pub struct ObservedStream<T, S = TcpStream> {
     /// The socket.
     pub stream: S,
     /// What it tells.
-    pub tap: T,
+    pub observer: T,
     /// What was read of it before: comes first.
-    pub read: Bytes,
+    pub prefix: Bytes,
 }
 
-impl<T: Tap, S: AsyncRead + Unpin> AsyncRead for Tapped<T, S> {
+impl<T: IoObserver, S: AsyncRead + Unpin> AsyncRead for ObservedStream<T, S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         to: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = to.filled().len();
-        if !self.read.is_empty() {
-            let count = self.read.len().min(to.remaining());
-            to.put_slice(&self.read.split_to(count));
-            return Poll::Ready(self.tap.read(cx, count));
+        if !self.prefix.is_empty() {
+            let count = self.prefix.len().min(to.remaining());
+            to.put_slice(&self.prefix.split_to(count));
+            return Poll::Ready(self.observer.on_read(cx, count));
         }
         let done = Pin::new(&mut self.stream).poll_read(cx, to);
-        match self.tap.read(cx, to.filled().len() - before) {
+        match self.observer.on_read(cx, to.filled().len() - before) {
             Ok(()) => done,
             Err(e) => Poll::Ready(Err(e)),
         }
     }
 }
 
-impl<T: Tap, S: AsyncWrite + Unpin> AsyncWrite for Tapped<T, S> {
+impl<T: IoObserver, S: AsyncWrite + Unpin> AsyncWrite for ObservedStream<T, S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write(cx, data);
         if let Poll::Ready(Ok(bytes)) = &done {
-            self.tap.wrote(*bytes);
+            self.observer.on_written(*bytes);
         }
         done
     }
@@ -174,7 +174,7 @@
     ) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write_vectored(cx, data);
         if let Poll::Ready(Ok(bytes)) = &done {
-            self.tap.wrote(*bytes);
+            self.observer.on_written(*bytes);
         }
         done
     }
@@ -184,7 +184,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let done = Pin::new(&mut self.stream).poll_flush(cx);
         if matches!(done, Poll::Ready(Ok(()))) {
-            self.tap.flushed();
+            self.observer.on_flushed();
         }
         done
     }
--- a/marldeal/src/transient.rs
+++ b/marldeal/src/transient.rs
@@ -22,24 +22,26 @@
 }
 
 /// Descriptors, buffers or memory are wanting on this machine.
-pub fn is_want(error: &io::Error) -> bool {
+pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     is_one_of(error, &WANTING)
 }
 
 /// The call failed for a reason on this side that passes by itself.
-pub fn passes(error: &io::Error) -> bool {
-    is_want(error) || is_one_of(error, &PASSING)
+pub fn is_transient(error: &io::Error) -> bool {
+    is_resource_exhaustion(error) || is_one_of(error, &PASSING)
 }
 
 /// Makes a call again while it fails for a reason that passes, for 5 s at most.
 ///
 /// # Errors
 /// That of the last call.
-pub async fn retried<T, F: Future<Output = io::Result<T>>>(mut call: impl FnMut() -> F) -> io::Result<T> {
+pub async fn retry<T, F: Future<Output = io::Result<T>>>(mut call: impl FnMut() -> F) -> io::Result<T> {
     let began = Instant::now();
     loop {
         match call().await {
-            Err(error) if passes(&error) && began.elapsed() < PATIENCE => tokio::time::sleep(EVERY).await,
+            Err(error) if is_transient(&error) && began.elapsed() < PATIENCE => {
+                tokio::time::sleep(EVERY).await
+            }
             done => return done,
         }
     }
@@ -49,11 +51,11 @@
 ///
 /// # Errors
 /// That of the last call.
-pub fn retried_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let began = Instant::now();
     loop {
         match call() {
-            Err(error) if passes(&error) && began.elapsed() < PATIENCE => std::thread::sleep(EVERY),
+            Err(error) if is_transient(&error) && began.elapsed() < PATIENCE => std::thread::sleep(EVERY),
             done => return done,
         }
     }
@@ -66,17 +68,21 @@
     #[test]
     fn a_want_on_this_side_passes_and_a_refusal_of_the_other_does_not() {
         let of = |e: Errno| io::Error::from_raw_os_error(e.raw_os_error());
-        assert!(is_want(&of(Errno::NFILE)) && !is_want(&of(Errno::CONNABORTED)));
+        assert!(
+            is_resource_exhaustion(&of(Errno::NFILE)) && !is_resource_exhaustion(&of(Errno::CONNABORTED))
+        );
         assert!([Errno::NFILE, Errno::INTR, Errno::ADDRNOTAVAIL, Errno::NETUNREACH]
             .iter()
-            .all(|e| passes(&of(*e))));
-        assert!(![Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH].iter().any(|e| passes(&of(*e))));
+            .all(|e| is_transient(&of(*e))));
+        assert!(![Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH]
+            .iter()
+            .any(|e| is_transient(&of(*e))));
     }
 
     #[test]
     fn a_call_is_made_again_until_it_passes_and_not_after_another_error() {
         let mut left = 3;
-        let done = retried_blocking(|| match left {
+        let done = retry_blocking(|| match left {
             0 => Ok("done"),
             _ => {
                 left -= 1;
@@ -85,7 +91,7 @@
         });
         assert_eq!((done.ok(), left), (Some("done"), 0));
         let mut calls = 0;
-        let refused = retried_blocking(|| {
+        let refused = retry_blocking(|| {
             calls += 1;
             Err::<(), _>(io::ErrorKind::PermissionDenied.into())
         });
--- a/marldeal/src/upgrade/frame.rs
+++ b/marldeal/src/upgrade/frame.rs
@@ -23,9 +23,9 @@
     /// The old one: a client's connection.
     Connection {
         /// The request that has begun on it has waited so long, in milliseconds; none has begun.
-        begun_ms: Option<u32>,
+        request_age_ms: Option<u32>,
         /// What has been read of it.
-        read: Bytes,
+        read_ahead: Bytes,
     },
     /// The old one: another new process is here already.
     Busy,
@@ -56,9 +56,9 @@
                 body.extend_from_slice(bytes);
                 2
             }
-            Frame::Connection { begun_ms, read } => {
-                body.put_u32(begun_ms.map_or(u32::MAX, |ms| ms.min(u32::MAX - 1)));
-                body.extend_from_slice(read);
+            Frame::Connection { request_age_ms, read_ahead } => {
+                body.put_u32(request_age_ms.map_or(u32::MAX, |ms| ms.min(u32::MAX - 1)));
+                body.extend_from_slice(read_ahead);
                 3
             }
             Frame::Busy => 4,
@@ -92,8 +92,8 @@
             (1, 1) => Ok(Some(Frame::Hello(body[0]))),
             (2, _) => Ok(Some(Frame::Snapshot(body))),
             (3, 4..) => {
-                let begun_ms = Some(body.get_u32()).filter(|ms| *ms != u32::MAX);
-                Ok(Some(Frame::Connection { begun_ms, read: body }))
+                let request_age_ms = Some(body.get_u32()).filter(|ms| *ms != u32::MAX);
+                Ok(Some(Frame::Connection { request_age_ms, read_ahead: body }))
             }
             (4, 0) => Ok(Some(Frame::Busy)),
             _ => Err("a frame makes no sense"),
@@ -112,7 +112,7 @@
             any::<u8>().prop_map(Frame::Hello),
             bytes().prop_map(Frame::Snapshot),
             (prop::option::of(0..u32::MAX - 1), bytes())
-                .prop_map(|(begun_ms, read)| Frame::Connection { begun_ms, read }),
+                .prop_map(|(request_age_ms, read_ahead)| Frame::Connection { request_age_ms, read_ahead }),
             Just(Frame::Busy),
         ]
     }
--- a/marldeal/src/upgrade/mod.rs
+++ b/marldeal/src/upgrade/mod.rs
@@ -39,32 +39,32 @@
 
 /// A client's connection on its way from one process to the other, with nothing unwritten on it.
 #[derive(Debug)]
-pub struct Passed {
+pub struct TransferredConnection {
     /// The connection.
     pub stream: TcpStream,
-    /// The request that has begun on it has waited so long; none has begun.
-    pub begun: Option<Duration>,
+    /// The request that has begun on it has waited so long; none has request_age.
+    pub request_age: Option<Duration>,
     /// What has been read of it.
-    pub read: Bytes,
+    pub read_ahead: Bytes,
 }
 
 /// Where connections go once another process has taken this one's place.
 #[derive(Debug, Default)]
-pub struct Heir {
-    to: RefCell<Option<mpsc::UnboundedSender<Passed>>>,
+pub struct SuccessorHandle {
+    to: RefCell<Option<mpsc::UnboundedSender<TransferredConnection>>>,
     /// A successor is attended to.
     attending: Cell<bool>,
     left: Notify,
 }
 
-impl Heir {
+impl SuccessorHandle {
     /// There is one.
-    pub fn is_there(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         self.to.borrow().is_some()
     }
 
     /// Passes a connection on. One that finds nobody any more ends.
-    pub fn pass(&self, passed: Passed) {
+    pub fn hand_over(&self, passed: TransferredConnection) {
         if let Some(to) = &*self.to.borrow() {
             let _ = to.send(passed);
         }
@@ -105,8 +105,8 @@
 pub async fn succeed(
     driver: Rc<Driver>,
     stream: UnixStream,
-    at: &Meeting,
-    arrivals: mpsc::UnboundedSender<Passed>,
+    at: &UpgradeEndpoint,
+    arrivals: mpsc::UnboundedSender<TransferredConnection>,
 ) {
     let mut line = Line::new(stream);
     let why = loop {
@@ -130,11 +130,11 @@
     tokio::task::spawn_local(offer(driver.clone(), at.clone()));
     loop {
         match line.receive().await {
-            Ok(Some((Frame::Connection { begun_ms, read }, Some(fd)))) => {
+            Ok(Some((Frame::Connection { request_age_ms, read_ahead }, Some(fd)))) => {
                 let stream = TcpStream::from(fd);
-                let begun = begun_ms.map(|ms| Duration::from_millis(ms.into()));
+                let request_age = request_age_ms.map(|ms| Duration::from_millis(ms.into()));
                 if stream.peer_addr().is_ok() {
-                    let _ = arrivals.send(Passed { stream, begun, read });
+                    let _ = arrivals.send(TransferredConnection { stream, request_age, read_ahead });
                 }
             }
             Ok(Some((Frame::Snapshot(_), _))) => info!("a snapshot that came too late is not read"),
@@ -146,7 +146,7 @@
             }
         }
     }
-    driver.set_overlapping(at.heir.attending.get());
+    driver.set_overlapping(at.successor.attending.get());
     info!("the predecessor has gone");
 }
 
@@ -205,15 +205,15 @@
 
 /// Where two processes of one limiter meet, and what of this one goes to the other.
 #[derive(Debug, Clone)]
-pub struct Meeting {
+pub struct UpgradeEndpoint {
     /// The Unix socket's name.
     pub path: PathBuf,
     /// To a successor.
-    pub heir: Rc<Heir>,
+    pub successor: Rc<SuccessorHandle>,
 }
 
 /// Waits for successors: gives each a snapshot, and one of them this process's place when that ends.
-pub async fn offer(driver: Rc<Driver>, at: Meeting) {
+pub async fn offer(driver: Rc<Driver>, at: UpgradeEndpoint) {
     let listener = match bind(&at.path) {
         Ok(listener) => listener,
         Err(e) => return info!("{}: {e}; upgrades start cautiously", at.path.display()),
@@ -231,22 +231,22 @@
             () = driver.phase_changed.notified() => continue,
         };
         if ours(&stream) {
-            tokio::task::spawn_local(meet(driver.clone(), at.heir.clone(), Line::new(stream)));
+            tokio::task::spawn_local(meet(driver.clone(), at.successor.clone(), Line::new(stream)));
         }
     }
 }
 
-async fn meet(driver: Rc<Driver>, heir: Rc<Heir>, mut line: Line) {
-    if heir.attending.replace(true) {
+async fn meet(driver: Rc<Driver>, successor: Rc<SuccessorHandle>, mut line: Line) {
+    if successor.attending.replace(true) {
         let _ = timeout(PATIENCE, line.send(&Frame::Busy, None)).await;
         return;
     }
     driver.set_overlapping(true);
-    let why = attend(&driver, &mut line, &heir).await;
+    let why = attend(&driver, &mut line, &successor).await;
     info!("a successor: {why}");
-    drop(heir.to.borrow_mut().take());
-    heir.attending.set(false);
-    heir.left.notify_waiters();
+    drop(successor.to.borrow_mut().take());
+    successor.attending.set(false);
+    successor.left.notify_waiters();
     driver.set_overlapping(false);
 }
 
@@ -260,7 +260,7 @@
 }
 
 /// One successor, until it has all or is gone; says which.
-async fn attend(driver: &Rc<Driver>, line: &mut Line, heir: &Rc<Heir>) -> String {
+async fn attend(driver: &Rc<Driver>, line: &mut Line, successor: &Rc<SuccessorHandle>) -> String {
     match timeout(PATIENCE, line.receive()).await {
         Ok(Ok(Some((Frame::Hello(frame::VERSION), _)))) => {}
         Ok(Ok(Some((Frame::Hello(version), _)))) => return format!("it speaks version {version}"),
@@ -287,12 +287,12 @@
         return "it does not take the last snapshot in; connections are closed here".to_string();
     }
     let (pass, mut passed) = mpsc::unbounded_channel();
-    *heir.to.borrow_mut() = Some(pass);
+    *successor.to.borrow_mut() = Some(pass);
     driver.phase_changed.notify_waiters();
     let mut count = 0;
-    while let Some(Passed { stream, begun, read }) = passed.recv().await {
-        let begun_ms = begun.map(|d| u32::try_from(d.as_millis()).unwrap_or(u32::MAX - 1));
-        let frame = Frame::Connection { begun_ms, read };
+    while let Some(TransferredConnection { stream, request_age, read_ahead }) = passed.recv().await {
+        let request_age_ms = request_age.map(|d| u32::try_from(d.as_millis()).unwrap_or(u32::MAX - 1));
+        let frame = Frame::Connection { request_age_ms, read_ahead };
         if !matches!(timeout(PATIENCE, line.send(&frame, Some(&stream))).await, Ok(Ok(()))) {
             return format!("it takes no more connections after {count}");
         }
--- a/marldeal/src/upstream/discovery.rs
+++ b/marldeal/src/upstream/discovery.rs
@@ -16,7 +16,7 @@
 
 use crate::driver::Driver;
 use crate::settings::roster::{news, List};
-use crate::tapped::Shared;
+use crate::socket::SharedSocket;
 use crate::upstream::asking::Asking;
 use crate::upstream::framing::{Word, Words};
 use crate::upstream::resumption::{Call, Millis, Resumption, Step, Whom};
@@ -81,7 +81,7 @@
 struct Answered {
     connection: Abort,
     body: Incoming,
-    socket: Shared,
+    socket: SharedSocket,
 }
 
 /// Keeps one source watched from the last version on. The one that serves no more is left when its watch ends, or when a
@@ -205,7 +205,7 @@
 /// One call, until its answer begins.
 async fn ask(addr: SocketAddr, after: Option<u64>) -> Result<Answered, String> {
     let stream = TcpStream::connect(addr).await.map_err(|e| e.to_string())?;
-    let socket = Shared::new(stream);
+    let socket = SharedSocket::new(stream);
     let wire = TokioIo::new(socket.clone());
     let (mut sender, connection) = http1::handshake(wire).await.map_err(|e| e.to_string())?;
     let task = tokio::task::spawn_local(async move { drop(connection.await) });
--- a/marldeal/src/upstream/servers.rs
+++ b/marldeal/src/upstream/servers.rs
@@ -24,9 +24,11 @@
 
 use crate::driver::{AttemptJob, Driver, Upstream};
 use crate::front::head::{CORRELATION_ID, IDEMPOTENCY_KEY, TIME_LEFT};
-use crate::payload::{Outgoing, Piece, Progress, Watched, MOST_WHOLE, STILL};
+use crate::payload::{
+    Chunk, OutgoingBody, Progress, TrackedBody, MAX_BUFFERED_RESPONSE_BYTES, TRANSFER_IDLE_TIMEOUT,
+};
 use crate::settings::config::Config;
-use crate::tapped::{Shared, Tap, Tapped, Unread};
+use crate::socket::{IoObserver, ObservedStream, SharedSocket, Unread};
 use crate::transient;
 
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
@@ -63,18 +65,18 @@
 }
 
 impl Progress for Writing {
-    fn taken(&self) {
+    fn body_consumed(&self) {
         self.taken.set(true);
     }
 }
 
-impl Tap for Rc<Writing> {
-    fn wrote(&mut self, bytes: usize) {
+impl IoObserver for Rc<Writing> {
+    fn on_written(&mut self, bytes: usize) {
         if bytes > 0 {
             Cell::set(&self.wrote, true);
         }
     }
-    fn flushed(&mut self) {
+    fn on_flushed(&mut self) {
         if self.taken.get() && self.wrote.get() {
             if let Some((id, attempt)) = self.what.take() {
                 (self.written)(id, attempt);
@@ -83,15 +85,15 @@
     }
 }
 
-type Sent = Watched<Outgoing, Writing>;
-type Wire = TokioIo<Tapped<Rc<Writing>, Shared>>;
+type Sent = TrackedBody<OutgoingBody, Writing>;
+type Wire = TokioIo<ObservedStream<Rc<Writing>, SharedSocket>>;
 
 /// A connection and what drives it. Nothing else does: dropping it closes the socket.
 struct Link {
     sender: SendRequest<Sent>,
     connection: Connection<Wire, Sent>,
     writing: Rc<Writing>,
-    socket: Shared,
+    socket: SharedSocket,
     _room: Room,
 }
 
@@ -302,7 +304,7 @@
 ) -> (Outcome, Option<Bytes>) {
     let told = body.size_hint().exact();
     let mut whole = BytesMut::new();
-    let mut longer = told.is_some_and(|told| told > MOST_WHOLE as u64);
+    let mut longer = told.is_some_and(|told| told > MAX_BUFFERED_RESPONSE_BYTES as u64);
     let hold = tokio::time::Instant::now() + MOST_HOLD;
     while !longer {
         let frame = match told {
@@ -318,7 +320,7 @@
             Some(Err(_)) => return (Outcome::Severed, None),
             Some(Ok(frame)) => whole.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
         }
-        longer = whole.len() > MOST_WHOLE;
+        longer = whole.len() > MAX_BUFFERED_RESPONSE_BYTES;
     }
     // What an error has to say at such length nobody hears.
     if outcome != Outcome::Ok {
@@ -327,14 +329,16 @@
     let Some(pieces) = driver.begin_streaming(job, told) else { return (Outcome::Cancelled, None) };
     let mut next = whole.freeze();
     loop {
-        if !next.is_empty() && !matches!(timeout(STILL, pieces.send(Piece::Data(next))).await, Ok(Ok(()))) {
+        if !next.is_empty()
+            && !matches!(timeout(TRANSFER_IDLE_TIMEOUT, pieces.send(Chunk::Data(next))).await, Ok(Ok(())))
+        {
             driver.reader_disconnected(job.id);
             return (Outcome::Cancelled, None);
         }
-        next = match timeout(STILL, body.frame()).await {
+        next = match timeout(TRANSFER_IDLE_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             Ok(None) => {
-                let _ = pieces.send(Piece::End).await;
+                let _ = pieces.send(Chunk::End).await;
                 return (Outcome::Ok, None);
             }
             // The client can tell: its answer ends in the middle.
@@ -366,7 +370,7 @@
     let stream = match timeout(limit, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
         // Want of descriptors or ports here says nothing about the server: it must not count as silent.
-        Ok(Err(e)) if transient::passes(&e) => {
+        Ok(Err(e)) if transient::is_transient(&e) => {
             info!("connect: {e}");
             return Err(Outcome::NotSent);
         }
@@ -380,8 +384,12 @@
     let _ = stream.set_nodelay(true);
     let writing =
         Rc::new(Writing { written, what: Cell::new(None), taken: Cell::new(false), wrote: Cell::new(false) });
-    let socket = Shared::new(stream);
-    let wire = TokioIo::new(Tapped { stream: socket.clone(), tap: writing.clone(), read: Bytes::new() });
+    let socket = SharedSocket::new(stream);
+    let wire = TokioIo::new(ObservedStream {
+        stream: socket.clone(),
+        observer: writing.clone(),
+        prefix: Bytes::new(),
+    });
     let made = http1::Builder::new().max_buf_size(MOST_READ).handshake(wire).await;
     let (sender, connection) = made.map_err(|_| Outcome::NoConnection)?;
     Ok(Link { sender, connection, writing, socket, _room: room })
@@ -403,7 +411,7 @@
     if let Some(key) = &content.idempotency_key {
         request = request.header(IDEMPOTENCY_KEY, key.clone());
     }
-    request.body(Watched::new(Outgoing::new(&content.body), writing.clone()))
+    request.body(TrackedBody::new(OutgoingBody::new(&content.body), writing.clone()))
 }
 
 #[cfg(test)]
--- a/marldeal/tests/upgrade.rs
+++ b/marldeal/tests/upgrade.rs
@@ -354,7 +354,8 @@
 /// What clients have written is nobody's to read in a log.
 #[test]
 fn nothing_of_a_request_is_logged() {
-    let passed = Frame::Connection { begun_ms: None, read: b"GET /secret".to_vec().into() }.to_bytes();
+    let passed =
+        Frame::Connection { request_age_ms: None, read_ahead: b"GET /secret".to_vec().into() }.to_bytes();
     beside(passed.to_vec(), drop, "the predecessor passes a connection out of turn");
 }
 
