--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -29,7 +29,7 @@
 use crate::payload::{Chunk, Payload};
 use crate::reload::ReloadTrigger;
 use crate::settings::config::Config;
-use crate::settings::roster::{self, News, Sources, MOST_SERVERS};
+use crate::settings::server_list::{self, DiscoverySource, ServerUpdate, MAX_SERVERS};
 use crate::socket::SharedSocket;
 use clock::Clock;
 use proxied::Proxied;
@@ -176,7 +176,7 @@
     /// As told at the start.
     pub config: Arc<Config>,
     /// Where the list of servers comes from.
-    pub sources: Sources,
+    pub sources: DiscoverySource,
     /// The module wants the list anew; how often it has asked for all of it. Each watch hears of it, whatever it is at.
     pub list_refresh: watch::Sender<u64>,
     told: Cell<bool>,
@@ -233,12 +233,12 @@
             armed: None,
         };
         let life = match beside {
-            true => Lifecycle::beside_predecessor(config.times),
-            false => Lifecycle::new(config.times),
+            true => Lifecycle::beside_predecessor(config.timings),
+            false => Lifecycle::new(config.timings),
         };
         let driver = Rc::new(Driver {
-            sources: Sources::new(config.discovery),
-            body_budget: Budget::new(config.most_body_bytes),
+            sources: DiscoverySource::new(config.discovery),
+            body_budget: Budget::new(config.max_body_bytes),
             config,
             list_refresh: watch::Sender::new(0),
             told: Cell::new(false),
@@ -260,9 +260,9 @@
             record: RefCell::new(None),
             timers_changed: Notify::new(),
         });
-        if let Some(mut known) = driver.config.known.clone() {
-            known.set_whole();
-            let (news, notes) = roster::news(known, &driver.config.names);
+        if let Some(mut known) = driver.config.known_servers.clone() {
+            known.set_full();
+            let (news, notes) = server_list::server_update(known, &driver.config.names);
             notes.iter().for_each(|note| info!("{note}"));
             driver.apply(news);
         }
@@ -345,8 +345,8 @@
     /// Another process of this limiter lives, or none does any more.
     pub fn set_overlapping(&self, overlaps: bool) {
         self.overlaps.set(overlaps);
-        self.body_budget.set_max_bytes(self.share_of(self.config.most_body_bytes));
-        self.upstream.trim(self.share_of(self.config.most_servers));
+        self.body_budget.set_max_bytes(self.share_of(self.config.max_body_bytes));
+        self.upstream.trim(self.share_of(self.config.max_server_connections));
     }
 
     /// How much of a bound this process may use.
@@ -421,7 +421,7 @@
     /// Reads the configuration again; of what it says only where discovery is can change while serving. One that cannot be
     /// read, or makes no sense, changes nothing: false. What is counted is signals, not readings.
     pub fn reload(&self, trigger: ReloadTrigger) -> bool {
-        let new = match Config::reloaded() {
+        let new = match Config::reload() {
             Ok(new) => new,
             Err(why) => {
                 if trigger == ReloadTrigger::Signal {
@@ -436,7 +436,7 @@
             }
         };
         self.count_reload(|reloads| reloads.applied += 1);
-        match self.sources.turn_to(new.discovery) {
+        match self.sources.switch_to(new.discovery) {
             true => info!(event = "reload", read = true, "reload: discovery is at {} now", new.discovery),
             false => info!(event = "reload", read = true, "reload: nothing new"),
         }
@@ -457,7 +457,7 @@
     }
 
     /// Discovery's news.
-    pub fn update_servers(self: &Rc<Self>, news: News) {
+    pub fn update_servers(self: &Rc<Self>, news: ServerUpdate) {
         let first = !self.told.replace(true);
         self.apply(news);
         if first {
@@ -465,22 +465,22 @@
         }
     }
 
-    fn apply(self: &Rc<Self>, mut news: News) {
+    fn apply(self: &Rc<Self>, mut news: ServerUpdate) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
         let told = news.entries.len();
-        let mut room = MOST_SERVERS - if news.whole { 0 } else { state.addresses.len() };
+        let mut room = MAX_SERVERS - if news.full { 0 } else { state.addresses.len() };
         news.entries.retain(|(entry, _)| {
-            let known = !news.whole && state.addresses.contains_key(&entry.server);
+            let known = !news.full && state.addresses.contains_key(&entry.server);
             let stays = known || entry.condition == Condition::Gone || room > 0;
             room -= usize::from(stays && !known && entry.condition != Condition::Gone);
             stays
         });
         if news.entries.len() < told {
             let over = told - news.entries.len();
-            info!("discovery: {over} servers beyond {MOST_SERVERS} were passed over");
+            info!("discovery: {over} servers beyond {MAX_SERVERS} were passed over");
         }
-        if news.whole {
+        if news.full {
             state.addresses.retain(|id, _| {
                 let stays = news.entries.iter().any(|(e, _)| e.server == *id);
                 if !stays {
@@ -507,7 +507,7 @@
             }
         }
         let entries = news.entries.into_iter().map(|(e, _)| e).collect();
-        self.input(state, Input::Servers { whole: news.whole, entries });
+        self.input(state, Input::Servers { whole: news.full, entries });
         self.perform(state, None);
     }
 
--- a/marldeal/src/front/clients.rs
+++ b/marldeal/src/front/clients.rs
@@ -155,7 +155,8 @@
         if turns_away && !std::mem::replace(&mut away, true) {
             info!("new connections are turned away from now on");
         }
-        let over = clients.all.borrow().len() as isize - driver.share_of(driver.config.most_clients) as isize;
+        let over = clients.all.borrow().len() as isize
+            - driver.share_of(driver.config.max_client_connections) as isize;
         if over >= 0 && accepts {
             clients.evict();
         }
--- a/marldeal/src/front/head.rs
+++ b/marldeal/src/front/head.rs
@@ -134,7 +134,7 @@
         left_s.filter(|t| (0.0..=MOST_TIME_LEFT).contains(t)).ok_or_else(|| bad("no good X-Time-Left"))?;
     let (units, spread, first) = text(&layout.weight)
         .or(layout.default_weight.as_deref())
-        .and_then(|w| weight(w, settings.limiters, config.most_units))
+        .and_then(|w| weight(w, settings.limiters, config.max_units))
         .ok_or_else(|| bad("no good X-Weight"))?;
     let correlation_id =
         full(&head.headers, &layout.correlation).ok_or_else(|| bad("no X-Correlation-Id"))?;
--- a/marldeal/src/logging.rs
+++ b/marldeal/src/logging.rs
@@ -13,7 +13,7 @@
 /// How log lines are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Form {
+pub enum Format {
     /// The limiter's name and the message.
     #[default]
     Plain,
@@ -26,7 +26,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Options {
     /// How lines are written.
-    pub form: Form,
+    pub form: Format,
     /// Also the life of each request and connection: taken, sent, ended, answered, closed, with the reason. Several lines a
     /// request: for a hunt, not for every day.
     pub requests: bool,
@@ -50,13 +50,13 @@
 }
 
 /// Starts the log of this process; the first call counts.
-pub fn start(name: &str, options: Options) {
+pub fn init(name: &str, options: Options) {
     // A log that nobody reads any more must not end the limiter: errors of writing are passed over.
     let level = if options.requests { Level::DEBUG } else { Level::INFO };
     let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).log_internal_errors(false);
     let lines = lines.with_max_level(level);
     let _ = match options.form {
-        Form::Plain => {
+        Format::Plain => {
             let message = debug_fn(|to, field, value| match field.name() {
                 "message" => write!(to, "{value:?}"),
                 _ => Ok(()),
@@ -64,6 +64,6 @@
             let plain = Plain { name: name.to_string() };
             tracing::subscriber::set_global_default(lines.event_format(plain).fmt_fields(message).finish())
         }
-        Form::Json => tracing::subscriber::set_global_default(lines.json().flatten_event(true).finish()),
+        Format::Json => tracing::subscriber::set_global_default(lines.json().flatten_event(true).finish()),
     };
 }
--- a/marldeal/src/main.rs
+++ b/marldeal/src/main.rs
@@ -9,8 +9,8 @@
 use marldeal::command::faults::{self, Faults};
 use marldeal::command::rehearse::{self, Rehearse};
 use marldeal::settings::config::Config;
+use marldeal::settings::errors::ConfigError;
 use marldeal::settings::extensions::Extensions;
-use marldeal::settings::mistakes::Mistake;
 
 /// A quota-keeping limiter. Without a command it serves, configured by ROUTER_CONFIG.
 #[derive(Parser)]
@@ -88,11 +88,13 @@
     }
 }
 
-fn mistakes(file: &Path) -> Vec<Mistake> {
+fn mistakes(file: &Path) -> Vec<ConfigError> {
     let name = file.display().to_string();
     match file.extension().and_then(|e| e.to_str()) {
         Some("json") => Config::from_file(&name, |_| None).err().unwrap_or_default(),
         Some("toml") => Extensions::from_file(file).err().unwrap_or_default(),
-        _ => vec![Mistake::new(&name, "", "a configuration (.json) or extension file (.toml) is expected")],
+        _ => {
+            vec![ConfigError::new(&name, "", "a configuration (.json) or extension file (.toml) is expected")]
+        }
     }
 }
--- a/marldeal/src/run.rs
+++ b/marldeal/src/run.rs
@@ -14,8 +14,8 @@
 use crate::front::clients::Handover;
 use crate::front::{clients, external};
 use crate::settings::config::Config;
+use crate::settings::errors;
 use crate::settings::extensions::Extensions;
-use crate::settings::mistakes;
 use crate::tier::peers;
 use crate::upgrade::{SuccessorHandle, UpgradeEndpoint};
 use crate::upstream::discovery;
@@ -46,10 +46,10 @@
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
     let config = Arc::new(Config::from_environment()?);
     let extensions = match extensions {
-        Some(path) => Extensions::from_file(path).map_err(|found| mistakes::one_line(&found))?,
+        Some(path) => Extensions::from_file(path).map_err(|found| errors::summary(&found))?,
         None => Extensions::default(),
     };
-    logging::start(&config.name, extensions.log);
+    logging::init(&config.name, extensions.log);
     // Only an inherited listener can be shared by two processes: without one there is nothing to hand over.
     let meeting = inherited.is_some().then(|| upgrade::path(&config.name));
     let predecessor = match &meeting {
--- a/marldeal/src/settings/config.rs
+++ b/marldeal/src/settings/config.rs
@@ -7,8 +7,8 @@
 use marldeal_lifecycle::Timings;
 use serde::Deserialize;
 
-use crate::settings::mistakes::{self, Mistake};
-use crate::settings::roster::List;
+use crate::settings::errors::{self, ConfigError};
+use crate::settings::server_list::ServerList;
 use crate::transient;
 
 /// The configuration as the platform writes it.
@@ -25,7 +25,7 @@
     #[serde(default)]
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
-    known: Option<List>,
+    known: Option<ServerList>,
     settings: Setup,
 }
 
@@ -54,11 +54,11 @@
     /// For random numbers.
     pub seed: u64,
     /// Most client connections held.
-    pub most_clients: usize,
+    pub max_client_connections: usize,
     /// Most bytes of requests' bodies held.
-    pub most_body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Most connections to servers held.
-    pub most_servers: usize,
+    pub max_server_connections: usize,
     /// Where operators call; nowhere if not told.
     pub management: Option<SocketAddr>,
     /// Where peers' datagrams arrive.
@@ -68,15 +68,15 @@
     /// Reaches every peer.
     pub peers_all: Option<SocketAddr>,
     /// The list of servers as it was last known; may be old.
-    pub known: Option<List>,
+    pub known_servers: Option<ServerList>,
     /// Milliseconds after which an idle connection to a server is dropped.
-    pub idle_ms: f64,
+    pub server_idle_ms: f64,
     /// Nothing new goes to a server for longer after the agent has been told that it drains, in milliseconds.
     pub drain_grace_ms: f64,
     /// How long the steps of a drain and of an end last.
-    pub times: Timings,
+    pub timings: Timings,
     /// Most units that one request may ask for.
-    pub most_units: f64,
+    pub max_units: f64,
     /// The module's settings.
     pub settings: Settings,
     /// The classes' names in their order.
@@ -165,7 +165,7 @@
     }
 
     /// Reads the file again. `ROUTER_DISCOVERY` tells of the start: only the file can name another address.
-    pub fn reloaded() -> Result<Config, String> {
+    pub fn reload() -> Result<Config, String> {
         let var = |name: &str| if name == "ROUTER_DISCOVERY" { None } else { variable(name) };
         Config::read(var, |path| std::fs::read_to_string(path))
     }
@@ -175,13 +175,14 @@
         open: impl Fn(&str) -> std::io::Result<String>,
     ) -> Result<Config, String> {
         let path = var("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
-        let text = open(&path).map_err(|e| mistakes::one_line(&[Mistake::new(&path, "", e.to_string())]))?;
-        Config::from_text(&path, &text, var).map_err(|mistakes| mistakes::one_line(&mistakes))
+        let text = open(&path).map_err(|e| errors::summary(&[ConfigError::new(&path, "", e.to_string())]))?;
+        Config::from_text(&path, &text, var).map_err(|mistakes| errors::summary(&mistakes))
     }
 
     /// Reads one file, with `var` above what it says of name, addresses. All mistakes at once.
-    pub fn from_file(path: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, Vec<Mistake>> {
-        let text = std::fs::read_to_string(path).map_err(|e| vec![Mistake::new(path, "", e.to_string())])?;
+    pub fn from_file(path: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, Vec<ConfigError>> {
+        let text =
+            std::fs::read_to_string(path).map_err(|e| vec![ConfigError::new(path, "", e.to_string())])?;
         Config::from_text(path, &text, var)
     }
 
@@ -189,10 +190,10 @@
         path: &str,
         text: &str,
         var: impl Fn(&str) -> Option<String>,
-    ) -> Result<Config, Vec<Mistake>> {
-        let wrong = |key: &str, what: String| Mistake::new(path, key, what);
+    ) -> Result<Config, Vec<ConfigError>> {
+        let wrong = |key: &str, what: String| ConfigError::new(path, key, what);
         let value = serde_json::from_str(text).map_err(|e| vec![wrong("", e.to_string())])?;
-        let file: File = mistakes::gather(path, value)?;
+        let file: File = errors::deserialize(path, value)?;
         let mut found = Vec::new();
         let mut pick = |own: Option<String>, name: &str, key: &str| {
             let text = var(name).or(own);
@@ -233,18 +234,18 @@
         if !drain_grace_ms.is_finite() || drain_grace_ms < 0.0 {
             found.push(wrong("settings.Obligations.DrainGraceMs", format!("{drain_grace_ms} is not a time")));
         }
-        let times = Timings {
+        let timings = Timings {
             drain_ms: drain_ms(&file.settings),
             kill_after_ms: killed_ms(&file.settings),
             ..Timings::default()
         };
-        let most_units = file.settings.domain.units_top.unwrap_or(MOST_UNITS);
+        let max_units = file.settings.domain.units_top.unwrap_or(MOST_UNITS);
         let (memory_mb, sockets) = (file.limits.memory_mb, file.limits.sockets);
         let by_memory = |part: f64, each: f64| (memory_mb * part / each).max(0.0) as usize;
         let for_servers = (sockets as f64 * SERVERS_DESCRIPTORS) as usize;
-        let most_servers = for_servers.min(by_memory(SERVERS_PART, SERVER_MB));
+        let max_server_connections = for_servers.min(by_memory(SERVERS_PART, SERVER_MB));
         let others = RESERVE.max(sockets / RESERVE_PART) + for_servers;
-        let most_clients = sockets.saturating_sub(others).min(by_memory(CLIENTS_PART, CLIENT_MB));
+        let max_client_connections = sockets.saturating_sub(others).min(by_memory(CLIENTS_PART, CLIENT_MB));
         if file.limits.sockets < LEAST_CONNECTIONS {
             let what = format!("{} is too few, {LEAST_CONNECTIONS} at least are needed", file.limits.sockets);
             found.push(wrong("limits.sockets", what));
@@ -270,18 +271,18 @@
             listen,
             discovery,
             seed,
-            most_clients,
-            most_servers,
-            most_body_bytes: (memory_mb * BODIES_PART * f64::from(1 << 20)) as usize,
+            max_client_connections,
+            max_server_connections,
+            max_body_bytes: (memory_mb * BODIES_PART * f64::from(1 << 20)) as usize,
             management,
             peer_listen: file.peer_listen,
             peers: file.peers,
             peers_all: file.peers_all,
-            known: file.known,
-            idle_ms: server_idle * IDLE_PART,
+            known_servers: file.known,
+            server_idle_ms: server_idle * IDLE_PART,
             drain_grace_ms,
-            times,
-            most_units,
+            timings,
+            max_units,
             settings,
             classes: names.classes(),
             names,
--- a/marldeal/src/settings/mistakes.rs
+++ b/marldeal/src/settings/errors.rs
@@ -7,7 +7,7 @@
 
 /// One thing that is wrong in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
+pub struct ConfigError {
     /// Path of the file, as it was given.
     pub file: String,
     /// The key, with dots between tables; empty for the file as a whole.
@@ -16,14 +16,14 @@
     pub what: String,
 }
 
-impl Mistake {
+impl ConfigError {
     /// A mistake at a key.
-    pub fn new(file: &str, key: &str, what: impl Into<String>) -> Mistake {
-        Mistake { file: file.to_string(), key: key.to_string(), what: what.into() }
+    pub fn new(file: &str, key: &str, what: impl Into<String>) -> ConfigError {
+        ConfigError { file: file.to_string(), key: key.to_string(), what: what.into() }
     }
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.key.as_str() {
             "" => write!(f, "{}: {}", self.file, self.what),
@@ -33,7 +33,7 @@
 }
 
 /// The first mistake in one plain line, and how many there are beside it.
-pub fn one_line(mistakes: &[Mistake]) -> String {
+pub fn summary(mistakes: &[ConfigError]) -> String {
     let more = match mistakes.len() {
         0 | 1 => String::new(),
         n => format!(" (and {} more; `marldeal check` shows them)", n - 1),
@@ -46,8 +46,8 @@
 const MOST: usize = 50;
 
 /// Reads a value whole. What does not fit is noted, taken out, and the rest is read again, so that each mistake shows.
-pub fn gather<T: DeserializeOwned>(file: &str, mut value: Value) -> Result<T, Vec<Mistake>> {
-    let mut found: Vec<Mistake> = Vec::new();
+pub fn deserialize<T: DeserializeOwned>(file: &str, mut value: Value) -> Result<T, Vec<ConfigError>> {
+    let mut found: Vec<ConfigError> = Vec::new();
     while found.len() < MOST {
         let error = match serde_path_to_error::deserialize::<_, T>(value.clone()) {
             Ok(read) if found.is_empty() => return Ok(read),
@@ -61,7 +61,7 @@
             let key = joined(&path, Some(field));
             // Taken out above, for it did not fit: said already.
             if !found.iter().any(|m| m.key == key) {
-                found.push(Mistake::new(file, &key, "missing"));
+                found.push(ConfigError::new(file, &key, "missing"));
             }
             break;
         }
@@ -72,7 +72,7 @@
                 path.push(field.clone());
             }
         }
-        found.push(Mistake::new(file, &joined(&path, None), text));
+        found.push(ConfigError::new(file, &joined(&path, None), text));
         let filled = unknown.is_none() && fill::<T>(&mut value, &path);
         if !filled && !remove(&mut value, &path) {
             break;
@@ -152,7 +152,7 @@
     fn each_mistake_is_named_with_its_key() {
         let text = r#"{"inner":{"number":"x","flagg":true,"flag":3},"all":[{},{"number":-1}]}"#;
         let value = serde_json::from_str(text).expect("JSON");
-        let found = gather::<Outer>("f.json", value).expect_err("mistakes");
+        let found = deserialize::<Outer>("f.json", value).expect_err("mistakes");
         let keys: Vec<&str> = found.iter().map(|m| m.key.as_str()).collect();
         assert_eq!(keys, ["all[1].number", "inner.flag", "inner.flagg", "inner.number", "name"], "{found:?}");
         assert!(found[2].what.contains("expected"), "{}", found[2]);
--- a/marldeal/src/settings/extensions.rs
+++ b/marldeal/src/settings/extensions.rs
@@ -9,7 +9,7 @@
 
 use crate::front::head::HeaderLayout;
 use crate::logging;
-use crate::settings::mistakes::{self, Mistake};
+use crate::settings::errors::{self, ConfigError};
 
 /// The file as it is written.
 #[derive(Deserialize, Default)]
@@ -188,20 +188,20 @@
 
 impl Extensions {
     /// Reads a file. All mistakes at once.
-    pub fn from_file(path: &Path) -> Result<Extensions, Vec<Mistake>> {
+    pub fn from_file(path: &Path) -> Result<Extensions, Vec<ConfigError>> {
         let name = path.display().to_string();
-        let whole = |e: String| vec![Mistake::new(&name, "", e.trim_end())];
+        let whole = |e: String| vec![ConfigError::new(&name, "", e.trim_end())];
         let text = std::fs::read_to_string(path).map_err(|e| whole(e.to_string()))?;
         let table: toml::Table = text.parse().map_err(|e: toml::de::Error| whole(e.to_string()))?;
         let value = serde_json::to_value(table).map_err(|e| whole(e.to_string()))?;
-        let file: File = mistakes::gather(&name, value)?;
+        let file: File = errors::deserialize(&name, value)?;
         let mut found = Vec::new();
         let external_processor = file.external_processor.map(|p| p.checked(&name, &mut found));
         let final_answers = file.final_answers.map(|f| f.checked(&name, &mut found));
         let prefetch = file.prefetch.map(|p| p.max_customers);
         if let Some(most) = prefetch.filter(|most| !(1..=1_000_000).contains(most)) {
             let what = format!("{most} is not between 1 and 1000000");
-            found.push(Mistake::new(&name, "prefetch.max_customers", what));
+            found.push(ConfigError::new(&name, "prefetch.max_customers", what));
         }
         if found.is_empty() {
             Ok(Extensions { external_processor, final_answers, prefetch, log: file.log })
@@ -212,11 +212,11 @@
 }
 
 impl FinalAnswers {
-    fn checked(self, file: &str, found: &mut Vec<Mistake>) -> marldeal_outcomes::Limits {
+    fn checked(self, file: &str, found: &mut Vec<ConfigError>) -> marldeal_outcomes::Limits {
         let mut figure = |key: &str, value: f64, least: f64, most: f64| {
             if !(least..=most).contains(&value) {
                 let what = format!("{value} is not between {least} and {most}");
-                found.push(Mistake::new(file, &format!("final_answers.{key}"), what));
+                found.push(ConfigError::new(file, &format!("final_answers.{key}"), what));
             }
         };
         figure("max_answers", self.max_answers as f64, 1.0, 1e7);
@@ -227,9 +227,9 @@
 }
 
 impl Processor {
-    fn checked(self, file: &str, found: &mut Vec<Mistake>) -> ExternalProcessor {
+    fn checked(self, file: &str, found: &mut Vec<ConfigError>) -> ExternalProcessor {
         let mut wrong = |key: &str, what: String| {
-            found.push(Mistake::new(file, &format!("external_processor.{key}"), what));
+            found.push(ConfigError::new(file, &format!("external_processor.{key}"), what));
         };
         let listen = self.listen.unwrap_or_else(|| {
             wrong("listen", "missing, an address and port is expected".to_string());
--- a/marldeal/src/settings/roster.rs
+++ b/marldeal/src/settings/server_list.rs
@@ -10,7 +10,7 @@
 
 /// A list of servers or of changes to it.
 #[derive(Deserialize, Clone)]
-pub struct List {
+pub struct ServerList {
     /// Its number.
     pub version: u64,
     #[serde(default)]
@@ -18,15 +18,15 @@
     servers: Vec<serde_json::Value>,
 }
 
-impl List {
+impl ServerList {
     /// Counts as the whole list, as what a start finds does.
-    pub fn set_whole(&mut self) {
+    pub fn set_full(&mut self) {
         self.full = true;
     }
 }
 
 /// Most servers kept, and longest name of one: what a discovery gone wrong may cost.
-pub const MOST_SERVERS: usize = 10_000;
+pub const MAX_SERVERS: usize = 10_000;
 const MOST_ID: usize = 256;
 /// Entries of one list that are spoken of in the log one by one.
 const MOST_NOTES: usize = 8;
@@ -47,16 +47,16 @@
 }
 
 /// A list in the module's terms, with the servers' addresses.
-pub struct News {
+pub struct ServerUpdate {
     /// All servers, not only changes.
-    pub whole: bool,
+    pub full: bool,
     /// The servers and where they listen.
     pub entries: Vec<(ServerEntry, SocketAddr)>,
 }
 
 /// A list in the module's terms, and a note on each entry that makes no sense. The module's clock counts Unix time,
 /// so that starts need no conversion.
-pub fn news(list: List, names: &Names) -> (News, Vec<String>) {
+pub fn server_update(list: ServerList, names: &Names) -> (ServerUpdate, Vec<String>) {
     let mut notes = Vec::new();
     let mut passed_over = 0;
     let mut pass_over = |why: String| {
@@ -97,33 +97,38 @@
     if passed_over > MOST_NOTES {
         notes.push(format!("discovery: {} more entries were passed over", passed_over - MOST_NOTES));
     }
-    (News { whole: list.full, entries }, notes)
+    (ServerUpdate { full: list.full, entries }, notes)
 }
 
 /// Where discovery is. A reload may name another place; each place is a source with a number of its own.
-pub struct Sources {
+pub struct DiscoverySource {
     /// Where the newest source is.
     pub addr: Cell<SocketAddr>,
     /// Its number.
-    pub newest: Cell<u32>,
+    pub current: Cell<u32>,
     /// The newest that has told a list.
-    pub told: Cell<u32>,
+    pub last_received: Cell<u32>,
     /// There is a newer source.
-    pub turned: Notify,
+    pub changed: Notify,
 }
 
-impl Sources {
+impl DiscoverySource {
     /// One source, that has told nothing.
-    pub fn new(addr: SocketAddr) -> Sources {
-        Sources { addr: Cell::new(addr), newest: Cell::new(0), told: Cell::new(0), turned: Notify::new() }
+    pub fn new(addr: SocketAddr) -> DiscoverySource {
+        DiscoverySource {
+            addr: Cell::new(addr),
+            current: Cell::new(0),
+            last_received: Cell::new(0),
+            changed: Notify::new(),
+        }
     }
 
     /// Watches there from now on; false if that is so already.
-    pub fn turn_to(&self, addr: SocketAddr) -> bool {
+    pub fn switch_to(&self, addr: SocketAddr) -> bool {
         let other = self.addr.replace(addr) != addr;
         if other {
-            self.newest.set(self.newest.get() + 1);
-            self.turned.notify_one();
+            self.current.set(self.current.get() + 1);
+            self.changed.notify_one();
         }
         other
     }
--- a/marldeal/src/upstream/discovery.rs
+++ b/marldeal/src/upstream/discovery.rs
@@ -15,7 +15,7 @@
 use tracing::info;
 
 use crate::driver::Driver;
-use crate::settings::roster::{news, List};
+use crate::settings::server_list::{server_update, ServerList};
 use crate::socket::SharedSocket;
 use crate::upstream::asking::Asking;
 use crate::upstream::framing::{Word, Words};
@@ -32,13 +32,13 @@
 /// until that has told its list: what the old place tells meanwhile is not lost, and what it tells later is
 /// not heard.
 pub async fn watch(driver: Rc<Driver>) {
-    let mut version = driver.config.known.as_ref().map(|known| known.version);
+    let mut version = driver.config.known_servers.as_ref().map(|known| known.version);
     loop {
         let sources = &driver.sources;
         let source =
-            Source { addr: sources.addr.get(), number: sources.newest.get(), version: version.take() };
+            Source { addr: sources.addr.get(), number: sources.current.get(), version: version.take() };
         tokio::task::spawn_local(keep(driver.clone(), source));
-        sources.turned.notified().await;
+        sources.changed.notified().await;
     }
 }
 
@@ -119,7 +119,7 @@
         let why = tokio::select! {
             biased;
             frame = frame(&mut watch) => match frame {
-                _ if driver.sources.told.get() > source.number => None,
+                _ if driver.sources.last_received.get() > source.number => None,
                 Ok(bytes) => hear(&driver, &mut source, &mut watch, &mut machine, &bytes, now()).err(),
                 Err(why) => Some(why),
             },
@@ -156,7 +156,7 @@
             }
             () = tokio::time::sleep_until(due.into()) => None,
         };
-        if driver.sources.told.get() > source.number {
+        if driver.sources.last_received.get() > source.number {
             driver.set_watch_socket(source.number, None);
             return info!("discovery: another source speaks; {} is watched no more", source.addr);
         }
@@ -192,10 +192,10 @@
         machine.heard(now, word != Word::Beat);
         let Word::List(bytes) = word else { continue };
         // What a bad one held is missing from now on: the watch begins anew where it was still whole.
-        let list = serde_json::from_slice::<List>(&bytes).map_err(|e| format!("bad line: {e}"))?;
+        let list = serde_json::from_slice::<ServerList>(&bytes).map_err(|e| format!("bad line: {e}"))?;
         source.version = Some(list.version);
-        driver.sources.told.set(source.number);
-        let (news, notes) = news(list, &driver.config.names);
+        driver.sources.last_received.set(source.number);
+        let (news, notes) = server_update(list, &driver.config.names);
         notes.iter().for_each(|note| info!("{note}"));
         driver.update_servers(news);
     }
--- a/marldeal/src/upstream/servers.rs
+++ b/marldeal/src/upstream/servers.rs
@@ -205,7 +205,7 @@
 impl Servers {
     /// With the bounds that the configuration sets.
     pub fn new(config: &Config) -> Rc<Servers> {
-        Rc::new(Servers { pool: RefCell::new(Pool::new(config.idle_ms)) })
+        Rc::new(Servers { pool: RefCell::new(Pool::new(config.server_idle_ms)) })
     }
 
     /// Drops idle connections in time, for ever.
@@ -364,7 +364,7 @@
 }
 
 async fn connect(servers: &Servers, driver: &Rc<Driver>, addr: SocketAddr) -> Result<Link, Outcome> {
-    let most = driver.share_of(driver.config.most_servers);
+    let most = driver.share_of(driver.config.max_server_connections);
     let room = servers.pool.borrow_mut().reserve(most).ok_or(Outcome::NotSent)?;
     let limit = Duration::from_secs_f64(driver.config.settings.connect_timeout_ms.max(1.0) / 1000.0);
     let stream = match timeout(limit, TcpStream::connect(addr)).await {
