--- a/src/interface.rs
+++ b/src/interface.rs
@@ -115,7 +115,7 @@
     pub const BYTES_PER_CUSTOMER: usize = 200;
 
     /// The longest aim of a class, in milliseconds.
-    pub(crate) fn longest_ms(&self) -> Millis {
+    pub(crate) fn longest_target_ms(&self) -> Millis {
         self.classes.iter().map(|c| c.aim_ms).fold(0.0, f64::max)
     }
 }
@@ -353,7 +353,7 @@
         /// Life of a new name.
         life_ms: Millis,
     },
-    /// Open or close a standing subscription to the server list.
+    /// OpenRequest or close a standing subscription to the server list.
     Subscribe(bool),
     /// Ask for the whole server list once.
     FetchList,
--- a/src/limiter_state.rs
+++ b/src/limiter_state.rs
@@ -8,10 +8,10 @@
 use crate::state::*;
 
 /// Most records of customers, and of keepers' accounts, that are told; what others owe is told in the sketches.
-const MOST_RECORDS: usize = 20_000;
+const MAX_RECORDS: usize = 20_000;
 
 /// A value that fades: what it is now, and its span.
-type Faded = (f64, Millis);
+type DecayedSum = (f64, Millis);
 /// A store: its level, and how long ago that was.
 type Level = (f64, Millis);
 /// A sketch of debts: its seed, and how much longer each cell owes.
@@ -59,7 +59,7 @@
     /// It counts as cold since so long ago, and what its part holds.
     pub cold: Option<(Millis, Level)>,
     /// Answers of late.
-    pub answers: Faded,
+    pub answers: DecayedSum,
 }
 
 /// A member's record of a customer.
@@ -104,10 +104,10 @@
     /// Slot limit and numBigQueries.
     pub limit: [f64; 2],
     /// Means of own latency, all latency and refusals as full: sum and count.
-    pub means: [(Faded, Faded); 3],
+    pub means: [(DecayedSum, DecayedSum); 3],
     /// Good answers, their aims, hold rate, admit rate, ghosts, attempts wanted.
-    pub rates: [Faded; 6],
-    /// Usual latency, pace, fleet, usual wait for a word, retries saved up.
+    pub rates: [DecayedSum; 6],
+    /// Usual latency, pace, fleet, usual wait for a reply, retries saved up.
     pub figures: [f64; 5],
     /// Units of recent requests.
     pub units: Vec<f64>,
@@ -118,197 +118,232 @@
     ///
     /// # Errors
     /// The first value that does not fit.
-    pub fn fits(&self, settings: &Settings) -> Result<(), String> {
+    pub fn validate(&self, settings: &Settings) -> Result<(), String> {
         let plans = settings.plans.len();
-        let fine = |x: &f64| x.is_finite();
+        let finite = |x: &f64| x.is_finite();
         let customer = |(_, c): &(CustomerId, CustomerState)| {
             usize::from(c.plan) < plans
                 && c.spread > 0
-                && fine(&c.equal_share.0)
-                && fine(&c.equal_share.1)
-                && fine(&c.store_left)
+                && finite(&c.equal_share.0)
+                && finite(&c.equal_share.1)
+                && finite(&c.store_left)
         };
         let account = |(_, a): &(CustomerId, AccountState)| {
             let figures = a.levels.iter().chain(&a.rates).chain([&a.ago]);
-            usize::from(a.plan) < plans && a.rank < 3 && figures.into_iter().all(fine)
+            usize::from(a.plan) < plans && a.rank < 3 && figures.into_iter().all(finite)
         };
         let server =
-            |(_, s): &(String, ServerState)| fine(&s.latency) && fine(&s.errors) && fine(&s.answers.0);
+            |(_, s): &(String, ServerState)| finite(&s.latency) && finite(&s.errors) && finite(&s.answers.0);
         let f = &self.feedback;
         let figures = f.limit.iter().chain(&f.figures).chain(&f.units);
-        let faded = f.means.iter().flat_map(|(a, b)| [a, b]).chain(&f.rates);
-        let spans = faded.clone().all(|(value, span)| fine(value) && fine(span) && *span > 0.0);
+        let sums = f.means.iter().flat_map(|(a, b)| [a, b]).chain(&f.rates);
+        let spans = sums.clone().all(|(value, span)| finite(value) && finite(span) && *span > 0.0);
         match () {
             () if !self.customers.iter().all(customer) => Err("a customer's record does not fit".to_string()),
             () if !self.accounts.iter().all(account) => Err("an account does not fit".to_string()),
             () if !self.servers.iter().all(server) => Err("a server's figures make no sense".to_string()),
-            () if !spans || !figures.into_iter().all(fine) => Err("the feedback makes no sense".to_string()),
+            () if !spans || !figures.into_iter().all(finite) => {
+                Err("the feedback makes no sense".to_string())
+            }
             () => Ok(()),
         }
     }
 }
 
-fn faded(f: &Fading, now: Millis) -> Faded {
+fn decayed_sum(f: &DecayingSum, now: Millis) -> DecayedSum {
     (f.value(now), f.span)
 }
 
-fn fading((sum, span): Faded, now: Millis) -> Fading {
-    Fading { sum, at: now, span }
+fn decaying_sum((sum, span): DecayedSum, now: Millis) -> DecayingSum {
+    DecayingSum { sum, at: now, span }
 }
 
-fn mean((sum, count): (Faded, Faded), now: Millis) -> Mean {
-    Mean { sum: fading(sum, now), count: fading(count, now) }
+fn decaying_mean((sum, count): (DecayedSum, DecayedSum), now: Millis) -> DecayingMean {
+    DecayingMean { sum: decaying_sum(sum, now), count: decaying_sum(count, now) }
 }
 
 impl Limiter {
     /// All that it knows at `now`. Customers beyond a bound are told by what they owe alone.
     pub fn export_state(&self, now: Millis) -> LimiterState {
         let ago = |at: Millis| now - at;
-        let mut owed = [&self.owed.evens, &self.owed.stores, &self.owed.ceilings].map(|d| d.remaining(now));
-        let (customers, rest): (Vec<_>, Vec<_>) =
-            self.customers.iter().enumerate().partition(|(n, _)| *n < MOST_RECORDS);
-        let (accounts, more): (Vec<_>, Vec<_>) =
-            self.accounts.iter().enumerate().partition(|(n, _)| *n < MOST_RECORDS);
-        if !rest.is_empty() || !more.is_empty() {
-            let mut all = self.owed.clone();
-            rest.iter().for_each(|(_, (id, c))| all.evens.record(&(**id, c.plan), c.full_at(&self.settings)));
-            for (_, (id, a)) in more {
+        let mut deficits = [&self.deficits.equal_shares, &self.deficits.stores, &self.deficits.ceilings]
+            .map(|d| d.remaining(now));
+        let (customers, more_customers): (Vec<_>, Vec<_>) =
+            self.customers.iter().enumerate().partition(|(n, _)| *n < MAX_RECORDS);
+        let (accounts, more_accounts): (Vec<_>, Vec<_>) =
+            self.accounts.iter().enumerate().partition(|(n, _)| *n < MAX_RECORDS);
+        if !more_customers.is_empty() || !more_accounts.is_empty() {
+            let mut all = self.deficits.clone();
+            more_customers
+                .iter()
+                .for_each(|(_, (id, c))| all.equal_shares.record(&(**id, c.plan), c.full_at(&self.settings)));
+            for (_, (id, a)) in more_accounts {
                 let (store, ceiling) =
                     a.full_at(&self.settings.plans[usize::from(a.plan)], self.ceilings_from());
                 all.stores.record(&(*id, a.plan), store);
                 all.ceilings.record(&(*id, a.plan), ceiling);
             }
-            owed = [&all.evens, &all.stores, &all.ceilings].map(|d| d.remaining(now));
+            deficits = [&all.equal_shares, &all.stores, &all.ceilings].map(|d| d.remaining(now));
         }
-        let means = [&self.own, &self.latency, &self.full];
-        let rates = [&self.done, &self.aims, &self.hold_rate, &self.admit_rate, &self.ghosts, &self.wanted];
+        let means = [&self.own_latency, &self.latency, &self.refused_full];
+        let rates = [
+            &self.completed,
+            &self.completed_targets,
+            &self.hold_rate,
+            &self.admit_rate,
+            &self.cancelled_slots,
+            &self.attempt_demand,
+        ];
         LimiterState {
-            started: (ago(self.born), self.incarnation),
-            servers: self.servers.iter().map(|(id, s)| (id.to_string(), health(s, now))).collect(),
-            customers: customers.into_iter().map(|(_, (id, c))| (*id, member(c, now))).collect(),
-            accounts: accounts.into_iter().map(|(_, (id, a))| (*id, kept(a, now))).collect(),
+            started: (ago(self.started_at), self.incarnation),
+            servers: self.servers.iter().map(|(id, s)| (id.to_string(), server_state(s, now))).collect(),
+            customers: customers.into_iter().map(|(_, (id, c))| (*id, customer_state(c, now))).collect(),
+            accounts: accounts.into_iter().map(|(_, (id, a))| (*id, account_state(a, now))).collect(),
             grants: self
                 .grants
                 .iter()
                 .map(|(k, g)| (k.0, k.1, k.2, g.customer, g.units, [g.granted, g.open, g.done]))
                 .collect(),
-            leased: self.lent.told().map(|(at, customer, units)| (ago(at), customer, units)).collect(),
-            open_grants: self.opened.iter().map(|(at, key)| (ago(*at), *key)).collect(),
-            deficits: owed,
+            leased: self.leases.export().map(|(at, customer, units)| (ago(at), customer, units)).collect(),
+            open_grants: self.open_grants.iter().map(|(at, key)| (ago(*at), *key)).collect(),
+            deficits,
             feedback: FeedbackState {
-                limit: [self.limit, self.big],
-                means: means.map(|m| (faded(&m.sum, now), faded(&m.count, now))),
-                rates: rates.map(|r| faded(r, now)),
-                figures: [self.usual, self.pace, self.fleet, self.wait_ms, self.retries],
-                units: self.units.iter().copied().collect(),
+                limit: [self.slot_limit, self.num_big_queries],
+                means: means.map(|m| (decayed_sum(&m.sum, now), decayed_sum(&m.count, now))),
+                rates: rates.map(|r| decayed_sum(r, now)),
+                figures: [
+                    self.typical_latency,
+                    self.attempts_per_server,
+                    self.recent_servers,
+                    self.reply_wait_ms,
+                    self.retry_budget,
+                ],
+                units: self.recent_units.iter().copied().collect(),
             },
         }
     }
 
     /// Takes another limiter's knowledge over, as of `now`, in place of its own; the roster stays its own. `same`: that
     /// one has stopped, and this one goes on in its place, also to its peers. Otherwise accounts start as at any start.
-    pub fn import_state(&mut self, now: Millis, known: &LimiterState, same: bool) {
+    pub fn import_state(&mut self, now: Millis, state: &LimiterState, same_limiter: bool) {
         let at = |ago: Millis| now - ago;
-        if same {
-            (self.born, self.incarnation) = (at(known.started.0), known.started.1);
-            self.joined = true;
-            for (id, a) in &known.accounts {
-                let [store, ceiling, lent] = a.levels;
-                let [demand, let_in] = a.rates;
+        if same_limiter {
+            (self.started_at, self.incarnation) = (at(state.started.0), state.started.1);
+            self.older_peer_seen = true;
+            for (id, a) in &state.accounts {
+                let [store, ceiling, leased] = a.levels;
+                let [demand, admitted] = a.rates;
                 let account = Account {
                     at: at(a.ago),
                     store,
                     ceiling,
-                    lent,
+                    leased,
                     demand,
-                    let_in,
+                    admitted,
                     open: a.open,
                     plan: a.plan,
                     rank: a.rank,
                 };
                 let _ = self.accounts.insert(now, *id, account);
             }
-            for (from, born, id, customer, units, [granted, open, done]) in &known.grants {
+            for (from, incarnation, id, customer, units, [granted, open, done]) in &state.grants {
                 let grant =
                     Grant { customer: *customer, units: *units, granted: *granted, open: *open, done: *done };
-                let _ = self.grants.insert(now, (*from, *born, *id), grant);
+                let _ = self.grants.insert(now, (*from, *incarnation, *id), grant);
             }
-            self.lent.hear(known.leased.iter().map(|(ago, customer, units)| (at(*ago), *customer, *units)));
-            self.opened = known.open_grants.iter().map(|(ago, key)| (at(*ago), *key)).collect();
-            let [evens, stores, ceilings] = &known.deficits;
-            self.owed.evens.restore(now, evens);
-            self.owed.stores.restore(now, stores);
-            self.owed.ceilings.restore(now, ceilings);
+            self.leases
+                .import(state.leased.iter().map(|(ago, customer, units)| (at(*ago), *customer, *units)));
+            self.open_grants = state.open_grants.iter().map(|(ago, key)| (at(*ago), *key)).collect();
+            let [equal_shares, stores, ceilings] = &state.deficits;
+            self.deficits.equal_shares.restore(now, equal_shares);
+            self.deficits.stores.restore(now, stores);
+            self.deficits.ceilings.restore(now, ceilings);
         }
-        for (id, c) in &known.customers {
+        for (id, c) in &state.customers {
             // Whoever told it may go on spending its part of a ceiling.
-            let ceiled = self.settings.plans[usize::from(c.plan)].ceiling_rate > 0.0;
-            let even = if same || !ceiled { (c.equal_share.0, at(c.equal_share.1)) } else { (0.0, now) };
+            let has_ceiling = self.settings.plans[usize::from(c.plan)].ceiling_rate > 0.0;
+            let equal_share = if same_limiter || !has_ceiling {
+                (c.equal_share.0, at(c.equal_share.1))
+            } else {
+                (0.0, now)
+            };
             let customer = Customer {
-                even: Store { level: even.0, at: even.1 },
-                room: c.store_left,
-                told_at: at(c.demand.1),
-                told: c.demand.0,
-                unasked: c.unreported,
+                equal_share: TokenBucket { level: equal_share.0, at: equal_share.1 },
+                store_left: c.store_left,
+                demand_at: at(c.demand.1),
+                demand: c.demand.0,
+                unreported: c.unreported,
                 spread: c.spread,
                 plan: c.plan,
-                known: c.seen_before,
+                seen_before: c.seen_before,
             };
             let _ = self.customers.insert(now, *id, customer);
         }
-        for (id, h) in &known.servers {
+        for (id, h) in &state.servers {
             let Some(s) = self.servers.get_mut(id.as_str()) else { continue };
             (s.latency, s.errors, s.silences) = (h.latency, h.errors, h.silences);
-            (s.aside_until, s.aside_for) = (now + h.ejected.0, h.ejected.1);
+            (s.ejected_until, s.ejection_ms) = (now + h.ejected.0, h.ejected.1);
             (s.full_until, s.last_answer) = (now + h.full, at(h.since_answer));
-            s.heard = fading(h.answers, now);
+            s.answers = decaying_sum(h.answers, now);
             // The roster may tell of a later start; that one's part then holds nothing yet.
-            if let (Some((ago, (level, level_ago))), Some(from)) = (h.cold, s.cold_from) {
+            if let (Some((ago, (level, level_ago))), Some(from)) = (h.cold, s.cold_since) {
                 if at(ago) + 1.0 >= from {
-                    s.cold = Store { level, at: at(level_ago) };
+                    s.cold_bucket = TokenBucket { level, at: at(level_ago) };
                 }
             }
         }
-        let f = &known.feedback;
-        [self.limit, self.big] = f.limit;
-        [self.own, self.latency, self.full] = f.means.map(|m| mean(m, now));
-        [self.done, self.aims, self.hold_rate, self.admit_rate, self.ghosts, self.wanted] =
-            f.rates.map(|r| fading(r, now));
-        [self.usual, self.pace, self.fleet, self.wait_ms, self.retries] = f.figures;
-        self.units = f.units.iter().copied().collect();
+        let f = &state.feedback;
+        [self.slot_limit, self.num_big_queries] = f.limit;
+        [self.own_latency, self.latency, self.refused_full] = f.means.map(|m| decaying_mean(m, now));
+        [
+            self.completed,
+            self.completed_targets,
+            self.hold_rate,
+            self.admit_rate,
+            self.cancelled_slots,
+            self.attempt_demand,
+        ] = f.rates.map(|r| decaying_sum(r, now));
+        [
+            self.typical_latency,
+            self.attempts_per_server,
+            self.recent_servers,
+            self.reply_wait_ms,
+            self.retry_budget,
+        ] = f.figures;
+        self.recent_units = f.units.iter().copied().collect();
     }
 }
 
-fn health(s: &Server, now: Millis) -> ServerState {
+fn server_state(s: &Server, now: Millis) -> ServerState {
     ServerState {
         latency: s.latency,
         errors: s.errors,
         silences: s.silences,
-        ejected: ((s.aside_until - now).max(0.0), s.aside_for),
+        ejected: ((s.ejected_until - now).max(0.0), s.ejection_ms),
         full: (s.full_until - now).max(0.0),
         since_answer: now - s.last_answer,
-        cold: s.cold_from.map(|from| (now - from, (s.cold.level, now - s.cold.at))),
-        answers: faded(&s.heard, now),
+        cold: s.cold_since.map(|from| (now - from, (s.cold_bucket.level, now - s.cold_bucket.at))),
+        answers: decayed_sum(&s.answers, now),
     }
 }
 
-fn member(c: &Customer, now: Millis) -> CustomerState {
+fn customer_state(c: &Customer, now: Millis) -> CustomerState {
     CustomerState {
-        equal_share: (c.even.level, now - c.even.at),
-        store_left: c.room,
-        demand: (c.told, now - c.told_at),
-        unreported: c.unasked,
+        equal_share: (c.equal_share.level, now - c.equal_share.at),
+        store_left: c.store_left,
+        demand: (c.demand, now - c.demand_at),
+        unreported: c.unreported,
         spread: c.spread,
         plan: c.plan,
-        seen_before: c.known,
+        seen_before: c.seen_before,
     }
 }
 
-fn kept(a: &Account, now: Millis) -> AccountState {
+fn account_state(a: &Account, now: Millis) -> AccountState {
     AccountState {
         ago: now - a.at,
-        levels: [a.store, a.ceiling, a.lent],
-        rates: [a.demand, a.let_in],
+        levels: [a.store, a.ceiling, a.leased],
+        rates: [a.demand, a.admitted],
         open: a.open,
         plan: a.plan,
         rank: a.rank,
--- a/src/prefetch/tests.rs
+++ b/src/prefetch/tests.rs
@@ -1,7 +1,7 @@
 //! What a keeper counts of units asked for ahead under a ceiling, and what a member makes of them after a pause.
 
 use super::*;
-use crate::accounts::part;
+use crate::accounts::ceiling_fraction;
 use crate::state::WAKE_STEP;
 
 const BEGAN: Millis = 1_000_000.0;
@@ -42,97 +42,101 @@
     }
 }
 
-fn first_keeper() -> u32 {
-    keeper(CUSTOMER, (0, 3), 3, 0).expect("a keeper")
+fn first_owner() -> u32 {
+    quota_owner(CUSTOMER, (0, 3), 3, 0).expect("a quota owner")
 }
 
 /// The customer's first keeper, `on` or not, when its part of the ceiling has filled.
-fn filled(on: bool) -> Limiter {
-    let mut limiter = Limiter::new(settings(first_keeper()), 1, BEGAN).expect("legal settings");
+fn owner_with_full_ceiling(on: bool) -> Limiter {
+    let mut limiter = Limiter::new(settings(first_owner()), 1, BEGAN).expect("legal settings");
     if on {
         limiter.enable_prefetch(100);
     }
-    at(&mut limiter, BEGAN + 60_000.0);
+    advance(&mut limiter, BEGAN + 60_000.0);
     limiter
 }
 
-fn at(limiter: &mut Limiter, now: Millis) {
+fn advance(limiter: &mut Limiter, now: Millis) {
     limiter.handle(now, Event::Wake { token: WAKE_STEP }, &mut Vec::new());
 }
 
 fn ask(id: RequestId, units: f32) -> Ask {
-    Ask { id, customer: CUSTOMER, plan: 0, first: 0, spread: 3, units, unasked: 0.0, spent: false }
+    Ask { id, customer: CUSTOMER, plan: 0, first: 0, spread: 3, units, unreported: 0.0, already_spent: false }
 }
 
 /// Units that other members are granted now, one by one.
-fn room(limiter: &mut Limiter, first: RequestId) -> f64 {
+fn grantable_units(limiter: &mut Limiter, first: RequestId) -> f64 {
     let ids = first..first + 1000;
-    let granted = |id: &RequestId| limiter.judge(9, 1, &ask(*id, 1.0)).is_some_and(|word| word.granted);
+    let granted =
+        |id: &RequestId| limiter.answer_ask(9, 1, &ask(*id, 1.0)).is_some_and(|reply| reply.granted);
     ids.take_while(granted).count() as f64
 }
 
-fn whole() -> f64 {
+fn capacity() -> f64 {
     let plan = &settings(0).plans[0];
-    ((plan.ceiling_burst + plan.ceiling_slack) * part(plan, 0)).floor()
+    ((plan.ceiling_burst + plan.ceiling_slack) * ceiling_fraction(plan, 0)).floor()
 }
 
 #[test]
-fn units_asked_for_ahead_count_against_the_depth_for_as_long_as_they_may_be_spent() {
-    let mut keeper = filled(true);
-    let word = keeper.judge(9, 1, &ask(AHEAD_BIT | 5, 20.0)).expect("a word");
-    assert!(word.granted && word.kept);
+fn prefetched_units_count_against_the_ceiling_until_they_expire() {
+    let mut owner = owner_with_full_ceiling(true);
+    let reply = owner.answer_ask(9, 1, &ask(PREFETCH_BIT | 5, 20.0)).expect("a reply");
+    assert!(reply.granted && reply.long_lease);
     // The store has filled again by then, and the 20 may be out there still.
-    let later = keeper.now + HELD_MS + GRANT_MS - 100.0;
-    at(&mut keeper, later);
-    let held = room(&mut keeper, 1);
-    assert!(held <= whole() - 20.0 && held >= whole() - 21.0, "{held} of {}", whole());
+    let later = owner.now + PREFETCH_LIFETIME_MS + GRANT_LIFETIME_MS - 100.0;
+    advance(&mut owner, later);
+    let held = grantable_units(&mut owner, 1);
+    assert!(held <= capacity() - 20.0 && held >= capacity() - 21.0, "{held} of {}", capacity());
     // Once they have surely lapsed the whole depth fills again.
-    at(&mut keeper, later + 200.0);
-    at(&mut keeper, later + 60_000.0);
-    assert_eq!(room(&mut keeper, 2000), whole());
+    advance(&mut owner, later + 200.0);
+    advance(&mut owner, later + 60_000.0);
+    assert_eq!(grantable_units(&mut owner, 2000), capacity());
 }
 
 #[test]
-fn what_a_member_says_is_over_counts_no_more_and_what_it_did_not_use_comes_back() {
-    let mut limiter = filled(true);
-    limiter.judge(9, 1, &ask(AHEAD_BIT | 5, 20.0)).expect("a word");
-    limiter.on_done((9, 1, AHEAD_BIT | 5), 5.0);
+fn a_finished_prefetch_lease_ends_and_its_unused_units_return() {
+    let mut limiter = owner_with_full_ceiling(true);
+    limiter.answer_ask(9, 1, &ask(PREFETCH_BIT | 5, 20.0)).expect("a reply");
+    limiter.on_done((9, 1, PREFETCH_BIT | 5), 5.0);
     // 15 came back at once, and 5 are spent.
-    assert_eq!(room(&mut limiter, 1), whole() - 5.0);
+    assert_eq!(grantable_units(&mut limiter, 1), capacity() - 5.0);
     // Said again it moves nothing.
-    limiter.on_done((9, 1, AHEAD_BIT | 5), 0.0);
-    assert_eq!(room(&mut limiter, 2000), 0.0);
+    limiter.on_done((9, 1, PREFETCH_BIT | 5), 0.0);
+    assert_eq!(grantable_units(&mut limiter, 2000), 0.0);
 }
 
 /// Whoever does not hold units ahead in this fleet counts an ask ahead as any: its member must not hold it for long.
 #[test]
-fn a_keeper_that_is_not_told_to_says_that_it_does_not_keep() {
-    let mut limiter = filled(false);
-    let word = limiter.judge(9, 1, &ask(AHEAD_BIT | 5, 20.0)).expect("a word");
-    assert!(word.granted && !word.kept);
+fn an_owner_without_prefetch_grants_no_long_lease() {
+    let mut limiter = owner_with_full_ceiling(false);
+    let reply = limiter.answer_ask(9, 1, &ask(PREFETCH_BIT | 5, 20.0)).expect("a reply");
+    assert!(reply.granted && !reply.long_lease);
 }
 
 /// What the process before granted ahead may be spent still: nothing is granted until that has lapsed.
 #[test]
-fn a_keeper_that_starts_waits_until_what_was_held_ahead_has_lapsed() {
+fn a_restarted_owner_waits_until_earlier_prefetch_leases_expire() {
     let from_start = |on: bool, after: Millis| {
-        let mut limiter = Limiter::new(settings(first_keeper()), 1, BEGAN).expect("legal settings");
+        let mut limiter = Limiter::new(settings(first_owner()), 1, BEGAN).expect("legal settings");
         if on {
             limiter.enable_prefetch(100);
         }
         // It owes its slack at the start, and fills from then on.
         let owed_ms = 1000.0 * (1.0 + 2.0 * 5.0 * 0.62) / (10.0 * 0.62);
-        at(&mut limiter, BEGAN + after + owed_ms);
-        room(&mut limiter, 1)
+        advance(&mut limiter, BEGAN + after + owed_ms);
+        grantable_units(&mut limiter, 1)
     };
-    assert!(from_start(false, GRANT_MS) >= 1.0);
-    assert!(from_start(true, GRANT_MS) < from_start(false, GRANT_MS));
-    assert_eq!(from_start(true, GRANT_MS + HELD_MS), from_start(false, GRANT_MS));
+    assert!(from_start(false, GRANT_LIFETIME_MS) >= 1.0);
+    assert!(from_start(true, GRANT_LIFETIME_MS) < from_start(false, GRANT_LIFETIME_MS));
+    assert_eq!(
+        from_start(true, GRANT_LIFETIME_MS + PREFETCH_LIFETIME_MS),
+        from_start(false, GRANT_LIFETIME_MS)
+    );
 }
 
 /// Clients come no sooner than the ceilings can have begun to fill, as without it.
 #[test]
-fn it_is_ready_as_much_later_as_its_ceilings_fill() {
+fn readiness_is_delayed_as_long_as_the_filling_of_ceilings() {
     let ready_ms = |on: bool| {
         let mut limiter = Limiter::new(settings(0), 1, BEGAN).expect("legal settings");
         if on {
@@ -140,12 +144,12 @@
         }
         (0..200).map(|n| 100.0 * f64::from(n)).find(|ms| limiter.is_ready(BEGAN + ms)).expect("it gets ready")
     };
-    assert_eq!(ready_ms(true), ready_ms(false) + HELD_MS);
+    assert_eq!(ready_ms(true), ready_ms(false) + PREFETCH_LIFETIME_MS);
 }
 
 /// A member whose keeper is another.
 fn member() -> Limiter {
-    let position = (first_keeper() + 1) % 3;
+    let position = (first_owner() + 1) % 3;
     let mut limiter = Limiter::new(settings(position), 1, BEGAN).expect("legal settings");
     limiter.enable_prefetch(100);
     let server = ServerEntry {
@@ -160,8 +164,8 @@
     limiter
 }
 
-/// Gives it requests until it has asked ahead, and that ask's word; the units that it holds then.
-fn hold(limiter: &mut Limiter, kept: bool, first: RequestId) -> f64 {
+/// Gives it requests until it has asked ahead, and that ask's reply; the units that it holds then.
+fn prefetch_units(limiter: &mut Limiter, long_lease: bool, first: RequestId) -> f64 {
     let mut out = Vec::new();
     for id in first..first + 40 {
         let request = Request {
@@ -177,19 +181,31 @@
         let now = limiter.now + 1.0;
         limiter.handle(now, Event::Request(request), &mut out);
     }
-    let held = &limiter.prefetch.as_ref().expect("on").held[&CUSTOMER];
-    let id = held.out.expect("an ask ahead").id;
-    let born = limiter.incarnation;
-    let word = Word { id, customer: CUSTOMER, born, granted: true, kept, over: 0.5, left: 3000.0 };
-    limiter.word_ahead(first_keeper(), &word);
+    let held = &limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER];
+    let id = held.pending.expect("a prefetch ask").id;
+    let incarnation = limiter.incarnation;
+    let reply = Reply {
+        id,
+        customer: CUSTOMER,
+        incarnation,
+        granted: true,
+        long_lease,
+        demand: 0.5,
+        store_left: 3000.0,
+    };
+    limiter.on_prefetch_reply(first_owner(), &reply);
     units(limiter)
 }
 
 fn units(limiter: &Limiter) -> f64 {
-    limiter.prefetch.as_ref().expect("on").held[&CUSTOMER].parts.iter().map(|part| part.left).sum()
+    limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER]
+        .batches
+        .iter()
+        .map(|batch| batch.left)
+        .sum()
 }
 
-fn spends(limiter: &mut Limiter, now: Millis, id: RequestId) -> Ahead {
+fn spends(limiter: &mut Limiter, now: Millis, id: RequestId) -> Prefetched {
     limiter.now = now;
     let request = Request {
         id,
@@ -201,66 +217,69 @@
         spread: 3,
         first: 0,
     };
-    limiter.requests.insert(id, Open::new(request, now, now + 3000.0));
-    limiter.spend_ahead(id)
+    limiter.requests.insert(id, OpenRequest::new(request, now, now + 3000.0));
+    limiter.spend_prefetched(id)
 }
 
 #[test]
-fn after_a_pause_nothing_is_spent_that_has_lapsed_meanwhile() {
-    for (kept, life) in [(true, HELD_MS), (false, CEILED_MS)] {
+fn expired_units_are_not_spent_after_a_stall() {
+    for (long_lease, life) in [(true, PREFETCH_LIFETIME_MS), (false, CEILING_LIFETIME_MS)] {
         let mut limiter = member();
-        assert!(hold(&mut limiter, kept, 0) >= 1.0);
-        let held = &limiter.prefetch.as_ref().expect("on").held[&CUSTOMER];
-        let asked = held.parts[0].asked;
+        assert!(prefetch_units(&mut limiter, long_lease, 0) >= 1.0);
+        let held = &limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER];
+        let asked = held.batches[0].asked;
         let (before, after) = (asked + life - 1.0, asked + life);
-        assert_eq!(spends(&mut limiter, before, 900), Ahead::Spent, "kept {kept}");
+        assert_eq!(spends(&mut limiter, before, 900), Prefetched::Spent, "long lease {long_lease}");
         // No look came in between, as when the process stood still.
-        assert_ne!(spends(&mut limiter, after, 901), Ahead::Spent, "kept {kept}");
+        assert_ne!(spends(&mut limiter, after, 901), Prefetched::Spent, "long lease {long_lease}");
     }
 }
 
 /// At a keeper that forgets it soon a request must go out in the time of a request, counted from the ask ahead.
 #[test]
-fn a_request_that_waits_for_a_server_counts_from_the_ask_where_the_keeper_does_not_keep() {
+fn a_short_lease_counts_from_the_prefetch_ask() {
     let mut limiter = member();
-    hold(&mut limiter, false, 0);
-    let asked = limiter.prefetch.as_ref().expect("on").held[&CUSTOMER].parts[0].asked;
-    assert_eq!(spends(&mut limiter, asked + 100.0, 900), Ahead::Spent);
-    assert_eq!(limiter.requests[&900].lent_from, asked);
+    prefetch_units(&mut limiter, false, 0);
+    let asked = limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER].batches[0].asked;
+    assert_eq!(spends(&mut limiter, asked + 100.0, 900), Prefetched::Spent);
+    assert_eq!(limiter.requests[&900].leased_from, asked);
     let mut limiter = member();
-    hold(&mut limiter, true, 0);
-    let asked = limiter.prefetch.as_ref().expect("on").held[&CUSTOMER].parts[0].asked;
-    assert_eq!(spends(&mut limiter, asked + 100.0, 900), Ahead::Spent);
-    assert_eq!(limiter.requests[&900].lent_from, asked + 100.0);
+    prefetch_units(&mut limiter, true, 0);
+    let asked = limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER].batches[0].asked;
+    assert_eq!(spends(&mut limiter, asked + 100.0, 900), Prefetched::Spent);
+    assert_eq!(limiter.requests[&900].leased_from, asked + 100.0);
 }
 
 #[test]
-fn a_word_that_comes_twice_or_late_gives_nothing_more() {
+fn a_repeated_reply_adds_no_units() {
     let mut limiter = member();
-    let held = hold(&mut limiter, true, 0);
-    let id = limiter.prefetch.as_ref().expect("on").held[&CUSTOMER].parts[0].id;
-    let word = Word {
+    let held = prefetch_units(&mut limiter, true, 0);
+    let id = limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER].batches[0].id;
+    let reply = Reply {
         id,
         customer: CUSTOMER,
-        born: limiter.incarnation,
+        incarnation: limiter.incarnation,
         granted: true,
-        kept: true,
-        over: 0.5,
-        left: 3000.0,
+        long_lease: true,
+        demand: 0.5,
+        store_left: 3000.0,
     };
-    limiter.word_ahead(first_keeper(), &word);
+    limiter.on_prefetch_reply(first_owner(), &reply);
     assert_eq!(units(&limiter), held);
 }
 
 /// What is told to a successor as lent counts there for as long as here.
 #[test]
-fn a_successor_counts_what_was_lent_ahead_to_its_end() {
-    let mut lent = Lent { keeps: true, ..Lent::default() };
-    lent.lend(100.0, (1, 1, AHEAD_BIT | 1), CUSTOMER, 4.0);
-    lent.lend(100.0, (1, 1, 1), CUSTOMER, 2.0);
-    let mut next = Lent::default();
-    next.hear(lent.told());
-    assert_eq!(next.lapsed(100.0 + GRANT_MS + 1.0), Some((CUSTOMER, 2.0)));
-    assert_eq!(next.lapsed(100.0 + GRANT_MS + HELD_MS - 1.0), None);
-    assert_eq!(next.lapsed(100.0 + GRANT_MS + HELD_MS + 1.0), Some((CUSTOMER, 4.0)));
+fn a_successor_counts_prefetch_leases_to_their_end() {
+    let mut leases = Leases { prefetch_enabled: true, ..Leases::default() };
+    leases.add(100.0, (1, 1, PREFETCH_BIT | 1), CUSTOMER, 4.0);
+    leases.add(100.0, (1, 1, 1), CUSTOMER, 2.0);
+    let mut next = Leases::default();
+    next.import(leases.export());
+    assert_eq!(next.pop_expired(100.0 + GRANT_LIFETIME_MS + 1.0), Some((CUSTOMER, 2.0)));
+    assert_eq!(next.pop_expired(100.0 + GRANT_LIFETIME_MS + PREFETCH_LIFETIME_MS - 1.0), None);
+    assert_eq!(
+        next.pop_expired(100.0 + GRANT_LIFETIME_MS + PREFETCH_LIFETIME_MS + 1.0),
+        Some((CUSTOMER, 4.0))
+    );
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,36 +1,36 @@
-//! From when on a server counts as cold. Its start is told by a wall clock, and the wall clock of any machine may be stepped,
+//! From when on a server counts as cold. Its start is reported by a wall clock, and the wall clock of any machine may be last_step,
 //! by seconds or by an hour: a start that cannot be right counts as one of this moment.
 
 use crate::interface::Millis;
 
-/// A start that is news was at most so long ago: discovery tells it within seconds, and after an outage later.
-const MOST_NEWS_MS: Millis = 60_000.0;
+/// A start that is is_new was at most so long ago: discovery tells it within seconds, and after an outage later.
+const MAX_NEW_START_AGE_MS: Millis = 60_000.0;
 
 /// What discovery says of a server's last start, in milliseconds of Unix time; 0 for long ago.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Start {
-    /// As it is told now.
-    pub told: Millis,
-    /// As it was told before, of a server that is known.
-    pub before: Option<Millis>,
-    /// Had it been so for long, an earlier list would have told it.
-    pub news: bool,
+    /// As it is reported now.
+    pub reported: Millis,
+    /// As it was reported reported_before, of a server that is known.
+    pub reported_before: Option<Millis>,
+    /// Had it been so for long, an earlier list would have reported it.
+    pub is_new: bool,
 }
 
 impl Start {
     /// Since when the server counts as cold; nothing if it is warm, or nothing is new about it.
     pub fn cold_since(self, now: Millis, cold_ms: Millis) -> Option<Millis> {
-        if self.told <= 0.0 || self.before == Some(self.told) {
+        if self.reported <= 0.0 || self.reported_before == Some(self.reported) {
             return None;
         }
-        let age = now - self.told;
+        let age = now - self.reported;
         // A later start with an earlier time: the server's clock was set back in between.
-        let earlier = self.before.is_some_and(|before| self.told < before);
-        let too_old = self.news && age > MOST_NEWS_MS;
+        let earlier = self.reported_before.is_some_and(|reported_before| self.reported < reported_before);
+        let too_old = self.is_new && age > MAX_NEW_START_AGE_MS;
         if age < 0.0 || earlier || too_old {
             return Some(now);
         }
-        (age < cold_ms).then_some(self.told)
+        (age < cold_ms).then_some(self.reported)
     }
 }
 
@@ -42,29 +42,33 @@
     const COLD_MS: Millis = 14_000.0;
     const HOUR_MS: Millis = 3_600_000.0;
 
-    fn since(told: Millis, before: Option<Millis>, news: bool) -> Option<Millis> {
-        Start { told, before, news }.cold_since(NOW, COLD_MS)
+    fn since(reported: Millis, reported_before: Option<Millis>, is_new: bool) -> Option<Millis> {
+        Start { reported, reported_before, is_new }.cold_since(NOW, COLD_MS)
     }
 
     #[test]
-    fn a_start_that_can_be_right_is_taken_as_it_is_told() {
+    fn a_plausible_start_is_accepted() {
         assert_eq!(since(0.0, None, true), None);
         assert_eq!(since(NOW - 3000.0, None, false), Some(NOW - 3000.0));
         assert_eq!(since(NOW - 3000.0, Some(0.0), true), Some(NOW - 3000.0));
-        assert_eq!(since(NOW - 20_000.0, Some(0.0), true), None, "told after an outage, and warm by now");
-        assert_eq!(since(NOW - HOUR_MS, None, false), None, "a first list tells of old starts");
-        assert_eq!(since(NOW - 3000.0, Some(NOW - 3000.0), true), None, "nothing new");
+        assert_eq!(since(NOW - 20_000.0, Some(0.0), true), None, "reported after an outage, already warm");
+        assert_eq!(since(NOW - HOUR_MS, None, false), None, "a first list may report old starts");
+        assert_eq!(since(NOW - 3000.0, Some(NOW - 3000.0), true), None, "unchanged start");
     }
 
     #[test]
-    fn a_start_that_cannot_be_right_counts_from_now_on() {
+    fn an_implausible_start_counts_as_now() {
         assert_eq!(
             since(NOW + HOUR_MS, None, false),
             Some(NOW),
-            "this clock is behind, or the server's ahead"
+            "this clock is behind or the server clock ahead"
         );
         assert_eq!(since(NOW - HOUR_MS, None, true), Some(NOW), "this clock is ahead");
         assert_eq!(since(NOW - HOUR_MS, Some(0.0), true), Some(NOW));
-        assert_eq!(since(NOW - 40_000.0, Some(NOW - 30_000.0), true), Some(NOW), "the server's was set back");
+        assert_eq!(
+            since(NOW - 40_000.0, Some(NOW - 30_000.0), true),
+            Some(NOW),
+            "the server clock was set back"
+        );
     }
 }
--- a/tests/firms.rs
+++ b/tests/firms.rs
@@ -189,7 +189,7 @@
         let mut actions = Vec::new();
         limiter.inner.handle(limiter.now, Event::Wake { token: 0 }, &mut actions);
         lines.extend(actions.into_iter().filter_map(|a| match a {
-            Action::Log(line) if line.starts_with("firms:") => Some(line),
+            Action::Log(line) if line.starts_with("customers:") => Some(line),
             _ => None,
         }));
     };
@@ -198,7 +198,8 @@
         step(&mut limiter, &mut lines, if n < 100 { 1000.0 } else { 1.0 });
     }
     (0..2000).for_each(|_| step(&mut limiter, &mut lines, 100.0));
-    let expected = ["the bound, what", "would displace all", "let in again", "below the bound"];
+    let expected =
+        ["full, the deficits", "new customers arrive too fast", "accepted again", "below capacity again"];
     assert_eq!(lines.len(), expected.len(), "{lines:#?}");
     assert!(lines.iter().zip(expected).all(|(line, text)| line.contains(text)), "{lines:#?}");
 }
@@ -307,8 +308,8 @@
     );
     for limiter in &net.limiters {
         let text = format!("{:?}", limiter.inner);
-        let outbox = &text
-            [text.find("outbox").expect("outbox field")..text.find("mail:").expect("field after the outbox")];
+        let outbox = &text[text.find("outbox").expect("outbox field")
+            ..text.find("send_bucket:").expect("field after the outbox")];
         assert!(outbox.len() < 200_000, "outbox of {} bytes of debug output", outbox.len());
     }
 }
