--- a/src/accounts.rs
+++ b/src/accounts.rs
@@ -1,34 +1,37 @@
-//! The arithmetic of stores, rates and debts in the records of customers. What follows from it is decided in
-//! `firms.rs` and `policy.rs`.
+//! Arithmetic of token buckets, rates and deficits in the records of customers. The decisions based on it are
+//! in `customers.rs` and `policy.rs`.
+//!
+//! Each customer has a set of limiters that receive its requests, its members. Some of them are its quota
+//! owners, in a fixed order of rank.
 
 use marldeal_firms::Evictability;
 
 use crate::interface::*;
 use crate::state::*;
 
-/// Keepers of a customer.
+/// Number of quota owners of a customer.
 pub(crate) const QUOTA_OWNERS: usize = 3;
-/// The first keeper owns this many times the quota's part of a ceiling, within these shares: what it grants beyond the
-/// quota is owed to nobody.
+/// The first owner holds this multiple of the quota's fraction of a ceiling, within these bounds. What it
+/// grants beyond the quota is guaranteed to nobody.
 const FIRST_OWNER_HEADROOM: f64 = 1.05;
 const FIRST_OWNER_FRACTION: (f64, f64) = (0.3, 0.62);
-/// Shares of the rest that the other keepers own, who carry on while the first is dead, and that all members of the set
-/// own together, for the time in which they hear nobody. All sum to one.
+/// Fractions of the rest held by the other owners, which take over while the first one is down, and by all
+/// members together, for the time without any owner. They sum to one.
 const OTHER_OWNER_FRACTIONS: [f64; QUOTA_OWNERS - 1] = [0.13, 0.07];
 const MEMBERS_FRACTION: f64 = 0.8;
-/// Share of the quota that the others grant: the first one may be cut off from some members only.
+/// Fraction of the quota that the other owners grant: the first one may be cut off from some members only.
 pub(crate) const BACKUP_OWNER_FRACTION: f64 = 0.5;
-/// Least and most milliseconds over which demand is smoothed, in between the time of a whole burst.
+/// Bounds of the time over which demand is smoothed; within them it is the time of a whole burst.
 pub(crate) const DEMAND_WINDOW_MS: (Millis, Millis) = (1000.0, 10_000.0);
-/// Milliseconds after its arrival in which a request may spend units granted under a ceiling; until then the
-/// keeper counts them against its depth. Waits for a word and for room fit in.
+/// Time from its arrival in which a request may spend units granted under a ceiling; the quota owner counts
+/// them against the ceiling's depth until then. It covers the waits for a reply and for a server.
 pub(crate) const GRANT_LIFETIME_MS: Millis = 500.0;
-/// Customers for each cell of a row in the sketches of debts.
+/// Customers per cell of a row in the deficit sketches.
 pub(crate) const CUSTOMERS_PER_CELL: usize = 8;
-/// Units lent that are no more than rounding.
+/// Leased units up to this amount are rounding errors.
 const ROUNDING_UNITS: f64 = 1e-6;
 
-/// Share of the quota that a keeper of this rank grants.
+/// Fraction of the quota that an owner of this rank grants.
 pub(crate) fn quota_fraction(rank: u8) -> f64 {
     if rank == 0 {
         1.0
@@ -37,13 +40,14 @@
     }
 }
 
-/// Share of the ceiling that the first keeper owns. Fixed by the plan: no silence moves it.
+/// Fraction of the ceiling held by the first owner. It depends on the plan alone and does not change when
+/// owners are silent.
 fn first_owner_fraction(plan: &Plan) -> f64 {
     let quota = (plan.rate / plan.ceiling_rate).max(plan.burst / plan.ceiling_burst);
     (quota * FIRST_OWNER_HEADROOM).max(FIRST_OWNER_FRACTION.0).min(FIRST_OWNER_FRACTION.1)
 }
 
-/// Share of the ceiling that a keeper of this rank owns.
+/// Fraction of the ceiling held by an owner of this rank.
 pub(crate) fn ceiling_fraction(plan: &Plan, rank: u8) -> f64 {
     let first = first_owner_fraction(plan);
     if rank == 0 {
@@ -53,7 +57,8 @@
     }
 }
 
-/// Rate and depth of a member's even part: of the quota, or under a ceiling of what its keepers leave to members.
+/// Rate and capacity of a member's equal share: of the quota, or under a ceiling of what the owners leave to
+/// members.
 pub(crate) fn equal_share(plan: &Plan, spread: u32) -> (f64, f64) {
     let spread = f64::from(spread);
     if plan.ceiling_rate > 0.0 {
@@ -64,7 +69,7 @@
     }
 }
 
-/// When a store that lacks units is full again.
+/// When a bucket that lacks units is full again.
 fn full_at(at: Millis, lacking: f64, rate: f64) -> Millis {
     match lacking > 0.0 {
         true if rate > 0.0 => at + 1000.0 * lacking / rate,
@@ -74,7 +79,7 @@
 }
 
 impl Customer {
-    /// When its even part is full again. A plan without a rate fills within an aim.
+    /// When the equal share is full again. Without a rate it fills within one target latency.
     pub(crate) fn full_at(&self, settings: &Settings) -> Millis {
         let plan = &settings.plans[usize::from(self.plan)];
         let (rate, capacity) = equal_share(plan, u32::from(self.spread));
@@ -86,7 +91,7 @@
 }
 
 impl Account {
-    /// Brings the stores and rates to `now`, as a keeper of this rank owns them.
+    /// Brings buckets and rates to `now`, for an owner of this rank.
     pub(crate) fn refresh(&mut self, now: Millis, plan: &Plan, rank: u8, fills_from: Millis) {
         let past_s = |from: Millis| (now - from).max(0.0) / 1000.0;
         let (share, fraction) = (quota_fraction(rank), ceiling_fraction(plan, self.rank));
@@ -103,7 +108,7 @@
         (-(now - self.at).max(0.0) / demand_window_ms(plan)).exp()
     }
 
-    /// Demand as a multiple of the quota; of what was let in where a cap on attempts out is full.
+    /// Demand as a multiple of the quota, or of the admitted rate while the limit of open requests is reached.
     pub(crate) fn demand_multiple(&self, now: Millis, plan: &Plan) -> f32 {
         let rate = |sum: f64| sum * self.decay(now, plan) * 1000.0 / demand_window_ms(plan);
         let full = plan.open > 0 && self.open >= plan.open;
@@ -111,7 +116,7 @@
         (rate(self.demand) / if full { rate(self.admitted).max(1e-3) } else { quota }) as f32
     }
 
-    /// When its store and its part of the ceiling are full again.
+    /// When the store and this owner's part of the ceiling are full again.
     pub(crate) fn full_at(&self, plan: &Plan, fills_from: Millis) -> (Millis, Millis) {
         let (share, fraction) = (quota_fraction(self.rank), ceiling_fraction(plan, self.rank));
         let store = full_at(self.at, plan.burst * share - self.store, plan.rate * share);
@@ -150,7 +155,7 @@
     }
 }
 
-/// Seconds until a moment, none if it is past.
+/// Seconds until a time, 0 if it has passed.
 pub(crate) fn seconds_until(until: Millis, now: Millis) -> f64 {
     (until - now).max(0.0) / 1000.0
 }
@@ -161,7 +166,8 @@
 
     use super::*;
 
-    /// For any ceiling the parts sum to the whole, and the first keeper's covers the quota where that leaves the others any.
+    /// The parts of any ceiling sum to the whole, and the first owner's part covers the quota unless that would
+    /// leave the others nothing.
     #[test]
     fn fractions_of_a_ceiling_sum_to_one() {
         for times in [1.0, 1.5, 1.8, 2.6, 10.0] {
@@ -177,7 +183,8 @@
         }
     }
 
-    /// All that grows with the number of customers, at sizes just under, at and just over a power of two.
+    /// Covers everything that grows with the number of customers, at sizes just below, at and just above powers
+    /// of two.
     #[test]
     fn a_customer_takes_at_most_the_stated_bytes() {
         for customers in [20_971, 65_536, 65_537, 100_000, 1_048_576, 1_048_577] {
--- a/src/customers.rs
+++ b/src/customers.rs
@@ -1,8 +1,8 @@
-//! Which customers are remembered, which are forgotten first, and what of the forgotten is carried on.
+//! Which customers have a record, which are evicted first, and what is kept of evicted customers.
 //!
-//! A customer's store is one number: the moment at which it will be full again. What is forgotten before that
-//! moment leaves it in a sketch that never tells an earlier one, so that whoever returns finds its store, and
-//! its part of a ceiling, no fuller than it left them.
+//! The state of a full or filling bucket is one number: the time at which it will be full again. If a record is
+//! evicted before that time, the time goes into a sketch that never returns an earlier one. A returning
+//! customer therefore finds its store and its part of a ceiling no fuller than before.
 
 use marldeal_firms::Evictability;
 
@@ -14,32 +14,33 @@
 use crate::message::Ask;
 use crate::state::*;
 
-/// A customer not seen for so many milliseconds is dropped, if nothing is lost by it.
+/// A customer not seen for this time is removed if nothing is lost by it.
 const IDLE_MS: Millis = 60_000.0;
-/// Milliseconds in which new names alone would displace all that is remembered: from then on a name is let
-/// in when it is seen for the second time within `RECENT_KEY_MS`. A client that is refused with advice comes
-/// back sooner.
+/// If new customers alone would replace all records within this time, a new customer is accepted only when it
+/// is seen a second time within `RECENT_KEY_MS`. A client that is refused with a retry time comes back sooner.
 const TURNOVER_MS: Millis = 30_000.0;
 const RECENT_KEY_MS: Millis = 5000.0;
-/// Names that are known so at least: as many as one core turns away in that time, at a byte each, twice.
+/// Minimum number of keys remembered that way: twice as many as one core refuses in that time, at one byte
+/// each.
 const MIN_RECENT_KEYS: usize = 500_000;
-/// Milliseconds over which the pace of new names is taken, and the share of the table they may fill before.
+/// Time over which the rate of new customers is taken, and the fraction of the table that must be filled before
+/// it counts.
 const NEW_CUSTOMER_RATE_MS: Millis = 1000.0;
 const MIN_FILL_FRACTION: f64 = 0.25;
-/// Records gone through in one step at most; a step comes every 100 ms.
+/// Maximum number of records visited per step; a step runs every 100 ms.
 const RECORDS_PER_STEP: usize = 1024;
-/// Milliseconds that a keeper remembers its words, and that they count at a member.
+/// Time for which a quota owner keeps its grants, and for which a reply is valid at a member.
 pub(crate) const GRANT_RETENTION_MS: Millis = 8000.0;
 pub(crate) const REPLY_VALIDITY_MS: Millis = 4000.0;
-/// Units granted under ceilings, or grants out, that are kept in order at most; beyond it none is granted.
+/// Maximum number of leases under ceilings, and of open grants. Beyond it nothing more is granted.
 pub(crate) const MAX_OUTSTANDING_GRANTS: usize = 1 << 16;
-/// Share of the bound at which it counts as left behind.
+/// Fraction of the capacity below which the table no longer counts as full.
 const RELIEVED_FRACTION: f64 = 0.9;
-/// Least grants kept, for the requests that are open here; lines of a message.
+/// Minimum number of grants kept, for the open requests of this limiter, and lines in a message.
 const MIN_GRANTS: usize = 8192;
 const MAX_MESSAGE_LINES: f64 = 10.0;
 
-/// How much is kept.
+/// Capacities of the tables under these settings.
 pub(crate) fn capacities(settings: &Settings) -> Capacities {
     let customers = settings.firms as usize;
     let max_lines_kept =
@@ -56,7 +57,7 @@
 }
 
 impl Account {
-    /// One with units out stays: they come back to it.
+    /// An account with leased units or open requests stays, since these return to it.
     fn evictability(&self, now: Millis, settings: &Settings, fills_from: Millis) -> Evictability {
         let (store, ceiling) = self.full_at(&settings.plans[usize::from(self.plan)], fills_from);
         match self.leased > 0.0 || self.open > 0 {
@@ -68,17 +69,18 @@
 }
 
 impl Limiter {
-    /// New names come so fast that strangers are refused, as of the last step.
+    /// Whether new customers arrive so fast that they are refused, as of the last step.
     pub fn refuses_new_customers(&self) -> bool {
         self.pressure == Pressure::Overloaded
     }
 
-    /// How many customers are remembered, and what became of others.
+    /// Number of remembered customers, and what happened to the others.
     pub fn customer_counts(&self) -> CustomerCounts {
         CustomerCounts { customers: self.customers.len(), accounts: self.accounts.len(), ..self.counts }
     }
 
-    /// What is remembered of a request's customer; nothing of a stranger while new names come too fast.
+    /// The record of a request's customer, created if necessary; none for a new customer while these arrive too
+    /// fast.
     pub(crate) fn customer_record(&mut self, request: &Request) -> Option<&mut Customer> {
         let (now, id) = (self.now, request.customer);
         let seen_before = self.customers.touch(now, &id).is_some();
@@ -109,8 +111,8 @@
         Some(c)
     }
 
-    /// Whether new names alone would displace all that is remembered in a short time; over at half that pace,
-    /// so that a flood held back by refusals does not pass for its end.
+    /// Whether new customers alone would replace all records in a short time. It ends at half that rate, so
+    /// that a flood held back by refusals does not count as over.
     fn has_new_customer_overload(&self) -> bool {
         let within = if self.pressure == Pressure::Overloaded { 2.0 * TURNOVER_MS } else { TURNOVER_MS };
         let capacity = self.customers.capacity();
@@ -126,7 +128,7 @@
             self.now,
         );
         let rate = if rate > 0.0 { rate } else { f64::INFINITY };
-        // Of a ceiling as if spent at the start: an earlier start of this limiter may have spent it.
+        // A share of a ceiling starts empty, since an earlier start of this limiter may have spent it.
         let initial = match plan.ceiling_rate > 0.0 {
             true => capacity.min(rate * (self.now - self.process_started_at) / 1000.0),
             false => capacity.max(request.units),
@@ -134,7 +136,7 @@
         let level = if owed_s > 0.0 { (initial - rate * owed_s).max(0.0) } else { initial };
         Customer {
             equal_share: TokenBucket { level, at: self.now },
-            // One that owes asks before it spends: what its keeper has left was forgotten too.
+            // A customer with a deficit asks before it spends: what its owner's store holds was forgotten too.
             store_left: if owed_s > 0.0 { 0.0 } else { plan.burst },
             demand_at: f64::NEG_INFINITY,
             spread: request.spread as u16,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// This limiter's rank among the keepers of a customer, if it is one.
+    /// This limiter's rank among the quota owners of a customer, if it is one.
     pub(crate) fn rank(&self, ask: &Ask) -> Option<u8> {
         let (limiters, me) = (self.settings.limiters, self.settings.position);
         let set = (ask.first.into(), ask.spread.into());
@@ -152,9 +154,9 @@
             .map(|k| k as u8)
     }
 
-    /// A keeper's account of one not remembered. The part of the ceiling starts as if spent and fills only
-    /// once all that an earlier start of this limiter may have granted has lapsed; what the customer owes
-    /// from before it was forgotten is taken off both, down to the lowest that they can have been.
+    /// An account for a customer without a record. The part of the ceiling starts empty and fills only after
+    /// all grants of an earlier start have expired. The deficit from before an eviction is deducted from both,
+    /// down to the lowest possible values.
     pub(crate) fn new_account(&self, ask: &Ask, rank: u8) -> Account {
         let plan = &self.settings.plans[usize::from(ask.plan)];
         let (share, fraction, key) =
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Makes sure that there is an account for a customer; false if all that could go must stay.
+    /// Creates the account of a customer if it has none; false if no record can be evicted for it.
     pub(crate) fn ensure_account(&mut self, ask: &Ask, rank: u8) -> bool {
         let (now, fills_from) = (self.now, self.ceilings_from());
         if self.accounts.touch(now, &ask.customer).is_some() {
@@ -193,7 +195,7 @@
         self.accounts.insert(now, ask.customer, fresh).is_ok()
     }
 
-    /// Keeps what an account owes, once it has no record.
+    /// Records the deficit of an account that is evicted.
     pub(crate) fn record_deficit(&mut self, customer: CustomerId, a: &Account) {
         let (store, ceiling) = a.full_at(&self.settings.plans[usize::from(a.plan)], self.ceilings_from());
         if cfg!(feature = "forgotten-means-full") {
@@ -203,7 +205,7 @@
         self.deficits.ceilings.record(&(customer, a.plan), ceiling);
     }
 
-    /// Forgets customers not seen for long, and what was granted long ago, a bounded number in one go.
+    /// Removes idle customers and old grants, a bounded number per call.
     pub(crate) fn evict_idle(&mut self) {
         let fills_from = self.ceilings_from();
         let Limiter { now, settings, accounts, grants, customers, leases, open_grants, .. } = self;
@@ -215,7 +217,7 @@
             }
         }
         for _ in 0..RECORDS_PER_STEP {
-            // A lost reply of the end must not hold its place for ever.
+            // A lost message about the end must not keep the request open forever.
             let Some((at, key)) = open_grants.front() else { break };
             if now - at <= longest {
                 break;
@@ -243,8 +245,8 @@
         accounts.expire(now, now - IDLE_MS, work, |_, a| a.evictability(now, settings, fills_from));
     }
 
-    /// A line for the staff when the bound on customers is first reached, when names flood in, and when
-    /// either is over.
+    /// A log line when the table first reaches its capacity, when new customers arrive too fast, and when
+    /// either ends.
     pub(crate) fn log_customer_pressure(&mut self) -> Option<String> {
         let (held, capacity) = (self.customers.len().max(self.accounts.len()), self.customers.capacity());
         let press = match self.pressure {
@@ -267,7 +269,7 @@
     }
 }
 
-/// The position of a customer's keeper of that rank, the same at every limiter; none past the last.
+/// Position of a customer's quota owner of this rank, the same at every limiter; none beyond the last rank.
 pub(crate) fn quota_owner(
     customer: CustomerId,
     (first, spread): (u32, u32),
@@ -276,7 +278,7 @@
 ) -> Option<u32> {
     let spread = spread.clamp(1, limiters);
     let owners = (QUOTA_OWNERS as u32).min(spread);
-    // Fibonacci hashing: customers fall evenly on their sets.
+    // Fibonacci hashing spreads customers evenly over their sets.
     let hash = (customer.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32) as u32;
     let offset = (hash % spread + rank * (spread / owners)) % spread;
     let position = (u64::from(first) + u64::from(offset)) % u64::from(limiters);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,18 +1,18 @@
-//! What goes into and comes out of the decision module: settings, events and actions, as plain data.
-//! Times are milliseconds of one clock that only goes forward; amounts are quota units.
+//! Settings, events and actions of the decision module, as plain data. Times are milliseconds of one monotonic
+//! clock; amounts are quota units.
 
 use std::sync::Arc;
 
-/// A moment or a length of time in milliseconds.
+/// A point in time or a duration in milliseconds.
 pub type Millis = f64;
-/// A request at one limiter; never used twice.
+/// Id of a request at one limiter; never reused.
 pub type RequestId = u32;
-/// A customer, the same at every limiter.
+/// Id of a customer, the same at every limiter.
 pub type CustomerId = u64;
-/// A server, the same at every limiter and after a restart of its process.
+/// Id of a server, the same at every limiter and after a restart of its process.
 pub type ServerId = Arc<str>;
 
-/// How often a request may take effect.
+/// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
     /// May run any number of times.
@@ -23,55 +23,55 @@
     Unsafe,
 }
 
-/// Which servers drop repeats of a keyed request together.
+/// The servers that drop repeats of a keyed request together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyGroup {
-    /// Every server.
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// Target latency: an answer within this time earns the full value.
     pub aim_ms: Millis,
-    /// Share of the worth that a later answer still earns.
+    /// Fraction of the value that a later answer still earns.
     pub late_worth: f64,
-    /// How often it may run.
+    /// Whether its requests may run more than once.
     pub effect: Effect,
-    /// For keyed requests: who drops repeats.
+    /// For keyed requests: the servers that drop repeats together.
     pub group: KeyGroup,
     /// For keyed requests: how long repeats are dropped, from the first attempt that may have run.
     pub window_ms: Millis,
 }
 
-/// A plan: the quotas that each customer on it has over all limiters together.
+/// A plan: the quotas that each of its customers has over all limiters together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Units a second; 0 for no quota on the rate.
+    /// Units per second; 0 for no rate quota.
     pub rate: f64,
-    /// Units that the quota's store holds at most.
+    /// Capacity of the quota's token bucket in units.
     pub burst: f64,
-    /// Attempts out at once; 0 for no such quota.
+    /// Maximum number of outstanding attempts; 0 for no such quota.
     pub open: u32,
-    /// Units a second of the hard ceiling; 0 for none.
+    /// Units per second of the hard ceiling; 0 for none.
     pub ceiling_rate: f64,
-    /// Units that the ceiling's store holds at most.
+    /// Capacity of the ceiling's token bucket in units.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling's store may fall below nothing.
+    /// Units by which the ceiling's bucket may fall below zero.
     pub ceiling_slack: f64,
 }
 
 /// Settings of one limiter.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Limiters before this back end.
+    /// Number of limiters in front of this back end.
     pub limiters: u32,
-    /// This limiter's number among them, from 0.
+    /// This limiter's position among them, from 0.
     pub position: u32,
     /// This limiter's zone.
     pub zone: u32,
@@ -81,87 +81,87 @@
     pub plans: Vec<Plan>,
     /// Shortest time between two rounds of events.
     pub round_ms: Millis,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// A connection not made by then has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout_ms: Millis,
     /// Servers may be probed.
     pub may_probe: bool,
-    /// Peers may be told something.
+    /// Messages may be sent to peers.
     pub may_tell: bool,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Clients are given advice on when to try again.
+    /// Refused clients are told when to try again.
     pub may_advise: bool,
-    /// Messages a second that a limiter takes in.
+    /// Messages per second that a limiter accepts.
     pub messages_per_s: f64,
-    /// Servers must be subscribed to: the list does not come by itself.
+    /// The server list has to be subscribed to; it does not arrive by itself.
     pub must_subscribe: bool,
-    /// A server that just started has this share of its capacity or more.
+    /// A server that has just started has at least this fraction of its capacity.
     pub cold_share: f64,
-    /// A server is warm after this time at the latest.
+    /// Time after which a server is warm at the latest.
     pub cold_ms: Millis,
-    /// A cold server falls over when sent this many times what it can do...
+    /// A cold server fails when it gets this multiple of what it can do...
     pub fall_multiple: f64,
     /// ...for this long.
     pub fall_ms: Millis,
-    /// Customers remembered at most; [`Settings::BYTES_PER_CUSTOMER`] for each.
+    /// Maximum number of customers with a record; each takes [`Settings::BYTES_PER_CUSTOMER`].
     pub firms: u32,
 }
 
 impl Settings {
-    /// Bytes that a customer takes at most, in this limiter's part as a member and as a keeper, with its share of the
+    /// Maximum memory per customer, in its record as a member, its account as a quota owner, and its share of
     /// indexes and sketches; `marldeal-bench firms` measures it.
     pub const BYTES_PER_CUSTOMER: usize = 200;
 
-    /// The longest aim of a class, in milliseconds.
+    /// The longest target latency of a class, in milliseconds.
     pub(crate) fn longest_target_ms(&self) -> Millis {
         self.classes.iter().map(|c| c.aim_ms).fold(0.0, f64::max)
     }
 }
 
-/// How many customers are remembered, and what became of others since the start.
+/// Number of customers with records, and what happened to others since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CustomerCounts {
-    /// Remembered as a member.
+    /// Records as a member.
     pub customers: usize,
-    /// Remembered as a keeper.
+    /// Accounts as a quota owner.
     pub accounts: usize,
-    /// Forgotten for want of room with nothing owed.
+    /// Evicted from a full table with full buckets.
     pub evicted_full: u64,
-    /// Forgotten for want of room while they owed, which is carried on.
+    /// Evicted from a full table with a deficit, which is kept.
     pub evicted_with_deficit: u64,
-    /// Requests of strangers refused while new names came too fast.
+    /// Requests of new customers that were refused while these arrived too fast.
     pub new_refused: u64,
-    /// Asks decided without a record, since none could go.
+    /// Asks decided without an account, since none could be evicted.
     pub decided_without_record: u64,
 }
 
-/// What the server list says of a server.
+/// State of a server by the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
-    /// Completes what it has; nothing new may go there.
+    /// Finishes its requests; no new ones may be sent.
     Draining,
-    /// Withdrawn.
+    /// Removed.
     Gone,
 }
 
-/// One line of the server list.
+/// One entry of the server list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: u32,
     /// Its cell.
     pub cell: u32,
-    /// What it does.
+    /// Its state.
     pub condition: Condition,
-    /// Its size in relation to the others.
+    /// Its size relative to other servers.
     pub weight: f64,
-    /// When it last started; 0 for long ago.
+    /// When it last started, in milliseconds of Unix time; 0 for long ago.
     pub started: Millis,
 }
 
@@ -172,191 +172,191 @@
     Ok,
     /// Answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Refused by the server without execution.
     Full,
     /// No answer in time; it may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection; it did not run.
     NoConnection,
     /// Connection lost; it may have run.
     Severed,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
 }
 
-/// A load report of a server; what it does not report is absent.
+/// A server's load report; values that it does not report are absent.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Load {
-    /// Requests it holds.
+    /// Number of requests it holds.
     pub inflight: Option<f64>,
-    /// Its recent service time without waiting.
+    /// Its recent service time without queueing.
     pub service_ms: Option<f64>,
 }
 
 /// A client request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Which request.
+    /// Id of the request.
     pub id: RequestId,
     /// Index of its class in the settings.
     pub class: usize,
     /// Index of its plan in the settings.
     pub plan: usize,
-    /// Whose it is.
+    /// The customer that it belongs to.
     pub customer: CustomerId,
-    /// Time until the client gives this try up.
+    /// Time until the client gives up.
     pub budget_ms: Millis,
-    /// Its size in units, told or guessed.
+    /// Its size in units, declared or estimated.
     pub units: f64,
-    /// How many limiters get this customer's requests...
+    /// Number of limiters in the customer's set, those that receive its requests...
     pub spread: u32,
-    /// ...counted round from this position.
+    /// ...counted from this position.
     pub first: u32,
 }
 
-/// Something that happened.
+/// An event that a limiter handles.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The server list: all of it, or the changed lines.
+    /// The server list, or changes to it.
     Servers {
         /// True for the whole list, false for changes to it.
         whole: bool,
-        /// The lines.
+        /// The entries.
         entries: Arc<[ServerEntry]>,
     },
-    /// A subscription to the server list, or a look at it, failed.
+    /// A subscription to the server list, or fetching it, failed.
     ListFailed,
     /// A request arrived.
     Request(Request),
-    /// An answer has begun to stream; no deadline applies any more.
+    /// An answer has begun to stream; deadlines no longer apply.
     Streaming {
-        /// Which request.
+        /// Id of the request.
         id: RequestId,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Which request.
+        /// Id of the request.
         id: RequestId,
-        /// Which of its attempts, from 0.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
         /// How long it took.
         took_ms: Millis,
-        /// Nothing more is owed for the request.
+        /// The request needs no further answer.
         settled: bool,
-        /// True units, with the first good answer of a guessed request.
+        /// Actual units, with the first good answer to a request whose units were estimated.
         units: Option<f64>,
-        /// Load report that came along.
+        /// Load report received with the answer.
         load: Load,
     },
-    /// The client has left; nothing is owed.
+    /// The client disconnected; the request needs no answer.
     ClientDisconnected {
-        /// Which request.
+        /// Id of the request.
         id: RequestId,
     },
-    /// A wake-up asked for.
+    /// A requested wake-up.
     Wake {
-        /// As given.
+        /// The token of the request for it.
         token: u64,
     },
-    /// A probe came back.
+    /// A probe ended.
     Probed {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Load report that came along.
+        /// Load report received with it.
         load: Load,
     },
-    /// A peer has told something.
+    /// A message from a peer.
     MessageReceived {
-        /// The sender's position.
+        /// Position of the sender.
         from: u32,
-        /// What it told.
+        /// The message.
         body: Vec<u8>,
     },
     /// A counter call ended.
     Counted {
-        /// Name of the count.
+        /// Name of the counter.
         name: u64,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Its value; means something with `Ok` only.
+        /// Its value; only valid with [`Outcome::Ok`].
         total: f64,
     },
 }
 
-/// Something to do.
+/// An action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a request to a server: its next attempt.
+    /// Send the next attempt of a request to a server.
     Send {
-        /// Which request.
+        /// Id of the request.
         id: RequestId,
-        /// Where to.
+        /// The server.
         server: ServerId,
-        /// Give the attempt up after this long; 0 for as long as the client waits.
+        /// Time-out of the attempt; 0 for as long as the client waits.
         cap_ms: Millis,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
-        /// Which request.
+        /// Id of the request.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: not served, trying again is harmless.
+    /// Final answer: not served; a retry is harmless.
     Refuse {
-        /// Which request.
+        /// Id of the request.
         id: RequestId,
-        /// Advice to the client; 0 for none.
+        /// Time after which the client may retry; 0 for no advice.
         retry_ms: Millis,
     },
     /// Final answer: an error that promises nothing.
     Fail {
-        /// Which request.
+        /// Id of the request.
         id: RequestId,
     },
-    /// Ask for a wake-up.
+    /// Schedule a wake-up.
     Wake {
-        /// How long from now.
+        /// Time from now.
         after_ms: Millis,
-        /// Comes back with it.
+        /// Returned with the wake-up.
         token: u64,
     },
     /// Probe a server.
     Probe {
-        /// Which.
+        /// The server.
         server: ServerId,
     },
     /// Close idle connections to a server.
     CloseIdle {
-        /// Which.
+        /// The server.
         server: ServerId,
     },
-    /// Tell peers something, 256 bytes at most.
+    /// Send a message of at most 256 bytes to peers.
     SendMessage {
-        /// A position, or none for all peers.
+        /// Position of a peer; none for all peers.
         to: Option<u32>,
-        /// What.
+        /// The message.
         body: Vec<u8>,
     },
-    /// Add to a shared count and get its total.
+    /// Add to a shared counter and get its total.
     Count {
-        /// Name of the count.
+        /// Name of the counter.
         name: u64,
-        /// Amount.
+        /// Amount to add.
         add: f64,
-        /// Life of a new name.
+        /// Lifetime of a new counter.
         life_ms: Millis,
     },
-    /// OpenRequest or close a standing subscription to the server list.
+    /// Open or close a subscription to the server list.
     Subscribe(bool),
-    /// Ask for the whole server list once.
+    /// Fetch the whole server list once.
     FetchList,
-    /// One line for the staff.
+    /// A log line.
     Log(String),
 }
--- a/src/limiter_state.rs
+++ b/src/limiter_state.rs
@@ -1,120 +1,120 @@
-//! What a limiter knows, as plain data that another one can take over. Moments are told as times from the moment of
-//! telling, so that the two clocks need not agree. It decides nothing: what a reader believes of it is decided in
-//! `marldeal-snapshot`, what it means in `policy.rs`.
+//! The state of a limiter as plain data that another process can take over. Times are relative to the export,
+//! so that the two clocks need not agree. What a reader accepts of it is decided in `marldeal-snapshot`, what
+//! it means in `policy.rs`.
 
 use serde::{Deserialize, Serialize};
 
 use crate::interface::*;
 use crate::state::*;
 
-/// Most records of customers, and of keepers' accounts, that are told; what others owe is told in the sketches.
+/// Maximum number of exported customer records, and of accounts; of the others only the deficits are exported.
 const MAX_RECORDS: usize = 20_000;
 
-/// A value that fades: what it is now, and its span.
+/// A decaying sum: its current value and its span.
 type DecayedSum = (f64, Millis);
-/// A store: its level, and how long ago that was.
+/// A token bucket: its level, and the age of that level.
 type Level = (f64, Millis);
-/// A sketch of debts: its seed, and how much longer each cell owes.
+/// A deficit sketch: its seed, and the remaining time of each cell.
 type Sketch = (u64, Vec<(u32, Millis)>);
 
-/// All of it.
+/// Exported state of a limiter. Fields are encoded by position.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimiterState {
-    /// How long ago the limiter started, and its start as peers know it.
+    /// Time since the limiter's start, and its incarnation.
     pub started: (Millis, u32),
-    /// Servers, with their ids.
+    /// Servers by id.
     pub servers: Vec<(String, ServerState)>,
-    /// What a member remembers of customers.
+    /// Records of customers as a member.
     pub customers: Vec<(CustomerId, CustomerState)>,
-    /// What a keeper holds for customers.
+    /// Accounts of customers as a quota owner.
     pub accounts: Vec<(CustomerId, AccountState)>,
-    /// Words that a keeper gave: position and start of the member, its request, customer, units, and whether it was
-    /// granted, counts as out, and is done.
+    /// Grants given as a quota owner: position and incarnation of the member, its request, customer, units, and
+    /// whether it was granted, counts as open, and is done.
     pub grants: Vec<(u32, u32, RequestId, CustomerId, f64, [bool; 3])>,
-    /// Units granted under ceilings: how long ago, whose, how many.
+    /// Units leased under ceilings: age, customer, units.
     pub leased: Vec<(Millis, CustomerId, f64)>,
-    /// Grants that count as out: how long ago, and whose.
+    /// Open grants: age and key.
     pub open_grants: Vec<(Millis, (u32, u32, RequestId))>,
-    /// What forgotten customers owe: even parts, stores, ceilings.
+    /// Deficits of evicted customers: equal shares, stores, ceilings.
     pub deficits: [Sketch; 3],
-    /// Limits, rates and the rest of the feedback.
+    /// State of the feedback.
     pub feedback: FeedbackState,
 }
 
-/// What is known of a server.
+/// State of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ServerState {
-    /// Smoothed latency and share of errors.
+    /// Smoothed latency in milliseconds.
     pub latency: Millis,
-    /// Smoothed share of errors.
+    /// Smoothed error rate.
     pub errors: f64,
-    /// Silent attempts in a row.
+    /// Consecutive silent attempts.
     pub silences: u32,
-    /// Set aside for so much longer, and for how long at a time.
+    /// Remaining ejection, and length of the last ejection.
     pub ejected: (Millis, Millis),
-    /// Passed over as full for so much longer.
+    /// Remaining time for which the server counts as full.
     pub full: Millis,
-    /// It last answered so long ago.
+    /// Time since its last answer.
     pub since_answer: Millis,
-    /// It counts as cold since so long ago, and what its part holds.
+    /// Time since it counts as cold, and its cold-start bucket.
     pub cold: Option<(Millis, Level)>,
-    /// Answers of late.
+    /// Recent answers.
     pub answers: DecayedSum,
 }
 
 /// A member's record of a customer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CustomerState {
-    /// Its even part.
+    /// The equal share.
     pub equal_share: Level,
-    /// Units in the keeper's store, as told last.
+    /// Units in the quota owner's store by the last reply.
     pub store_left: f64,
-    /// Demand as a multiple of the quota, and how long ago a keeper told it.
+    /// Demand as a multiple of the quota by the last reply, and the age of that reply.
     pub demand: (f32, Millis),
     /// Units refused by chance since the last ask.
     pub unreported: f32,
-    /// Limiters of its set.
+    /// Number of limiters in its set.
     pub spread: u16,
-    /// Its plan.
+    /// Index of its plan.
     pub plan: u8,
     /// Seen more than once.
     pub seen_before: bool,
 }
 
-/// A keeper's account of a customer.
+/// A quota owner's account of a customer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AccountState {
-    /// How long ago the levels were so.
+    /// Age of the levels.
     pub ago: Millis,
-    /// Units in the store and in the ceiling's part, units lent under it.
+    /// Units in the store, in the owner's part of the ceiling, and leased under it.
     pub levels: [f64; 3],
-    /// Units asked for and units granted, of late.
+    /// Decayed sums of units asked for and units granted.
     pub rates: [f64; 2],
-    /// Requests granted and not done.
+    /// Requests that are granted and not done.
     pub open: u32,
-    /// Its plan.
+    /// Index of its plan.
     pub plan: u8,
-    /// The keeper's rank.
+    /// Rank of the quota owner.
     pub rank: u8,
 }
 
-/// The feedback's state.
+/// State of the feedback.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FeedbackState {
     /// Slot limit and numBigQueries.
     pub limit: [f64; 2],
-    /// Means of own latency, all latency and refusals as full: sum and count.
+    /// Means of own latency, overall latency and refusals as full: sum and count.
     pub means: [(DecayedSum, DecayedSum); 3],
-    /// Good answers, their aims, hold rate, admit rate, ghosts, attempts wanted.
+    /// Good answers, their target latencies, hold rate, admit rate, cancelled slots, attempts due.
     pub rates: [DecayedSum; 6],
-    /// Usual latency, pace, fleet, usual wait for a reply, retries saved up.
+    /// Typical latency, attempts per server, recent servers, reply wait, retry budget.
     pub figures: [f64; 5],
     /// Units of recent requests.
     pub units: Vec<f64>,
 }
 
 impl LimiterState {
-    /// Whether it can belong to these settings; what it can not is named.
+    /// Checks that the state can belong to these settings.
     ///
     /// # Errors
     /// The first value that does not fit.
@@ -163,7 +163,7 @@
 }
 
 impl Limiter {
-    /// All that it knows at `now`. Customers beyond a bound are told by what they owe alone.
+    /// The state at `now`. Of customers beyond a bound only the deficits are exported.
     pub fn export_state(&self, now: Millis) -> LimiterState {
         let ago = |at: Millis| now - at;
         let mut deficits = [&self.deficits.equal_shares, &self.deficits.stores, &self.deficits.ceilings]
@@ -223,8 +223,9 @@
         }
     }
 
-    /// Takes another limiter's knowledge over, as of `now`, in place of its own; the roster stays its own. `same`: that
-    /// one has stopped, and this one goes on in its place, also to its peers. Otherwise accounts start as at any start.
+    /// Replaces this limiter's state by an exported one as of `now`; the server list stays its own. With
+    /// `same_limiter` the exporter has stopped and this process continues in its place, also towards its peers.
+    /// Otherwise accounts start as at any start.
     pub fn import_state(&mut self, now: Millis, state: &LimiterState, same_limiter: bool) {
         let at = |ago: Millis| now - ago;
         if same_limiter {
@@ -260,7 +261,7 @@
             self.deficits.ceilings.restore(now, ceilings);
         }
         for (id, c) in &state.customers {
-            // Whoever told it may go on spending its part of a ceiling.
+            // The exporter may still spend its share of a ceiling.
             let has_ceiling = self.settings.plans[usize::from(c.plan)].ceiling_rate > 0.0;
             let equal_share = if same_limiter || !has_ceiling {
                 (c.equal_share.0, at(c.equal_share.1))
@@ -285,7 +286,7 @@
             (s.ejected_until, s.ejection_ms) = (now + h.ejected.0, h.ejected.1);
             (s.full_until, s.last_answer) = (now + h.full, at(h.since_answer));
             s.answers = decaying_sum(h.answers, now);
-            // The roster may tell of a later start; that one's part then holds nothing yet.
+            // The server list may report a later start, whose bucket is still empty.
             if let (Some((ago, (level, level_ago))), Some(from)) = (h.cold, s.cold_since) {
                 if at(ago) + 1.0 >= from {
                     s.cold_bucket = TokenBucket { level, at: at(level_ago) };
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,80 +1,79 @@
-//! How a message between limiters is written. What is told, and what is made of it, is decided in
-//! `policy.rs`.
+//! Encoding of the messages between limiters. What is sent, and how it is handled, is decided in `policy.rs`.
 
 use crate::interface::{CustomerId, RequestId};
 
-/// First byte of each message: another format is not read.
+/// First byte of each message; other formats are rejected.
 const MESSAGE_FORMAT: u8 = 0xfc;
-/// Bytes of a message's head: mark, checksum, start of the sender, latency share.
+/// Bytes of the header: format, checksum, incarnation of the sender, latency share.
 const HEADER_BYTES: usize = 8;
-/// Most bytes of a message.
+/// Maximum size of a message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// Latency share that says that there is none.
+/// Latency share that stands for none.
 const NO_LATENCY_SHARE: u8 = 255;
 
-/// A member asks a customer's keeper for the units of one request.
+/// A member asks a customer's quota owner for the units of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ask {
-    /// Which request of the member.
+    /// Id of the member's request.
     pub id: RequestId,
-    /// Whose it is.
+    /// The customer.
     pub customer: CustomerId,
     /// Index of the plan in the settings.
     pub plan: u8,
-    /// The customer's set: first position.
+    /// First position of the customer's set.
     pub first: u16,
-    /// And number of limiters.
+    /// Number of limiters in the set.
     pub spread: u16,
     /// Units asked for.
     pub units: f32,
     /// Units of demand that the member refused by chance since its last ask.
     pub unreported: f32,
-    /// The member has spent the units from a part of its own: they are told, not asked for.
+    /// The member has spent the units from its own share: they are reported, not asked for.
     pub already_spent: bool,
 }
 
-/// A keeper's answer.
+/// A quota owner's reply.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Reply {
-    /// Which request of the member.
+    /// Id of the member's request.
     pub id: RequestId,
-    /// Whose it is.
+    /// The customer.
     pub customer: CustomerId,
-    /// The member's start, as its ask gave it.
+    /// The member's incarnation, as in its ask.
     pub incarnation: u32,
     /// The units may be spent.
     pub granted: bool,
-    /// Asked for ahead, they count as lent for as long as a member holds units ahead; a keeper that does not know of such
-    /// asks counts them for the time of a request.
+    /// Prefetched units count as leased for their whole lifetime. An owner without prefetch support counts them
+    /// for the lifetime of a request's grant.
     pub long_lease: bool,
     /// The customer's demand at all limiters as a multiple of its quota.
     pub demand: f32,
-    /// Units left in the keeper's store.
+    /// Units left in the owner's store.
     pub store_left: f32,
 }
 
-/// A member is done with a request that was granted.
+/// A member reports the end of a granted request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Done {
-    /// Which request of the member.
+    /// Id of the member's request.
     pub id: RequestId,
-    /// Units that it really used: none if it was never sent on.
+    /// Units actually used; 0 if it was never sent to a server.
     pub used: f32,
 }
 
 /// One line of a message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Line {
-    /// To a keeper.
+    /// To a quota owner.
     Ask(Ask),
-    /// From a keeper.
+    /// From a quota owner.
     Reply(Reply),
-    /// To a keeper.
+    /// To a quota owner.
     Done(Done),
 }
 
 impl Line {
-    /// Adds the line to a message's body.
+    /// Appends the line to a message.
     fn write(&self, body: &mut Vec<u8>) {
         match self {
             Line::Ask(a) => {
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Reads one line off the front of `rest`; amounts that are negative or endless are not read.
+    /// Reads one line from the front of `rest`; negative or infinite amounts are rejected.
     fn read(rest: &mut &[u8]) -> Option<Line> {
         let line = match read_bytes::<1>(rest)?[0] {
             kind @ (1 | 5) => Line::Ask(Ask {
@@ -137,7 +136,7 @@
         Some(line)
     }
 
-    /// Bytes that it takes.
+    /// Encoded size in bytes.
     pub fn size(&self) -> usize {
         match self {
             Line::Ask(_) => 26,
@@ -157,12 +156,13 @@
     Some(f32::from_be_bytes(read_bytes(rest)?)).filter(|x| x.is_finite() && *x >= 0.0)
 }
 
-/// Whether a line more fits beside `lines`.
+/// Whether another line fits into the message.
 pub fn fits_in_message(lines: &[Line], added: &Line) -> bool {
     HEADER_BYTES + lines.iter().map(Line::size).sum::<usize>() + added.size() <= MAX_MESSAGE_BYTES
 }
 
-/// A message: mark, checksum, start of the sender, its latency as a share of the aim, then the lines.
+/// Encodes a message: format, checksum, incarnation of the sender, its latency as a fraction of the target,
+/// lines.
 pub fn encode_message(incarnation: u32, latency_share: Option<f64>, lines: &[Line]) -> Vec<u8> {
     let mut body = vec![MESSAGE_FORMAT, 0, 0];
     body.extend_from_slice(&incarnation.to_be_bytes());
@@ -179,10 +179,10 @@
     body
 }
 
-/// Start of the sender, its latency share, the lines.
+/// Incarnation of the sender, its latency share, lines.
 pub type Decoded = (u32, Option<f64>, Vec<Line>);
 
-/// Reads a message; nothing if it is not one of ours in full.
+/// Decodes a message; none if it is not a complete message of this format.
 pub fn decode_message(body: &[u8]) -> Option<Decoded> {
     if body.len() < HEADER_BYTES || body[0] != MESSAGE_FORMAT || body[1..3] != checksum(body).to_be_bytes() {
         return None;
@@ -199,18 +199,18 @@
     Some((incarnation, latency_share, lines))
 }
 
-/// A line of a message as observers see it: whose request it is about is the asker's number.
+/// Kind of a line, as observers see it, with the id of the asking member's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineKind {
-    /// A member asks, or tells what it has spent.
+    /// A member asks, or reports what it has spent.
     Ask(RequestId),
-    /// A keeper answers.
+    /// A quota owner replies.
     Reply(RequestId),
-    /// A member is done.
+    /// A member reports the end of a request.
     Done(RequestId),
 }
 
-/// What a datagram between limiters says; nothing if it is not one of ours in full.
+/// The kinds of the lines in a datagram; none if it is not a complete message.
 pub fn line_kinds(body: &[u8]) -> Option<Vec<LineKind>> {
     let (_, _, lines) = decode_message(body)?;
     let kind = |line: &Line| match line {
@@ -221,7 +221,7 @@
     Some(lines.iter().map(kind).collect())
 }
 
-/// Sum over all bytes but the checksum's own, each times its place.
+/// Sum of all bytes but the checksum itself, each weighted by its position.
 fn checksum(body: &[u8]) -> u16 {
     let counted = body.iter().zip(1u32..).filter(|(_, i)| *i != 2 && *i != 3);
     let sum = counted.map(|(b, i)| u32::from(*b) * (2 * i + 1)).fold(0, u32::wrapping_add);
--- a/src/planted.rs
+++ b/src/planted.rs
@@ -1,32 +1,33 @@
-//! Faults planted on purpose, for rehearsals that must find them. Without the feature `planted` there are none, and asking
-//! costs nothing.
+//! Planted faults for rehearsals, which must find them. Without the feature `planted` there are none, and the
+//! checks compile to nothing.
 
-/// A rule broken on purpose.
+/// A rule that is broken on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Fault {
-    /// Now and then no final answer is given (engine).
+    /// Some requests get no final answer (engine).
     Answer = 1,
-    /// A keyed request is sent again after its window, an unsafe one after it may have run (module).
+    /// A keyed request is retried after its window, an unsafe one after it may have run (this crate).
     Effect = 2,
-    /// The notice of a drain is not heeded (module and engine).
+    /// Draining is ignored (this crate and the engine).
     Drain = 3,
-    /// A cold server is taken for a warm one (module).
+    /// A cold server counts as warm (this crate).
     Cold = 4,
-    /// A keeper grants whatever is asked for under a ceiling (module).
+    /// A quota owner grants every ask under a ceiling (this crate).
     Ceiling = 5,
-    /// A limiter that was stopped past a deadline sends the request on when it goes on (engine).
+    /// A limiter that was stopped past a deadline sends the request when it resumes (engine).
     Thaw = 6,
-    /// A limiter that hears a peer again after a silence hears what came before it once more (engine).
+    /// A limiter that receives from a peer after a silence handles that peer's earlier messages once more
+    /// (engine).
     Echo = 7,
-    /// A limiter looks at every server for each request (module).
+    /// A limiter checks every server for each request (this crate).
     Sweep = 8,
-    /// A limiter tells every peer of each change of the roster (engine).
+    /// A limiter notifies every peer of each change of the server list (engine).
     Shout = 9,
 }
 
 impl Fault {
-    /// By its name in small letters.
+    /// The fault with this name, in any case.
     pub fn from_name(name: &str) -> Option<Fault> {
         let all = [
             Fault::Answer,
@@ -49,39 +50,39 @@
 #[cfg(feature = "planted")]
 static LOOKS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
-/// Counts a look at a server; gives its place back.
+/// Counts the check of a server and returns its index.
 #[cfg(feature = "planted")]
 pub fn count_check(at: usize) -> usize {
     LOOKS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     at
 }
 
-/// Looks at servers of all limiters of this process so far.
+/// Number of server checks by all limiters of this process.
 #[cfg(feature = "planted")]
 pub fn checks_counted() -> u64 {
     LOOKS.load(std::sync::atomic::Ordering::Relaxed)
 }
 
-/// Counts nothing.
+/// Returns the index and counts nothing.
 #[cfg(not(feature = "planted"))]
 #[inline(always)]
 pub const fn count_check(at: usize) -> usize {
     at
 }
 
-/// Plants one fault in all limiters of this process, or none.
+/// Activates one fault in all limiters of this process, or none.
 #[cfg(feature = "planted")]
 pub fn activate(fault: Option<Fault>) {
     CHOSEN.store(fault.map_or(0, |f| f as u8), std::sync::atomic::Ordering::SeqCst);
 }
 
-/// Whether a fault is planted.
+/// Whether a fault is active.
 #[cfg(feature = "planted")]
 pub fn is_active(fault: Fault) -> bool {
     CHOSEN.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
-/// Whether a fault is planted: none is.
+/// Always false: no fault can be active.
 #[cfg(not(feature = "planted"))]
 #[inline(always)]
 pub const fn is_active(_: Fault) -> bool {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,6 +1,7 @@
-//! All decisions of one limiter. The types it speaks are in `src/interface.rs`.
+//! Decisions of one limiter; `src/interface.rs` holds the types of its events and actions.
 //!
-//! The ordinary path is CASA's (`docs/design.md`): a quota gate, then cost-scaled slots under a moving limit.
+//! The admission path follows CASA (`docs/design.md`): a quota check, then cost-scaled slots under an adaptive
+//! limit.
 
 use marldeal_firms::Evictability;
 use marldeal_permit::may_retry;
@@ -17,93 +18,105 @@
 use crate::validation::validate;
 
 // Feedback (CASA).
-/// Slot limit at the start: generous; it binds once the error turns positive.
+/// Initial slot limit: generous, it takes effect once the error turns positive.
 const INITIAL_SLOT_LIMIT: f64 = 4096.0;
-/// Slots a server that the limits of all limiters together keep at least: a lower limit starves itself.
+/// Minimum slots per server over the limits of all limiters together. Under a lower limit too few requests
+/// finish to raise it again.
 const MIN_SLOTS_PER_SERVER: f64 = 6.0;
-/// Share of the aim that smoothed latency may reach; above it the error is positive. Low, since latency tells
-/// of a queue only once the queue is served: at half the aim a flood had filled the servers by then.
+/// Fraction of the target latency that the smoothed latency may reach; above it the error is positive. The
+/// value is low since latency shows a queue only after the queue was served: at half the target latency a flood
+/// had already filled the servers.
 const TARGET_FRACTION: f64 = 0.25;
-/// Milliseconds between two steps of the feedback, and in which numBigQueries moves by error times damping.
+/// Interval between two steps of the feedback, and the time in which numBigQueries moves by error times
+/// damping.
 const STEP_MS: Millis = 100.0;
 const DAMPING_MS: Millis = 1000.0;
-/// Most that alpha may be: with more, one costly request fills a bound limit and the back end idles.
+/// Upper bound of alpha. With a larger one a single costly request fills a low limit and the back end idles.
 const MAX_ALPHA: f64 = 2.0;
-/// Latency, hold and admit rates are smoothed over so many samples, within these milliseconds.
+/// Number of samples over which latency, hold rate and admit rate are smoothed, and the bounds of that time.
 const SMOOTHING_SAMPLES: f64 = 20.0;
 const SMOOTHING_MS: (Millis, Millis) = (1000.0, 10_000.0);
-/// Growth of the limit in one step with a negative error, while over half is used: unused, it tells nothing.
+/// Growth of the limit per step while the error is negative and more than half of the limit is in use. An
+/// unused limit says nothing about capacity.
 const LIMIT_GROWTH: f64 = 0.03;
-/// Recent requests whose units set the class bounds; share of the aim that a request may be held.
+/// Number of recent requests whose units set the class bounds, and the fraction of the target latency for which
+/// a request may be held.
 const MAX_RECENT_UNITS: usize = 256;
 const MAX_HOLD_FRACTION: f64 = 0.25;
 
-// Quotas: members and keepers.
-/// Longest wait for ceilings to fill at a start; a peer that started so much earlier serves already.
+// Quotas: members (the limiters that receive a customer's requests) and quota owners.
+/// Longest wait for ceilings to fill at startup, and the age difference from which a peer counts as already
+/// serving.
 const MAX_STARTUP_WAIT_MS: Millis = 5000.0;
 const OLDER_PEER_MS: Millis = 2000.0;
-/// Share of the quota's store that must be left, as far as a member knows, for it to spend without asking.
+/// Fraction of the quota's store that must be left, as far as a member knows, before it spends without asking.
 const MIN_STORE_FRACTION: f64 = 0.5;
-/// A member lets this many times the quota pass to the keeper, whose store decides exactly.
+/// Multiple of the quota that a member forwards to the quota owner, whose store decides exactly.
 const ASK_DEMAND_MULTIPLE: f64 = 1.5;
-/// Asks to one keeper before the next is asked; misses in a row at which it counts as silent, and for how
-/// many milliseconds.
+/// Asks to one quota owner before the next one is asked; consecutive missed replies after which an owner counts
+/// as silent, and for how long.
 const ASKS_PER_OWNER: u32 = 2;
 const MAX_MISSED_REPLIES: u32 = 3;
 const SILENT_OWNER_MS: Millis = 1000.0;
-/// A reply is late after this many usual waits; the usual wait at the start and the least it is taken
-/// for, in milliseconds, since some words queue; weight of the newest.
+/// A reply is late after this multiple of the smoothed reply wait. The wait has an initial value and a minimum,
+/// since some replies queue; the weight is that of the newest sample.
 const LATE_REPLY_MULTIPLE: f64 = 2.5;
 const REPLY_WAIT_MS: (Millis, Millis) = (40.0, 20.0);
 const REPLY_WAIT_WEIGHT: f64 = 0.1;
-/// Share of the aim in which keepers are asked; then the even part decides.
+/// Fraction of the target latency in which quota owners are asked; after it the equal share decides.
 const ASK_TIME_FRACTION: f64 = 0.4;
-/// Share of the receivers' message allowance that this limiter asks with, and seconds of it sent in one go:
-/// as much comes back in words, and as much is asked of it.
+/// Fraction of the receivers' message rate that this limiter uses to ask, and the seconds of it sent in one
+/// burst. As much again returns in replies, and peers ask this limiter as much.
 const SEND_PART: (f64, f64) = (0.4, 0.2);
-/// Seconds of the allowance that may wait to be sent, and of it what lines of customers not seen before may.
+/// Seconds of the message rate that may wait in the outbox, and the lower bound for lines of customers not seen
+/// before.
 const SEND_WAIT_S: (f64, f64) = (1.0, 0.1);
-/// Asks heard after a pause of so many milliseconds are old.
+/// Length of a pause after which received asks count as outdated.
 const STALL_MS: Millis = 500.0;
-/// Held requests that may be over already, at which they are gone through.
+/// Number of possibly finished requests in the hold queue that triggers its clean-up.
 const HELD_CLEANUP_SLACK: usize = 64;
 
-// Servers, attempts.
-/// Weight of the newest latency or error in a server's smoothed figures, and of the newest latency in the
-/// usual one of all servers.
+// Servers and attempts.
+/// Weight of the newest sample in a server's smoothed latency and errors, and in the typical latency of all
+/// servers.
 const NEWEST_WEIGHT: f64 = 0.2;
 const NEWEST_TYPICAL_WEIGHT: f64 = 0.05;
-/// Smoothed share of errors, and silent attempts in a row, at which a server is set aside; an attempt is
-/// silent at the earliest after so many times the server's usual latency.
+/// Smoothed error rate and number of consecutive silent attempts at which a server is ejected. An attempt
+/// counts as silent after this multiple of the server's typical latency at the earliest.
 const EJECT_ERROR_FRACTION: f64 = 0.4;
 const EJECT_SILENCES: u32 = 3;
 const SILENCE_LATENCY_MULTIPLE: f64 = 6.0;
-/// First and longest time that a server is set aside, in milliseconds; it doubles in between.
+/// First and longest ejection; the time doubles in between.
 const EJECTION_MS: (Millis, Millis) = (1000.0, 8000.0);
-/// Milliseconds that a full server is passed over; share of the aim after which silence is acted on.
+/// Time for which a full server gets no requests, and the fraction of the target latency after which silence is
+/// acted on.
 const FULL_SERVER_PAUSE_MS: Millis = 100.0;
 const SILENCE_CHECK_FRACTION: f64 = 0.4;
-/// Retries that each first attempt pays for, and most that can be saved up.
+/// Retries that each first attempt adds to the retry budget, and the maximum of the budget.
 const RETRY_BUDGET: (f64, f64) = (0.2, 20.0);
-/// Least size of a server that counts; factor on its expected time in another zone, a mild preference;
-/// milliseconds for the pace of sends, the guide for cold servers, and for the number of servers sent to.
+/// Minimum weight of a server; factor on the expected time in another zone, a mild preference; time over which
+/// the attempt rate (the guide for cold servers) and the number of recent servers are taken.
 const MIN_WEIGHT: f64 = 0.1;
 const CROSS_ZONE_FACTOR: f64 = 1.05;
 const ATTEMPT_RATE_MS: Millis = 5000.0;
 const FLEET_MEMORY_MS: Millis = 15_000.0;
-/// Limiters whose own a server is, and servers that are a limiter's own at least: among fewer it learns
-/// sooner which are slow, and what it has out there holds it back.
+/// Number of limiters that share each server as one of their own, and the minimum number of a limiter's own
+/// servers. Among few servers a limiter learns sooner which are slow, and its outstanding requests count
+/// against them.
 const LIMITERS_PER_SERVER: f64 = 8.0;
 const MIN_OWN_SERVERS: f64 = 2.0;
-/// Factor on the time of one set aside or just tried, the last choice.
+/// Factor on the expected time of an ejected or just tried server, the last choice.
 const LAST_CHOICE_FACTOR: f64 = 1e6;
-/// Lists that tell a new process how things have stood for long.
+/// Number of server lists that describe the state before this process started.
 const INITIAL_LISTS: u32 = 2;
-/// Answers of a server within the pace time at which its own latency weighs as much as the usual one.
+/// Recent answers of a server at which its own latency weighs as much as the typical one.
 const TRUSTED_ANSWERS: f64 = 3.0;
 
 impl Limiter {
-    /// A limiter that has just started. Settings that cannot be served are an error that names the value.
+    /// Creates a limiter.
+    ///
+    /// # Errors
+    /// The first setting that is out of range.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, String> {
         validate(&settings)?;
         let capacities = capacities(&settings);
@@ -116,8 +129,8 @@
         })
     }
 
-    /// Whether clients may come: the ceilings kept here, which start as if spent, have filled, or others
-    /// serve already and are short of this limiter.
+    /// Whether clients may be accepted: the ceilings owned here, which start empty, have filled, or peers
+    /// already serve and only lack this limiter.
     pub fn is_ready(&self, now: Millis) -> bool {
         let fill_ms = |p: &Plan| 1000.0 * (p.ceiling_burst + p.ceiling_slack) / p.ceiling_rate;
         let has_ceiling = self.settings.plans.iter().filter(|p| p.ceiling_rate > 0.0);
@@ -126,12 +139,12 @@
         self.older_peer_seen || !self.settings.may_tell || now - self.ceilings_from() >= longest
     }
 
-    /// Servers of the list that get nothing now if it can be helped: set aside, or silent.
+    /// Number of listed servers that are ejected or silent and get requests only as a last choice.
     pub fn avoided_servers(&self, now: Millis) -> usize {
         self.servers.values().filter(|s| now < s.ejected_until || s.is_silent()).count()
     }
 
-    /// Takes one event in and adds what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.now - self.last_step > STALL_MS {
@@ -164,7 +177,7 @@
         }
     }
 
-    // ---- Requests and their answers ----
+    // ---- Requests and answers ----
 
     fn on_request(&mut self, mut request: Request, out: &mut Vec<Action>) {
         if self.requests.contains_key(&request.id)
@@ -183,7 +196,8 @@
             return;
         }
         let target_ms = self.settings.classes[request.class].aim_ms;
-        // Two rounds early: a wake-up comes up to one round late, and the answer takes its way too.
+        // Two rounds early: a wake-up comes up to one round late, and the answer needs time to reach the
+        // client.
         let deadline = (request.budget_ms - 2.0 * self.settings.round_ms).max(0.0);
         out.push(Action::Wake { after_ms: deadline, token: wake_token(request.id, WAKE_DEADLINE) });
         if target_ms < deadline {
@@ -197,7 +211,7 @@
         go(self, id, out);
     }
 
-    /// Sends a request on if its slots fit and a server may have it; holds it otherwise.
+    /// Sends a request if its slots fit and a server accepts it, and holds it otherwise.
     fn dispatch(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.attempt_demand.add(self.now, 1.0);
         if !self.try_send(id, out) {
@@ -248,8 +262,8 @@
         out.push(Action::Wake { after_ms: check_ms, token: wake_token(id, WAKE_SILENCE_CHECK) });
     }
 
-    /// A long body is on its way, at the pace of whoever reads or writes it: its server has done its work, or
-    /// begins later, so that it takes no room from the others, and no deadline calls it off.
+    /// Handles the start of a long body, which runs at the speed of the client or the server. Its server has
+    /// finished its work, or starts later, so the attempt no longer occupies slots and no deadline cancels it.
     fn on_streaming(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.streaming = true;
@@ -257,7 +271,7 @@
         self.occupied_slots = (self.occupied_slots - std::mem::take(&mut record.slots)).max(0.0);
     }
 
-    /// Books the end of an attempt: slots, server health, latency, true units.
+    /// Accounts for the end of an attempt: slots, server health, latency, actual units.
     fn on_attempt_ended(&mut self, id: RequestId, n: u32, outcome: Outcome, took: Millis) {
         let Some(attempt) = self.attempts.remove(&(id, n)) else { return };
         self.occupied_slots = (self.occupied_slots - attempt.slots).max(0.0);
@@ -266,10 +280,10 @@
         }
         let target_ms = self.settings.classes[attempt.class].aim_ms;
         let not_executed = matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
-        // One called off because its client left says nothing of its server.
+        // An attempt cancelled because its client disconnected says nothing about the server.
         if !not_executed && (outcome != Outcome::Cancelled || attempt.cancelled) {
-            // One heavy request says no more than that it missed its aim: a mean of clipped values is not
-            // driven by a few. Guards against heavy tails and stuck servers throttling everyone.
+            // Samples are clipped at the target latency, so that a few heavy requests or stuck servers do not
+            // raise the mean and throttle everyone.
             self.own_latency.add(self.now, (took / target_ms).min(1.0));
             self.latency.add(self.now, (took / target_ms).min(1.0));
         }
@@ -292,7 +306,7 @@
         }
     }
 
-    /// Goes on after an attempt ended: another attempt where it is safe and paid for, else an end.
+    /// Continues after an attempt: retries where that is safe and within the budget, or gives the final answer.
     fn after_attempt(&mut self, id: RequestId, outcome: Outcome, settled: bool, out: &mut Vec<Action>) {
         if settled || outcome == Outcome::Ok {
             return drop(self.close(id, out));
@@ -306,7 +320,7 @@
         self.dispatch(id, out);
     }
 
-    /// Whether the rules and the time left allow another attempt.
+    /// Whether the rules and the remaining time allow another attempt.
     fn may_retry_request(&self, request: &OpenRequest) -> bool {
         let class = &self.settings.classes[request.request.class];
         let late = self.now - request.arrived > class.aim_ms && class.late_worth <= 0.0;
@@ -320,7 +334,7 @@
         planted::is_active(Fault::Effect) || may_retry(at, effect_of_retry(class), since).is_ok()
     }
 
-    /// Gives the final answer: a refusal where nothing can have run, else a failure that promises nothing.
+    /// Gives the final answer: a refusal if no attempt can have run, otherwise a failure that promises nothing.
     fn give_final_answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.cancel_request(id, true, out) else { return };
         let safe = self.settings.classes[request.request.class].effect == Effect::Safe;
@@ -331,8 +345,8 @@
         }
     }
 
-    /// Closes a request and calls off what is out for it. Where its client has left, the server is not to
-    /// blame, and what may take effect goes on to its end.
+    /// Closes a request and cancels its outstanding attempt. If the client disconnected, the server is not
+    /// blamed, and an attempt with an effect runs to its end.
     fn cancel_request(&mut self, id: RequestId, late: bool, out: &mut Vec<Action>) -> Option<OpenRequest> {
         let request = self.close(id, out)?;
         let class = &self.settings.classes[request.request.class];
@@ -344,15 +358,15 @@
         Some(request)
     }
 
-    /// When a refused client may come back: once the quota has given as much as it asks for; without a quota
-    /// on the rate, after the time that a request may be held.
+    /// Time after which a refused client may come back: when the quota has refilled the request's units, or
+    /// without a rate quota, after the longest hold time.
     fn retry_after_ms(&self, request: &Request) -> Millis {
         let rate = self.settings.plans[request.plan].rate;
         let hold_ms = self.settings.classes[request.class].aim_ms * MAX_HOLD_FRACTION;
         f64::from(self.settings.may_advise) * if rate > 0.0 { 1000.0 * request.units / rate } else { hold_ms }
     }
 
-    /// Takes a request off the books and tells its keeper what it really used.
+    /// Removes a request and reports its actual units to the quota owner.
     fn close(&mut self, id: RequestId, out: &mut Vec<Action>) -> Option<OpenRequest> {
         let open = self.requests.remove(&id)?;
         self.settle_prefetched(&open);
@@ -361,7 +375,7 @@
         let used = if open.attempts == 0 { 0.0 } else { open.actual_units.unwrap_or(units) };
         let done = Done { id, used: used as f32 };
         if owner == self.settings.position {
-            // Nobody asks about it again: its record goes at once, whatever the pace of requests.
+            // Nobody asks about this grant again, so its record is removed at once, whatever the request rate.
             self.on_done((owner, self.incarnation, id), done.used);
             self.grants.remove(&(owner, self.incarnation, id));
         } else if used != units || self.settings.plans[open.request.plan].open > 0 {
@@ -370,7 +384,7 @@
         Some(open)
     }
 
-    /// Sends held requests on, the oldest first, and ends those whose time runs short.
+    /// Sends held requests, the oldest first, and ends those that were held for too long.
     fn send_held(&mut self, out: &mut Vec<Action>) {
         for _ in 0..self.held.len() {
             let Some(id) = self.held.pop_front() else { return };
@@ -378,7 +392,8 @@
             let hold_ms = self.settings.classes[request.request.class].aim_ms * MAX_HOLD_FRACTION;
             let short = request.attempts == 0 && self.now - request.admitted_at > hold_ms;
             request.held = false;
-            // A repeat that was held may have outlived the time in which servers drop it: asked again here.
+            // A retry that was held may have outlived the time in which servers drop repeats, so the rules are
+            // checked again.
             if short
                 || self.lease_expired(&self.requests[&id])
                 || !self.may_retry_request(&self.requests[&id])
@@ -402,7 +417,8 @@
         let Some(request) = self.requests.get(&id).filter(|r| !r.streaming) else { return };
         match wake & 7 {
             WAKE_DEADLINE if self.now >= request.deadline => self.give_final_answer(id, out),
-            // Nothing is earned after the aim: ending now frees the server and saves the price of a late end.
+            // Nothing is earned after the target latency: ending now frees the server and saves the cost of a
+            // late end.
             WAKE_TARGET if self.settings.classes[request.request.class].late_worth <= 0.0 => {
                 self.give_final_answer(id, out)
             }
@@ -412,9 +428,9 @@
         }
     }
 
-    /// Guards against servers that take work and answer nothing (hang, vanish, cut link): an attempt at a
-    /// server that has shown no life since it was sent is called off and sent elsewhere. It may harm where a
-    /// server is merely idle and the request heavy; the retry budget bounds that.
+    /// Guards against servers that accept work and answer nothing (hung, gone, cut off): an attempt at a server
+    /// without any answer since it was sent is cancelled and sent elsewhere. This may hurt a heavy request at
+    /// an otherwise idle server; the retry budget bounds that.
     fn check_silence(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.outstanding) else { return };
         let attempt = request.attempts - 1;
@@ -432,7 +448,7 @@
         if after_ms > 1.0 {
             return out.push(Action::Wake { after_ms, token: wake_token(id, WAKE_SILENCE_CHECK) });
         }
-        // What a silent server holds takes no room from the others.
+        // A silent server's attempt no longer occupies slots.
         self.occupied_slots = (self.occupied_slots - std::mem::take(&mut record.slots)).max(0.0);
         let may_repeat = class.effect != Effect::Unsafe && request.attempts < self.settings.max_attempts;
         if may_repeat && self.settings.may_cancel && self.retry_budget >= 1.0 {
@@ -459,20 +475,21 @@
         (self.slot_limit / self.num_big_queries - 1.0) * lower / self.class_bounds[3].max(1e-9) + 1.0
     }
 
-    /// Slots out, with those called off a moment ago: a cancel need not stop the work.
+    /// Slots in use, including those of recently cancelled attempts: a cancel need not stop the work.
     fn busy_slots(&self) -> f64 {
         self.occupied_slots + self.cancelled_slots.value(self.now)
     }
 
-    /// One step of the feedback. The limit moves first and numBigQueries in proportion, so that alpha
-    /// moves by the damped feedback alone.
+    /// One step of the feedback. The limit moves first and numBigQueries in proportion, so that only the damped
+    /// feedback moves alpha.
     fn update_limit(&mut self) {
-        // Smoothed latency over the target, minus one, plus the share refused as full.
+        // Error: smoothed latency over the target fraction, minus one, plus the fraction refused as full.
         let full = self.refused_full.value(self.now).unwrap_or(0.0);
         let error = self.latency.value(self.now).map_or(-1.0, |l| l / TARGET_FRACTION - 1.0) + full;
         let (held, admitted) = (self.hold_rate.rate(self.now), self.admit_rate.rate(self.now));
         let before = self.slot_limit;
-        // Little's law: what the back end finishes in the target time; more than that out only waits there.
+        // Little's law: what the back end finishes within the target time. Anything beyond that only queues
+        // there.
         let target_s = TARGET_FRACTION * self.completed_targets.value(self.now)
             / self.completed.value(self.now).max(1.0)
             / 1000.0;
@@ -492,10 +509,11 @@
     fn step(&mut self, out: &mut Vec<Action>) {
         self.last_step = self.now;
         self.update_spans();
-        // Over all that served of late: the first of a fleet to come back is not all there is.
+        // Counts all recently serving servers: after an outage the first server to return is not the whole
+        // fleet.
         let serving = self.servers.values().filter(|s| s.entry.condition == Condition::Serving).count();
         self.recent_servers = (self.recent_servers * (1.0 - STEP_MS / FLEET_MEMORY_MS)).max(serving as f64);
-        // A cold one's part comes from those limiters alone whose own it is.
+        // A cold server's share comes only from the limiters that have it among their own.
         let users_per_server = self.server_order.len() as f64 / self.own_server_count().max(1) as f64;
         self.attempts_per_server =
             users_per_server * self.attempt_demand.rate(self.now) / self.recent_servers.max(1.0);
@@ -509,7 +527,8 @@
         out.push(Action::Wake { after_ms: STEP_MS, token: WAKE_STEP });
     }
 
-    /// One limiter of hundreds sees a few requests a second: rates and latency go over enough of them.
+    /// Adapts the smoothing time to the request rate: one of hundreds of limiters sees a few requests per
+    /// second.
     fn update_spans(&mut self) {
         let per_ms = self.admit_rate.rate(self.now) / 1000.0;
         let span = (SMOOTHING_SAMPLES / per_ms.max(1e-9)).clamp(SMOOTHING_MS.0, SMOOTHING_MS.1);
@@ -532,9 +551,9 @@
 
     // ---- Quotas and ceilings: the member ----
 
-    /// The chance by which summed demand passes the quota refuses at once. It also keeps a flood of one
-    /// customer from drowning its keeper in asks; what is refused so is told with the next ask. So is a
-    /// stranger refused while new names come too fast to be remembered.
+    /// Refuses a request with the probability by which the total demand exceeds the quota. This keeps one
+    /// customer's flood from overloading its quota owner with asks; the refused units are reported with the
+    /// next ask. Also refuses new customers that arrive too fast to be remembered.
     fn refused_by_chance(&mut self, request: &Request) -> bool {
         let now = self.now;
         let draw = self.rng.f64();
@@ -548,8 +567,9 @@
         refuse
     }
 
-    /// Spends from a part owned here while the first keeper's store has room, and tells it: to wait for its
-    /// reply would only cost time. The part is the even one, under a ceiling that of the ceiling.
+    /// Spends from this limiter's equal share (of the quota, or of the ceiling's part for members) while the
+    /// first quota owner's store has enough left, and notifies the owner. Waiting for its reply would only add
+    /// latency.
     fn spend_own_share(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).map(|open| open.request.clone()) else { return };
         let (me, plan) = (self.settings.position, &self.settings.plans[request.plan]);
@@ -566,14 +586,16 @@
             rate,
             if plan.ceiling_rate > 0.0 { capacity } else { capacity.max(units) },
         );
-        // A part that never holds such a request is none: a hundred members would each let one through.
+        // A share too small for such a request is not used: otherwise each of a hundred members would admit
+        // one.
         let own = ample || (capacity >= units && c.equal_share.level >= units);
         let (min_left, seen_before) = (plan.burst * min_fraction, c.seen_before);
         let unasked = own && c.store_left - units >= min_left;
         let more = unasked && c.store_left - 2.0 * units >= min_left && c.equal_share.level >= 2.0 * units;
         let mut line = self.ask_for(&request);
         self.record_use(&request, more, out);
-        // What cannot be told is not spent unreported: its keeper would grant the same units again.
+        // Units that cannot be reported are not spent without asking, since the owner would grant the same
+        // units again.
         if !unasked || !self.can_send(first, &Line::Ask(line), seen_before) {
             let next_steps = [Self::dispatch, Self::give_final_answer, Self::ask_owner];
             return next_steps[self.spend_prefetched(id) as usize](self, id, out);
@@ -600,7 +622,7 @@
         }
     }
 
-    /// Asks the first keeper that is not silent; where none is left, the even part decides.
+    /// Asks the first quota owner that is not silent; without one the equal share decides.
     fn ask_owner(&mut self, id: RequestId, out: &mut Vec<Action>) {
         loop {
             let Some(open) = self.requests.get(&id) else { return };
@@ -619,7 +641,7 @@
             let ask = self.ask_for(request);
             let seen_before = self.customers.get(&request.customer).is_some_and(|c| c.seen_before);
             if owner == self.settings.position {
-                // A later keeper's part of a ceiling is small, and it is a member too.
+                // A later owner's part of a ceiling is small, and this limiter has its share as a member too.
                 let last = open.rank == 0 || self.settings.plans[request.plan].ceiling_rate <= 0.0;
                 let reply = self.answer_ask(owner, self.incarnation, &ask);
                 if let Some(reply) = reply.filter(|reply| reply.granted || last) {
@@ -641,13 +663,13 @@
         }
     }
 
-    /// A late reply is asked for again, then the next keeper is asked. Guards against lost messages, and
-    /// keepers that are dead, stalled or cut off.
+    /// Repeats an ask whose reply is late, then asks the next owner. Guards against lost messages and owners
+    /// that are dead, stalled or cut off.
     fn check_reply(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let late = self.reply_wait_ms * LATE_REPLY_MULTIPLE;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some((owner, at)) = open.pending_ask else { return };
-        // The usual wait has grown since the ask: without another look a lost reply would never be missed.
+        // The smoothed wait has grown since the ask. Without another check a lost reply would never be noticed.
         if self.now - at < late {
             let after_ms = at + late - self.now + self.settings.round_ms;
             return out.push(Action::Wake { after_ms, token: wake_token(id, WAKE_REPLY) });
@@ -661,7 +683,7 @@
         self.ask_owner(id, out);
     }
 
-    /// Takes a keeper's reply in, wherever it comes in time.
+    /// Applies a quota owner's reply to the customer's record and to the request that waits for it.
     fn on_reply(&mut self, from: u32, reply: &Reply, out: &mut Vec<Action>) {
         if let Some(c) = self.customers.get_mut(&reply.customer) {
             (c.demand, c.demand_at, c.unreported) = (reply.demand, self.now, 0.0);
@@ -673,8 +695,8 @@
             |r: &&mut OpenRequest| r.attempts == 0 && r.owner.is_none() && (own || r.pending_ask.is_some());
         let Some(open) = self.requests.get_mut(&reply.id).filter(waits) else { return };
         if let Some((_, at)) = open.pending_ask.take().filter(|a| a.0 == from) {
-            // Counted from the first ask (RFC 6298, 3): a reply just after a repeat answers the first one,
-            // and waits taken for short would soon be asked again before any reply can have come.
+            // The wait counts from the first ask (RFC 6298, section 3): a reply just after a repeat answers the
+            // first ask, and an underestimated wait would cause repeats before any reply can arrive.
             let before = f64::from(open.asks - 1) * self.reply_wait_ms * LATE_REPLY_MULTIPLE;
             let took = self.now - at + before;
             self.reply_wait_ms =
@@ -689,10 +711,11 @@
         }
     }
 
-    /// No keeper answers: the even part of rate and burst, one request at least; under a cap on attempts out
-    /// alone, its even part in the time of one aim. A member's part of a ceiling may be less than a request:
-    /// then it is spent on the chance that it makes of one, so that the members' parts are not passed on the
-    /// whole, however many ask at once (randomised rounding).
+    /// Decides without a quota owner: by the equal share of rate and burst, at least one request. Without a
+    /// rate quota, the share of the outstanding attempts in one target latency is used. A member's share of a
+    /// ceiling may be smaller than one request; it is then spent with a probability equal to its
+    /// fraction of the request (randomised rounding), so that the members' shares together stay within the ceiling however many decide
+    /// at once.
     fn spend_equal_share(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let draw = self.rng.f64();
         let Some(open) = self.requests.get_mut(&id) else { return };
@@ -716,16 +739,17 @@
         self.dispatch(id, out);
     }
 
-    /// Units granted under a ceiling and not spent in time count no more against the keeper's depth.
+    /// Whether units granted under a ceiling were not spent in time; the quota owner no longer counts them.
     fn lease_expired(&self, open: &OpenRequest) -> bool {
         let has_ceiling = self.settings.plans[open.request.plan].ceiling_rate > 0.0;
         open.attempts == 0 && has_ceiling && self.now - open.leased_from > GRANT_LIFETIME_MS
     }
 
-    // ---- Quotas and ceilings: the keeper ----
+    // ---- Quotas and ceilings: the quota owner ----
 
-    /// The keeper's reply on an ask; the same again for a repeat. One that has no record, since none could
-    /// go for it, is judged by what it owes and gets nothing that would have to be remembered.
+    /// The quota owner's reply to an ask; a repeated ask gets the same reply. If no record could be evicted for
+    /// a new account, the decision uses the recorded deficit and grants nothing that would have to be
+    /// remembered.
     pub(crate) fn answer_ask(&mut self, from: u32, incarnation: u32, ask: &Ask) -> Option<Reply> {
         let (now, me, fills_from) = (self.now, self.settings.position, self.ceilings_from());
         let plan = self.settings.plans.get(usize::from(ask.plan))?.clone();
@@ -752,12 +776,12 @@
         let floor = -plan.ceiling_slack * ceiling_fraction(&plan, a.rank);
         let within_ceiling =
             !has_ceiling || (recorded && leases.len() < MAX_OUTSTANDING_GRANTS && a.ceiling - units >= floor);
-        // What a member has spent takes its units in any case, but from the quota alone: it had its own part
+        // Already spent units are deducted in any case, but only from the quota: the member used its own share
         // of the ceiling.
         let unconditional = ask.already_spent || planted::is_active(Fault::Ceiling);
         let mut granted =
             (unconditional || (within_quota && under_limit && within_ceiling)) && ask.plan == a.plan;
-        // Its end must be heard of, and its repeat be known.
+        // The end of such a request must be received, and its repeat recognised.
         let open = granted && !ask.already_spent && plan.open > 0;
         if recorded && (granted || from != me) {
             let unless_open =
@@ -766,7 +790,7 @@
             let grant = Grant { customer, units, granted, open, done: !granted };
             granted &= grants.insert(now, key, grant).is_ok() || !open;
         }
-        // One that asks ahead and gets nothing asks again: that is no demand.
+        // A refused prefetch ask is repeated by its member and does not count as demand.
         let counted = if granted || !is_prefetch(ask.id) { units } else { 0.0 };
         a.demand += counted + f64::from(ask.unreported);
         if granted {
@@ -792,7 +816,8 @@
         Some(reply)
     }
 
-    /// A granted request has ended: its place is free, and the quota takes what it really used.
+    /// Handles the end of a granted request: it is no longer open, and the quota is corrected to the units
+    /// actually used.
     pub(crate) fn on_done(&mut self, key: GrantKey, used: f32) {
         let Some(grant) = self.grants.get_mut(&key) else { return };
         let Some(a) = self.accounts.get_mut(&grant.customer) else { return };
@@ -806,7 +831,7 @@
         }
         let capacity = self.settings.plans[usize::from(a.plan)].burst;
         a.store -= f64::from(used).min(grant.units + capacity) - grant.units;
-        // Its member says that nothing of it will be spent any more.
+        // The member will spend nothing more of this lease.
         if let Some(units) = self.leases.release(&key) {
             a.release_lease(units);
             a.ceiling += (units - f64::from(used)).max(0.0);
@@ -815,16 +840,16 @@
 
     // ---- Messages ----
 
-    /// Whether a line to a peer would still go out in time.
+    /// Whether a line to a peer would still be sent in time.
     fn can_send(&self, to: u32, line: &Line, seen_before: bool) -> bool {
         let wait_s = if seen_before { SEND_WAIT_S.0 } else { self.new_customer_queue_s(SEND_WAIT_S.1) };
         (self.outbox.len() as f64) < (self.settings.messages_per_s * wait_s).max(2.0)
             || self.outbox.iter().any(|(p, lines)| *p == to && fits_in_message(lines, line))
     }
 
-    /// Puts a line into the next message to a peer, and sends what the allowance lets through. Where too
-    /// much waits already, the line is lost, as any may be: an ask is repeated, units that are not given back
-    /// stay spent.
+    /// Adds a line to the next message to a peer and sends what the message rate allows. With too much in the
+    /// outbox the line is dropped, as any message may be lost: an ask is repeated, and units that are not
+    /// returned stay spent.
     pub(crate) fn send_line(&mut self, to: u32, line: Line, seen_before: bool, out: &mut Vec<Action>) {
         if !self.can_send(to, &line, seen_before) {
             return;
@@ -861,7 +886,7 @@
         if from >= self.settings.limiters || from == self.settings.position {
             return;
         }
-        // A peer costs what its allowance lets through, whatever it sends.
+        // A peer can cost no more than its allowance, whatever it sends.
         let rate = self.settings.messages_per_s;
         let bucket = self.allowance.entry(from).or_insert(TokenBucket { level: rate.max(1.0), at: self.now });
         bucket.fill(self.now, rate, rate.max(1.0));
@@ -877,7 +902,7 @@
         share.into_iter().for_each(|share| self.latency.add(self.now, share));
         for line in lines {
             match line {
-                // After a stall the members that asked have gone on: an answer would only waste units.
+                // After a stall the asking members have moved on, and a grant would only waste units.
                 Line::Ask(ask) if self.resumed_at < self.now => {
                     replies.extend(self.answer_ask(from, incarnation, &ask).map(Line::Reply));
                 }
@@ -888,8 +913,8 @@
                 _ => {}
             }
         }
-        // Words go at the pace of the asks taken in: paced like these, a keeper of whom many ask falls
-        // behind and is asked all again. A reply is shorter than its ask, so that one message holds them.
+        // Replies are sent at the rate of the received asks. Under a limit of their own, an owner asked by many
+        // would fall behind and be asked again. A reply is shorter than its ask, so one message holds them all.
         if !replies.is_empty() {
             let body = encode_message(self.incarnation, self.own_latency.value(self.now), &replies);
             out.push(Action::SendMessage { to: Some(from), body });
@@ -912,8 +937,8 @@
             let s = self.servers.entry(e.server.clone()).or_insert_with(fresh);
             if let Some(since) = start.cold_since(now, self.settings.cold_ms) {
                 s.cold_since = Some(since);
-                // Hundreds of limiters that each think one send harmless would push it over: each starts
-                // somewhere between none and one, so that they come one after the other.
+                // Hundreds of limiters that each send one request at once would overload a cold server. Each
+                // starts with a random level, so that their requests are spread over time.
                 s.cold_bucket = TokenBucket { level: self.rng.f64(), at: now };
             }
             s.entry = e.clone();
@@ -922,8 +947,8 @@
         self.send_held(out);
     }
 
-    /// What a line of the list says of its server's start. The first list of a process is the one that was handed to it, the
-    /// second discovery's first: what later ones tell for the first time is news.
+    /// What a list entry says about the server's start. The first list is handed over to the process, the
+    /// second is the first of discovery; starts that appear in later lists are new.
     fn reported_start(&self, entry: &ServerEntry) -> Start {
         let reported_before = self.servers.get(&entry.server).map(|s| s.entry.started);
         Start {
@@ -933,14 +958,14 @@
         }
     }
 
-    /// How many servers are this limiter's own: each has some limiters whose own it is.
+    /// Number of servers that are this limiter's own; each server belongs to several limiters.
     fn own_server_count(&self) -> usize {
         let all = self.server_order.len();
         ((LIMITERS_PER_SERVER * all as f64 / f64::from(self.settings.limiters)).max(MIN_OWN_SERVERS) as usize)
             .min(all)
     }
 
-    /// The server with the least expected time among some that may have the request.
+    /// Picks the server with the lowest expected time among a few that accept the request.
     fn choose_server(&mut self, id: RequestId) -> Option<ServerId> {
         let choices = self.own_server_count();
         let Limiter {
@@ -955,8 +980,9 @@
             ..
         } = self;
         let (request, all) = (requests.get(&id)?, server_order.len());
-        // Golden ratio: limiters side by side, which share customers, start far apart, and all evenly. What
-        // their own servers cannot take goes to others, again far apart: a lost one's neighbours would drown.
+        // Golden ratio: neighbouring limiters, which share customers, start far apart and evenly spread.
+        // Requests that the own servers cannot take start at another, equally spread place, so that a lost
+        // server's neighbours are not overloaded.
         let from = |ratio: f64| ((f64::from(settings.position) * ratio).fract() * all as f64) as usize;
         let (start, others) = (from(0.618_034), from(0.754_878));
         let own = |at: usize| (at + all - start) % all < choices;
@@ -986,13 +1012,13 @@
 }
 
 impl Server {
-    /// Its own latency as far as its answers are enough to trust, else the usual one of all servers.
+    /// The server's own latency, weighted by its recent answers, against the typical latency of all servers.
     fn latency(&self, now: Millis, typical: Millis) -> Millis {
         let trust = if self.latency > 0.0 { self.answers.value(now) } else { 0.0 };
         (self.latency * trust + typical * TRUSTED_ANSWERS) / (trust + TRUSTED_ANSWERS)
     }
 
-    /// Time that one more request is expected to take there.
+    /// Expected time of one more request at this server.
     fn expected_ms(&self, now: Millis, typical: Millis, zone: u32) -> f64 {
         let latency = self.latency(now, typical).max(1.0);
         let cross = if self.entry.zone == zone { 1.0 } else { CROSS_ZONE_FACTOR };
@@ -1034,7 +1060,7 @@
         }
     }
 
-    /// Silent at every attempt of late, with one more out to show whether it lives.
+    /// Whether all recent attempts were silent, with one more outstanding that probes the server.
     fn is_silent(&self) -> bool {
         self.silences >= EJECT_SILENCES && self.outstanding > 0
     }
@@ -1047,7 +1073,8 @@
         }
     }
 
-    /// Whether anything new may go there now: serving, not full, and within a cold one's part.
+    /// Whether a new request may be sent: the server serves, is not full, and a cold server's share is not used
+    /// up.
     fn accepts(&mut self, now: Millis, rate: f64, own: bool, settings: &Settings) -> bool {
         let serves = self.entry.condition == Condition::Serving || planted::is_active(Fault::Drain);
         if !serves || now < self.full_until || self.is_silent() {
@@ -1059,15 +1086,16 @@
             self.cold_since = None;
             return true;
         }
-        // A warm server's pace times the capacity reached, and up to twice it, since warm ones are half busy
-        // as a rule and cold ones carry a fleet that is replaced. Half the multiple is for heavier requests.
+        // Rate of a warm server times the capacity reached so far, and up to twice that: warm servers are
+        // usually half busy, and cold ones take the load while a fleet is replaced. Half of the multiple is
+        // left for heavier requests.
         let share = settings.cold_share + (1.0 - settings.cold_share) * age.max(0.0);
         self.cold_bucket.fill(now, rate * share * (settings.fall_multiple / 2.0).min(2.0), 1.0);
         own && self.cold_bucket.level >= 1.0
     }
 }
 
-/// What a second execution of a class's request would do, in the terms of the permission.
+/// The effect of a second execution, in the terms of the permit crate.
 fn effect_of_retry(class: &Class) -> marldeal_permit::Effect {
     match class.effect {
         Effect::Safe => marldeal_permit::Effect::Safe,
@@ -1076,7 +1104,7 @@
     }
 }
 
-/// A keyed request that may have run stays in the group of servers that drops its repeats.
+/// A keyed request that may have run stays within the group of servers that drops its repeats.
 fn allowed_by_key_group(request: &OpenRequest, server: &Server, settings: &Settings) -> bool {
     let class = &settings.classes[request.request.class];
     match (class.effect, request.may_have_run) {
--- a/src/prefetch.rs
+++ b/src/prefetch.rs
@@ -1,11 +1,11 @@
-//! Units of a quota that a member holds ahead of need, so that a request need not wait for its keeper's reply
-//! (token prefetch). Off unless switched on; `docs/design/prefetch.md` weighs the ways.
+//! Token prefetch: a member obtains units of a quota before requests need them, so that a request need not wait
+//! for the quota owner's reply. Off by default; `docs/design/prefetch.md` compares the alternatives.
 //!
-//! A member asks a customer's first keeper for units before the requests that will use them, by the same ask as for a
-//! request and under a number that no request has: a keeper of any version answers it. What the keeper grants is off its
-//! store from then on, so that the units are counted once wherever they are spent. They lapse by this member's own clock,
-//! counted from when it *asked*; what is left then is given back as for a request that used less. A lost reply, a dead
-//! keeper or a restart loses units and never makes any.
+//! A member asks a customer's first quota owner for units with an ordinary ask, under an id that no request
+//! has, so that owners of any version answer it. Granted units leave the owner's store at once and are counted
+//! once, wherever they are spent. They expire by the member's own clock, counted from when it *asked*; the rest
+//! is returned as for a request that used less. A lost reply, a dead owner or a restart loses units and never
+//! creates any.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -16,72 +16,75 @@
 use crate::message::{Ask, Done, Line, Reply};
 use crate::state::*;
 
-/// Numbers of asks ahead have this bit; those of requests are below it.
+/// Ids of prefetch asks have this bit set; ids of requests are below it.
 pub(crate) const PREFETCH_BIT: RequestId = 1 << 31;
-/// Units held ahead lapse so long after they were asked for; a keeper remembers its words for longer. Under a ceiling, a
-/// keeper that knows nothing of asks ahead counts them as spent after `GRANT_LIFETIME_MS`: then they lapse sooner, less what a
-/// request may wait for a server.
+/// Lifetime of prefetched units from the time of the ask; a quota owner keeps its grants for longer. Under a
+/// ceiling, an owner without prefetch support counts the units as spent after `GRANT_LIFETIME_MS`, so they
+/// expire earlier, by the time that a request may wait for a server.
 const PREFETCH_LIFETIME_MS: Millis = 2500.0;
 const CEILING_LIFETIME_MS: Millis = GRANT_LIFETIME_MS / 2.0;
-/// Use over so long tells what will be used; it is held for so long ahead: an ask and its reply take that long at most.
+/// Time over which use is measured, and the time of use that is prefetched: the longest that an ask and its
+/// reply take.
 const USE_RATE_MS: Millis = 2000.0;
 const LOOKAHEAD_MS: Millis = 250.0;
-/// Requests, of the largest seen, that are held at least.
+/// Minimum of prefetched units, in requests of the largest size seen.
 const MIN_PREFETCHED_REQUESTS: f64 = 2.0;
-/// Share of the quota's store that one member may hold ahead, beyond these.
+/// Fraction of the quota's store that one member may prefetch beyond that minimum.
 const MAX_PREFETCH_FRACTION: f64 = 0.1;
-/// An ask ahead without its reply is repeated after so long, and after so long is lost, or its keeper is.
+/// Time after which an unanswered prefetch ask is repeated, and after which it or its owner counts as lost.
 const REPEAT_ASK_MS: Millis = 100.0;
 const LOST_ASK_MS: Millis = 500.0;
-/// Share of the quota's store that must be left, as last told, for a member to spend its own batch unreported: its keeper's
-/// words come often, and a wait costs more here than a little sent beyond a quota.
+/// Fraction of the quota's store that must be left by the last reply before a member spends its own share
+/// without asking. It is lower than without prefetch: replies are frequent, and a wait costs more here than a
+/// little use beyond the quota.
 const PREFETCH_MIN_STORE_FRACTION: f64 = 0.2;
-/// Demand at all limiters, as a multiple of the quota, up to which a customer counts as within it: a Poisson stream that
-/// uses nearly all of its quota looks so now and then.
+/// Demand at all limiters, as a multiple of the quota, up to which a customer counts as within its quota. A
+/// Poisson stream that uses nearly all of its quota reaches this now and then.
 const WITHIN_QUOTA_MULTIPLE: f64 = 1.3;
-/// Where a customer within its quota has so much of it left, as told so recent_keys, it is let in on that alone.
+/// A customer within its quota is admitted without units if this fraction of the store is left by a reply of at
+/// most this age.
 const AMPLE_STORE: (f64, Millis) = (0.5, 1000.0);
-/// Units that lapse sooner are not counted on: an ask for others is on its way by then.
+/// Units that expire sooner are not counted on: an ask for others is already on its way.
 const EXPIRING_SOON_MS: Millis = 60.0;
-/// Seconds of the allowance that lines of customers not seen before may fill.
+/// Seconds of the message rate that lines of customers not seen before may fill.
 const NEW_CUSTOMER_QUEUE_S: f64 = 0.5;
-/// Messages of the allowance that must be left beside the one to go, for asks that a request waits on, for asks ahead, and
-/// for what has been spent: that is told when there are more.
+/// Messages that must remain in the send bucket: for asks that a request waits for, for prefetch asks, and for
+/// reports of spent units, which are sent when there is room.
 const SEND_RESERVE: [f64; 3] = [0.0, 1.0, 2.0];
-/// Least time between two looks at a customer, and for how long one is looked at after its last request.
+/// Shortest time between two reviews of a customer, and how long a customer is reviewed after its last request.
 const REVIEW_MS: (Millis, Millis) = (100.0, PREFETCH_LIFETIME_MS);
-/// Units that are no more than rounding.
+/// Units up to this amount are rounding errors.
 const ROUNDING_UNITS: f64 = 1e-6;
 
-/// What became of units held ahead, since the start.
+/// Counters of prefetched units since the start.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PrefetchCounts {
-    /// Asks for units ahead, and those granted.
+    /// Prefetch asks.
     pub asks: u64,
-    /// See `asks`.
+    /// Granted prefetch asks.
     pub granted: u64,
-    /// Requests served from units held ahead.
+    /// Requests served from prefetched units.
     pub served: u64,
-    /// Requests refused at once, since the keeper's store cannot hold their units yet.
+    /// Requests refused at once, since the quota owner's store cannot hold their units yet.
     pub refused: u64,
-    /// Units that lapsed unused and were told back.
+    /// Units that expired unused and were returned.
     pub expired_units: f64,
-    /// Customers that units are held or asked for now.
+    /// Customers with prefetched units or pending asks.
     pub customers: usize,
 }
 
-/// What a member does with a request that its own batch does not hold.
+/// What happens to a request that this member's own share does not cover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Prefetched {
-    /// Its units were held.
+    /// Prefetched units were spent.
     Spent,
-    /// The keeper would refuse it.
+    /// The quota owner would refuse it.
     Refused,
-    /// The keeper has to be asked.
+    /// The quota owner has to be asked.
     Unknown,
 }
 
-/// Units granted by one ask ahead.
+/// Units granted by one prefetch ask.
 #[derive(Debug)]
 struct Batch {
     id: RequestId,
@@ -90,13 +93,14 @@
     left: f64,
     asked: Millis,
     until: Millis,
-    /// Its keeper counts it as lent until it hears that it is over, or for so long that it surely is.
+    /// The owner counts the units as leased until the member reports the end, or until they have certainly
+    /// expired.
     long_lease: bool,
-    /// When a request last spent of it.
+    /// When a request last spent from this batch.
     spent: Millis,
 }
 
-/// An ask ahead that waits for its reply.
+/// A prefetch ask without a reply.
 #[derive(Debug, Clone, Copy)]
 struct PendingAsk {
     id: RequestId,
@@ -105,34 +109,35 @@
     repeated: bool,
 }
 
-/// What is held ahead for one customer.
+/// Prefetched units of one customer.
 #[derive(Debug)]
 struct CustomerPrefetch {
-    /// Its last request, for its plan and its set.
+    /// The last request, for its plan and its set of limiters.
     last_request: Request,
     last_seen: Millis,
-    /// Units a second that it uses here.
+    /// Units per second used here.
     use_rate: DecayingSum,
-    /// Most and least units of one of its requests.
+    /// Largest and smallest units of a request.
     largest: f64,
     smallest: f64,
-    /// This member's own batch holds another request.
+    /// This member's own share covers another request.
     share_suffices: bool,
-    /// As far as is known its keeper knows of asks ahead.
+    /// By its last reply the quota owner supports prefetch.
     long_leases: bool,
     batches: VecDeque<Batch>,
     pending: Option<PendingAsk>,
-    /// Most units of an ask: half of one that was refused, since all is granted or nothing, and twice one granted.
+    /// Maximum units of an ask: half of a refused one, since an ask is granted in full or not at all, or twice
+    /// a granted one.
     max_ask: f64,
-    /// No use asking before: the keeper's store cannot hold a request.
+    /// Asking earlier is useless: the quota owner's store cannot hold a request.
     not_before: Millis,
-    /// Units in the keeper's store, as told last, and when.
+    /// Units in the quota owner's store by the last reply, and when that was.
     store: Option<(f64, Millis)>,
-    /// When it is looked at next.
+    /// Time of the next review.
     next_review: Millis,
 }
 
-/// Everything held ahead.
+/// All prefetched units of this limiter.
 #[derive(Debug)]
 pub(crate) struct Prefetch {
     customers: BTreeMap<CustomerId, CustomerPrefetch>,
@@ -143,14 +148,15 @@
 }
 
 impl CustomerPrefetch {
-    /// Units at hand for a while yet.
+    /// Units that do not expire soon.
     fn available_units(&self, now: Millis) -> f64 {
         self.batches.iter().filter(|batch| batch.until - now > EXPIRING_SOON_MS).map(|batch| batch.left).sum()
     }
 
-    /// Units that should be at hand.
+    /// Units that should be available.
     fn target_units(&self, now: Millis, plan: &Plan) -> f64 {
-        // What is not used under a ceiling is gone at a keeper that knows nothing of asks ahead: only what surely will be.
+        // Units left unused under a ceiling are lost at an owner without prefetch support, so only units that
+        // will certainly be used are prefetched.
         let used = self.use_rate.rate(now) * CEILING_LIFETIME_MS / 1000.0;
         if plan.ceiling_rate > 0.0 && !self.long_leases && used < self.largest {
             return 0.0;
@@ -161,31 +167,32 @@
     }
 }
 
-/// Units that a keeper granted under ceilings and that may still be spent: they count against a ceiling's depth.
+/// Units granted by a quota owner under ceilings that may still be spent; they count against the ceiling's
+/// depth.
 #[derive(Debug, Default)]
 pub(crate) struct Leases {
-    /// To requests: when, and whose, the oldest first.
+    /// Leases of requests: time, customer and units, the oldest first.
     request_leases: VecDeque<(Millis, CustomerId, f64)>,
-    /// Asked for ahead, until their member says that they are over.
+    /// Leases of prefetch asks, until their member reports the end.
     prefetch_leases: BTreeMap<GrantKey, (CustomerId, f64)>,
-    /// When the latter are over at the latest, the oldest first.
+    /// Latest end of each prefetch lease, the oldest first.
     prefetch_ends: VecDeque<(Millis, GrantKey)>,
-    /// Units are held ahead of need in this fleet.
+    /// Limiters prefetch units.
     pub prefetch_enabled: bool,
 }
 
 impl Leases {
-    /// How many grants.
+    /// Number of leases.
     pub fn len(&self) -> usize {
         self.request_leases.len() + self.prefetch_ends.len()
     }
 
-    /// What is granted under this number counts for as long as units are held ahead.
+    /// Whether a grant under this id counts for the lifetime of prefetched units.
     pub fn is_long(&self, id: RequestId) -> bool {
         self.prefetch_enabled && is_prefetch(id)
     }
 
-    /// Counts units from now on.
+    /// Adds a lease that starts now.
     pub fn add(&mut self, now: Millis, key: GrantKey, customer: CustomerId, units: f64) {
         if self.is_long(key.2) {
             self.prefetch_leases.insert(key, (customer, units));
@@ -195,12 +202,12 @@
         }
     }
 
-    /// The member says that what it asked for ahead is over: so many units, if they count still.
+    /// Ends a prefetch lease reported as over; returns its units if it still counted.
     pub fn release(&mut self, key: &GrantKey) -> Option<f64> {
         self.prefetch_leases.remove(key).map(|(_, units)| units)
     }
 
-    /// Units that cannot be spent any more, and whose; takes them off.
+    /// Removes an expired lease and returns its customer and units.
     pub fn pop_expired(&mut self, now: Millis) -> Option<(CustomerId, f64)> {
         if let Some((at, ..)) = self.request_leases.front().filter(|lease| now - lease.0 > GRANT_LIFETIME_MS)
         {
@@ -216,7 +223,7 @@
         None
     }
 
-    /// All of it, each as if lent to a request at a moment from which it counts as long.
+    /// All leases, each with the start that a request's lease with the same end would have.
     pub fn export(&self) -> impl Iterator<Item = (Millis, CustomerId, f64)> + '_ {
         let prefetched = self.prefetch_ends.iter().filter_map(|(end, key)| {
             let (customer, units) = self.prefetch_leases.get(key)?;
@@ -225,7 +232,7 @@
         self.request_leases.iter().copied().chain(prefetched)
     }
 
-    /// Goes on with what was told so.
+    /// Replaces the request leases by exported ones.
     pub fn import(&mut self, leases: impl Iterator<Item = (Millis, CustomerId, f64)>) {
         let mut sorted: Vec<_> = leases.collect();
         sorted.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -233,18 +240,18 @@
     }
 }
 
-/// A reply that answers an ask ahead.
+/// Whether an id is that of a prefetch ask.
 pub(crate) fn is_prefetch(id: RequestId) -> bool {
     id & PREFETCH_BIT != 0
 }
 
 impl Limiter {
-    /// Holds units ahead of need from now on, for so many customers at most; the requests of others wait for their reply. As
-    /// a keeper it counts what it grants ahead for as long as members may spend it.
+    /// Enables prefetch for at most this many customers; the requests of others wait for their replies. As a
+    /// quota owner, this limiter then counts prefetch grants for as long as members may spend them.
     pub fn enable_prefetch(&mut self, max_customers: usize) {
         self.leases.prefetch_enabled = true;
-        // A later process of the same limiter must not use a number again that its keepers still remember: moments in
-        // milliseconds go up faster than asks.
+        // A later process of the same limiter must not reuse an id that quota owners still remember: time in
+        // milliseconds grows faster than the number of asks.
         let next_id = PREFETCH_BIT | self.now as u64 as u32;
         self.prefetch.get_or_insert_with(|| {
             let (customers, reviews) = (BTreeMap::new(), BinaryHeap::new());
@@ -258,24 +265,25 @@
         });
     }
 
-    /// Ceilings kept here fill from a while after this moment on: what an earlier start granted, also ahead, has lapsed
-    /// then.
+    /// Start of the time after which the ceilings owned here fill: by then all grants of an earlier start,
+    /// including prefetched units, have expired.
     pub(crate) fn ceilings_from(&self) -> Millis {
         self.started_at + if self.leases.prefetch_enabled { PREFETCH_LIFETIME_MS } else { 0.0 }
     }
 
-    /// What became of units held ahead; nothing where none are.
+    /// Counters of prefetched units; none if prefetch is disabled.
     pub fn prefetch_counts(&self) -> Option<PrefetchCounts> {
         let p = self.prefetch.as_ref()?;
         Some(PrefetchCounts { customers: p.customers.len(), ..p.counts })
     }
 
-    /// Share of the quota's store that must be left for a member to spend unreported, `usual` where nothing is held ahead.
+    /// Fraction of the quota's store that must be left for a member to spend without asking; `default` if
+    /// prefetch is disabled.
     pub(crate) fn min_store_fraction(&self, default: f64, customer: CustomerId) -> f64 {
         if self.prefetch.is_none() {
             return default;
         }
-        // One whose demand at all limiters is within its quota may be let in whatever its store holds just now.
+        // A customer whose demand at all limiters is within its quota is admitted whatever its store holds.
         let within_quota =
             self.customers.get(&customer).is_some_and(|c| f64::from(c.demand) <= WITHIN_QUOTA_MULTIPLE);
         if within_quota {
@@ -285,8 +293,8 @@
         }
     }
 
-    /// A customer within its quota has plenty of it left: a request is let in though this member's own batch, which falls
-    /// below nothing by it, does not hold its units. Never under a ceiling.
+    /// Whether a customer within its quota has enough of it left that a request is admitted although this
+    /// member's own share does not cover it. The share then falls below zero. Never true under a ceiling.
     pub(crate) fn has_ample_store(&self, request: &Request) -> bool {
         let (plan, c) = (&self.settings.plans[request.plan], self.customers.get(&request.customer));
         let Some(c) = c.filter(|_| self.prefetch.is_some()) else { return false };
@@ -294,20 +302,20 @@
         plan.ceiling_rate <= 0.0 && ample && f64::from(c.demand) <= WITHIN_QUOTA_MULTIPLE
     }
 
-    /// Seconds of the allowance that lines of customers not seen before may fill, `usual` where nothing is held ahead: what
-    /// has been spent holds up nothing else.
+    /// Seconds of the message rate that lines of customers not seen before may fill; `default` if prefetch is
+    /// disabled. Reports of spent units do not delay other messages.
     pub(crate) fn new_customer_queue_s(&self, default: f64) -> f64 {
         self.prefetch.as_ref().map_or(default, |_| NEW_CUSTOMER_QUEUE_S)
     }
 
-    /// A request whose units this member's own batch does not hold: from what is held ahead, if it is.
+    /// Serves a request that this member's own share does not cover from prefetched units, if there are enough.
     pub(crate) fn spend_prefetched(&mut self, id: RequestId) -> Prefetched {
         let (now, Limiter { prefetch, requests, settings, customers, .. }) = (self.now, self);
         let (Some(p), Some(open)) = (prefetch, requests.get_mut(&id)) else { return Prefetched::Unknown };
         let (customer, units) = (open.request.customer, open.request.units);
         let Some(entry) = p.customers.get_mut(&customer) else { return Prefetched::Unknown };
         let plan = &settings.plans[open.request.plan];
-        // What has lapsed is told back at the next look.
+        // Expired units are returned at the next review.
         let live = |batch: &&mut Batch| now < batch.until;
         if entry.batches.iter_mut().filter(live).map(|p| p.left).sum::<f64>() >= units {
             let (mut rest, mut asked) = (units, now);
@@ -316,7 +324,7 @@
                 (batch.left, rest) = (batch.left - take, rest - take);
                 if take > 0.0 {
                     batch.spent = now;
-                    // A kept batch is lent for as long as a request that came in time may wait.
+                    // A long lease counts from now, for as long as a request that arrived in time may wait.
                     asked = if batch.long_lease { asked } else { asked.min(batch.asked) };
                 }
             }
@@ -326,11 +334,11 @@
             p.counts.served += 1;
             return Prefetched::Spent;
         }
-        // What others take only lowers the store, and it fills at its rate: a reply could say nothing else.
+        // Other members only lower the store, and it fills at its rate, so a reply could not say anything else.
         let max_store = |(left, at): (f64, Millis)| left + plan.rate * (now - at) / 1000.0;
         let surely_refused = plan.rate > 0.0 && entry.store.is_some_and(|report| max_store(report) < units);
-        // Beyond its quota some are refused in any case. What is on its way, or comes when the store has filled, is for
-        // the next: to wait for it would serve none more.
+        // Beyond its quota some requests are refused in any case. Units that are on their way, or available
+        // once the store has filled, serve the next requests; waiting for them would serve no more.
         let Some(c) = customers.get_mut(&customer) else { return Prefetched::Unknown };
         let over_quota =
             now - c.demand_at <= REPLY_VALIDITY_MS && f64::from(c.demand) > WITHIN_QUOTA_MULTIPLE;
@@ -342,8 +350,8 @@
         Prefetched::Unknown
     }
 
-    /// A request has come that a keeper elsewhere counts: what its like will need is asked for, unless this member's own
-    /// batch holds it.
+    /// Records a request that another quota owner counts and asks for the units that similar requests will
+    /// need, unless this member's own share covers them.
     pub(crate) fn record_use(&mut self, request: &Request, share_suffices: bool, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(p) = &mut self.prefetch else { return };
@@ -381,7 +389,7 @@
         self.prefetch_units(request.customer, out);
     }
 
-    /// Asks for what is missing of what should be at hand.
+    /// Asks for the units that are missing.
     fn prefetch_units(&mut self, customer: CustomerId, out: &mut Vec<Action>) {
         let (now, me) = (self.now, self.settings.position);
         let Some(entry) = self.prefetch.as_ref().and_then(|p| p.customers.get(&customer)) else { return };
@@ -398,7 +406,7 @@
         let Some(to) = quota_owner(customer, set, self.settings.limiters, 0).filter(|k| *k != me) else {
             return;
         };
-        // No more than the store can hold, where it is known: all is granted or nothing.
+        // Asks for at most what the store can hold, if known, since an ask is granted in full or not at all.
         let store = entry.store.map_or(f64::INFINITY, |(left, at)| left + plan.rate * (now - at) / 1000.0);
         let units = missing.min(store).min(entry.max_ask).max(entry.smallest);
         let request = entry.last_request.clone();
@@ -414,7 +422,8 @@
         self.send_line(to, Line::Ask(ask), true, out);
     }
 
-    /// A keeper's reply, on whatever was asked: what it says of its store; and the units, if it answers an ask ahead.
+    /// Applies a quota owner's reply to any ask: the level of its store and, for a prefetch ask, the granted
+    /// units.
     pub(crate) fn on_prefetch_reply(&mut self, from: u32, reply: &Reply) {
         let now = self.now;
         let Limiter { prefetch, settings, .. } = self;
@@ -425,7 +434,7 @@
         if quota_owner(reply.customer, set, settings.limiters, 0) == Some(from) {
             entry.store = Some((f64::from(reply.store_left), now));
         }
-        // One that came twice, or after it was given up for lost, moves nothing: its units stay spent.
+        // A repeated reply, or one that counts as lost, changes nothing; its units stay spent.
         let Some(asked) = entry.pending.filter(|asked| asked.id == reply.id) else { return };
         entry.pending = None;
         if reply.granted {
@@ -453,7 +462,7 @@
         entry.not_before = now + after.max(REVIEW_MS.0);
     }
 
-    /// Looks at the customers that are due: what has lapsed is told back, and what is missing asked for.
+    /// Reviews the customers that are due: returns expired units and asks for missing ones.
     pub(crate) fn review_prefetches(&mut self, out: &mut Vec<Action>) {
         let now = self.now;
         loop {
@@ -466,7 +475,7 @@
             };
             let mut returned = Vec::new();
             entry.batches.retain(|batch| {
-                // A request that spent of it may wait for a server yet.
+                // A request that spent from the batch may still wait for a server.
                 let expired = (now >= batch.until || batch.left <= ROUNDING_UNITS)
                     && now - batch.spent > GRANT_LIFETIME_MS;
                 if expired {
@@ -491,7 +500,8 @@
                 p.customers.remove(&customer);
             } else {
                 let expires = entry.batches.iter().map(|batch| batch.until).fold(now + LOST_ASK_MS, f64::min);
-                // Never at once: what is retained for another reason must not be looked at for ever.
+                // At least 1 ms later, so that a batch kept for another reason is not reviewed in an endless
+                // loop.
                 entry.next_review = if active { now + REVIEW_MS.0 } else { expires.max(now + 1.0) };
                 p.reviews.push(Reverse((entry.next_review.to_bits(), customer)));
             }
@@ -500,7 +510,7 @@
             }
             if let Some((id, units, request)) = repeat {
                 let set = (request.first, request.spread);
-                // The same number: a keeper that has answered says the same again.
+                // The same id, so that an owner that already answered repeats its reply.
                 if let Some(to) = quota_owner(customer, set, self.settings.limiters, 0) {
                     let ask = Ask { id, units: units as f32, unreported: 0.0, ..self.ask_for(&request) };
                     self.send_line(to, Line::Ask(ask), true, out);
@@ -512,8 +522,8 @@
         }
     }
 
-    /// A request that spent units held ahead has ended: what it really used is put right in what is held still. Under a
-    /// ceiling what was spent stays spent.
+    /// Corrects the prefetched units by what a finished request actually used. Under a ceiling spent units stay
+    /// spent.
     pub(crate) fn settle_prefetched(&mut self, open: &OpenRequest) {
         let Limiter { prefetch, settings, now, .. } = self;
         let (Some(p), true) = (prefetch, open.prefetched) else { return };
@@ -528,8 +538,9 @@
         }
     }
 
-    /// The message that goes out next, by its place, and how far the allowance must have filled for it, which holds `most`.
-    /// Where units are held ahead, what a request waits on goes first, then asks ahead, then what has been spent.
+    /// Index of the next message to send, and the level that the send bucket (of this capacity) must have for
+    /// it. With prefetch, asks that a request waits for go first, then prefetch asks, then reports of spent
+    /// units.
     pub(crate) fn next_message(&self, capacity: f64) -> (usize, f64) {
         if self.prefetch.is_none() {
             return (0, 1.0);
@@ -544,7 +555,7 @@
         (first, 1.0 + SEND_RESERVE[rank].min(capacity - 1.0))
     }
 
-    /// Takes that message, if it may go now.
+    /// Takes the next message if it may be sent now.
     pub(crate) fn take_next_message(&mut self, capacity: f64) -> Option<(u32, Vec<Line>)> {
         let (first, needed) = self.next_message(capacity);
         if self.send_bucket.level < needed {
--- a/src/prefetch/tests.rs
+++ b/src/prefetch/tests.rs
@@ -1,4 +1,4 @@
-//! What a keeper counts of units asked for ahead under a ceiling, and what a member makes of them after a pause.
+//! How a quota owner counts prefetched units under a ceiling, and how a member treats them after a stall.
 
 use super::*;
 use crate::accounts::ceiling_fraction;
@@ -10,7 +10,7 @@
 fn settings(position: u32) -> Settings {
     let class =
         Class { aim_ms: 1000.0, late_worth: 0.0, effect: Effect::Safe, group: KeyGroup::All, window_ms: 0.0 };
-    // The quota is so far above the ceiling that the ceiling alone decides.
+    // The quota is far above the ceiling, so that only the ceiling decides.
     let plan = Plan {
         rate: 1000.0,
         burst: 4000.0,
@@ -46,7 +46,7 @@
     quota_owner(CUSTOMER, (0, 3), 3, 0).expect("a quota owner")
 }
 
-/// The customer's first keeper, `on` or not, when its part of the ceiling has filled.
+/// The customer's first quota owner when its part of the ceiling has filled; `on` enables prefetch.
 fn owner_with_full_ceiling(on: bool) -> Limiter {
     let mut limiter = Limiter::new(settings(first_owner()), 1, BEGAN).expect("legal settings");
     if on {
@@ -64,7 +64,7 @@
     Ask { id, customer: CUSTOMER, plan: 0, first: 0, spread: 3, units, unreported: 0.0, already_spent: false }
 }
 
-/// Units that other members are granted now, one by one.
+/// Units granted to other members now, one by one.
 fn grantable_units(limiter: &mut Limiter, first: RequestId) -> f64 {
     let ids = first..first + 1000;
     let granted =
@@ -82,12 +82,12 @@
     let mut owner = owner_with_full_ceiling(true);
     let reply = owner.answer_ask(9, 1, &ask(PREFETCH_BIT | 5, 20.0)).expect("a reply");
     assert!(reply.granted && reply.long_lease);
-    // The store has filled again by then, and the 20 may be out there still.
+    // The store has filled again by then, and the 20 units may still be in use.
     let later = owner.now + PREFETCH_LIFETIME_MS + GRANT_LIFETIME_MS - 100.0;
     advance(&mut owner, later);
     let held = grantable_units(&mut owner, 1);
     assert!(held <= capacity() - 20.0 && held >= capacity() - 21.0, "{held} of {}", capacity());
-    // Once they have surely lapsed the whole depth fills again.
+    // After they have certainly expired the whole depth fills again.
     advance(&mut owner, later + 200.0);
     advance(&mut owner, later + 60_000.0);
     assert_eq!(grantable_units(&mut owner, 2000), capacity());
@@ -98,14 +98,15 @@
     let mut limiter = owner_with_full_ceiling(true);
     limiter.answer_ask(9, 1, &ask(PREFETCH_BIT | 5, 20.0)).expect("a reply");
     limiter.on_done((9, 1, PREFETCH_BIT | 5), 5.0);
-    // 15 came back at once, and 5 are spent.
+    // 15 units were returned at once, 5 are spent.
     assert_eq!(grantable_units(&mut limiter, 1), capacity() - 5.0);
-    // Said again it moves nothing.
+    // A repeated report changes nothing.
     limiter.on_done((9, 1, PREFETCH_BIT | 5), 0.0);
     assert_eq!(grantable_units(&mut limiter, 2000), 0.0);
 }
 
-/// Whoever does not hold units ahead in this fleet counts an ask ahead as any: its member must not hold it for long.
+/// An owner without prefetch counts a prefetch ask like any other, so its member must not keep the units for
+/// long.
 #[test]
 fn an_owner_without_prefetch_grants_no_long_lease() {
     let mut limiter = owner_with_full_ceiling(false);
@@ -113,7 +114,7 @@
     assert!(reply.granted && !reply.long_lease);
 }
 
-/// What the process before granted ahead may be spent still: nothing is granted until that has lapsed.
+/// Units prefetched from the previous process may still be spent: nothing is granted until they have expired.
 #[test]
 fn a_restarted_owner_waits_until_earlier_prefetch_leases_expire() {
     let from_start = |on: bool, after: Millis| {
@@ -121,7 +122,7 @@
         if on {
             limiter.enable_prefetch(100);
         }
-        // It owes its slack at the start, and fills from then on.
+        // The ceiling starts at minus its slack and fills from then on.
         let owed_ms = 1000.0 * (1.0 + 2.0 * 5.0 * 0.62) / (10.0 * 0.62);
         advance(&mut limiter, BEGAN + after + owed_ms);
         grantable_units(&mut limiter, 1)
@@ -134,7 +135,7 @@
     );
 }
 
-/// Clients come no sooner than the ceilings can have begun to fill, as without it.
+/// Clients are accepted only when the ceilings can have begun to fill, with and without prefetch.
 #[test]
 fn readiness_is_delayed_as_long_as_the_filling_of_ceilings() {
     let ready_ms = |on: bool| {
@@ -147,7 +148,7 @@
     assert_eq!(ready_ms(true), ready_ms(false) + PREFETCH_LIFETIME_MS);
 }
 
-/// A member whose keeper is another.
+/// A member whose quota owner is another limiter.
 fn member() -> Limiter {
     let position = (first_owner() + 1) % 3;
     let mut limiter = Limiter::new(settings(position), 1, BEGAN).expect("legal settings");
@@ -164,7 +165,7 @@
     limiter
 }
 
-/// Gives it requests until it has asked ahead, and that ask's reply; the units that it holds then.
+/// Sends requests until the member has prefetched, and the reply to that ask; returns the units it then has.
 fn prefetch_units(limiter: &mut Limiter, long_lease: bool, first: RequestId) -> f64 {
     let mut out = Vec::new();
     for id in first..first + 40 {
@@ -230,12 +231,13 @@
         let asked = held.batches[0].asked;
         let (before, after) = (asked + life - 1.0, asked + life);
         assert_eq!(spends(&mut limiter, before, 900), Prefetched::Spent, "long lease {long_lease}");
-        // No look came in between, as when the process stood still.
+        // There was no review in between, as after a stall.
         assert_ne!(spends(&mut limiter, after, 901), Prefetched::Spent, "long lease {long_lease}");
     }
 }
 
-/// At a keeper that forgets it soon a request must go out in the time of a request, counted from the ask ahead.
+/// An owner without prefetch support soon stops counting the units, so a request must be sent within the
+/// lifetime of a grant, counted from the prefetch ask.
 #[test]
 fn a_short_lease_counts_from_the_prefetch_ask() {
     let mut limiter = member();
@@ -268,7 +270,7 @@
     assert_eq!(units(&limiter), held);
 }
 
-/// What is told to a successor as lent counts there for as long as here.
+/// Exported leases count at the successor for as long as here.
 #[test]
 fn a_successor_counts_prefetch_leases_to_their_end() {
     let mut leases = Leases { prefetch_enabled: true, ..Leases::default() };
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,24 +1,24 @@
-//! From when on a server counts as cold. Its start is reported by a wall clock, and the wall clock of any machine may be last_step,
-//! by seconds or by an hour: a start that cannot be right counts as one of this moment.
+//! When the slow start of a server begins. Its start is reported by a wall clock, and any machine's wall clock
+//! may be stepped, by seconds or by an hour: an implausible start counts as now.
 
 use crate::interface::Millis;
 
-/// A start that is is_new was at most so long ago: discovery tells it within seconds, and after an outage later.
+/// Maximum age of a start that is new: discovery reports it within seconds, or after an outage later.
 const MAX_NEW_START_AGE_MS: Millis = 60_000.0;
 
-/// What discovery says of a server's last start, in milliseconds of Unix time; 0 for long ago.
+/// What discovery reports about a server's last start, in milliseconds of Unix time; 0 for long ago.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Start {
-    /// As it is reported now.
+    /// The start as reported now.
     pub reported: Millis,
-    /// As it was reported reported_before, of a server that is known.
+    /// The start as reported before, if the server was listed.
     pub reported_before: Option<Millis>,
-    /// Had it been so for long, an earlier list would have reported it.
+    /// The start is new: an earlier list would have contained it otherwise.
     pub is_new: bool,
 }
 
 impl Start {
-    /// Since when the server counts as cold; nothing if it is warm, or nothing is new about it.
+    /// Time since which the server counts as cold; none if it is warm or its start is unchanged.
     pub fn cold_since(self, now: Millis, cold_ms: Millis) -> Option<Millis> {
         if self.reported <= 0.0 || self.reported_before == Some(self.reported) {
             return None;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,5 @@
-//! What a limiter remembers, as plain records. What they hold and mean is decided in `policy.rs`.
+//! The state of a limiter as plain records. The rules on them are in `policy.rs`, `customers.rs` and
+//! `accounts.rs`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,7 +9,7 @@
 use crate::message::Line;
 use crate::prefetch::{Leases, Prefetch};
 
-/// A value that fades towards nothing: a sum of amounts over `span` milliseconds.
+/// A sum of amounts that decays exponentially over `span` milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct DecayingSum {
     pub sum: f64,
@@ -27,17 +28,17 @@
     pub fn value(&self, now: Millis) -> f64 {
         self.sum * (-(now - self.at) / self.span).exp()
     }
-    /// Goes on over another span at the same rate.
+    /// Changes the span and keeps the rate.
     pub fn set_span(&mut self, now: Millis, span: Millis) {
         *self = DecayingSum { sum: self.value(now) * span / self.span, at: now, span };
     }
-    /// Amount a second.
+    /// Amount per second.
     pub fn rate(&self, now: Millis) -> f64 {
         self.value(now) * 1000.0 / self.span
     }
 }
 
-/// The mean of samples that fade: their sum and their number.
+/// Exponentially weighted mean: the decayed sum and number of samples.
 #[derive(Debug, Clone, Copy)]
 pub struct DecayingMean {
     pub sum: DecayingSum,
@@ -49,14 +50,14 @@
         self.sum.add(now, sample);
         self.count.add(now, 1.0);
     }
-    /// The mean, if half a sample or more is left.
+    /// The mean, if the weight of half a sample or more is left.
     pub fn value(&self, now: Millis) -> Option<f64> {
         let count = self.count.value(now);
         (count > 0.5).then(|| self.sum.value(now) / count)
     }
 }
 
-/// A store of units that fills with time.
+/// Token bucket that fills with time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TokenBucket {
     pub level: f64,
@@ -70,59 +71,59 @@
     }
 }
 
-/// One limiter: all that it remembers. `policy.rs` holds its decisions.
+/// State of one limiter. Its decisions are in `policy.rs`.
 #[derive(Debug)]
 pub struct Limiter {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Millis,
     pub(crate) started_at: Millis,
-    /// When this process began, whomever it goes on as.
+    /// Start of this process, also where it continues another process's state.
     pub(crate) process_started_at: Millis,
-    /// Tells one start from another in messages.
+    /// Distinguishes the starts of a limiter in messages.
     pub(crate) incarnation: u32,
     pub(crate) has_started: bool,
-    /// A peer has been heard that started long before.
+    /// A peer that started well before this limiter has sent a message.
     pub(crate) older_peer_seen: bool,
     pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
     pub(crate) attempts: BTreeMap<(RequestId, u32), Attempt>,
     pub(crate) held: VecDeque<RequestId>,
     pub(crate) customers: Table<CustomerId, Customer>,
     pub(crate) accounts: Table<CustomerId, Account>,
-    /// What forgotten ones still owe, by customer and plan: even parts, stores, ceilings.
+    /// Deficits of evicted customers, by customer and plan.
     pub(crate) deficits: Deficits,
-    /// New customers a second, and those seen of late without a record.
+    /// Rate of new customers, and recent customers without a record.
     pub(crate) new_customers: DecayingSum,
     pub(crate) recent_keys: RecentKeys,
     pub(crate) pressure: Pressure,
     pub(crate) counts: CustomerCounts,
     pub(crate) grants: Table<GrantKey, Grant>,
-    /// Units granted under a ceiling, and grants that count as out: when, and whose, the oldest first.
+    /// Units granted under ceilings, and open grants with their time, the oldest first.
     pub(crate) leases: Leases,
     pub(crate) open_grants: VecDeque<(Millis, GrantKey)>,
     /// Messages that each peer may still send.
     pub(crate) allowance: BTreeMap<u32, TokenBucket>,
     pub(crate) outbox: VecDeque<(u32, Vec<Line>)>,
-    /// Messages that may be sent now.
+    /// Messages that this limiter may send now.
     pub(crate) send_bucket: TokenBucket,
     pub(crate) send_scheduled: bool,
     pub(crate) missed_replies: BTreeMap<u32, MissedReplies>,
-    /// Usual wait for a keeper's word.
+    /// Smoothed wait for a quota owner's reply.
     pub(crate) reply_wait_ms: Millis,
     pub(crate) last_step: Millis,
-    /// When this limiter last went on after a pause.
+    /// End of this limiter's last stall.
     pub(crate) resumed_at: Millis,
     pub(crate) servers: BTreeMap<ServerId, Server>,
     pub(crate) server_order: Vec<ServerId>,
-    /// Lists taken in so far.
+    /// Number of server lists received.
     pub(crate) lists_received: u32,
-    /// Attempts that were to be sent, whether a server could have them or not.
+    /// Attempts that were due, whether or not a server accepted them.
     pub(crate) attempt_demand: DecayingSum,
-    /// Attempts a second that this limiter has for each server when all are there.
+    /// Attempts per second that this limiter has for each server when all are up.
     pub(crate) attempts_per_server: f64,
-    /// Servers that have served of late.
+    /// Number of servers that served recently.
     pub(crate) recent_servers: f64,
-    /// Usual latency of all servers.
+    /// Typical latency of all servers.
     pub(crate) typical_latency: Millis,
     pub(crate) recent_units: VecDeque<f64>,
     /// Lower bounds of the four classes of units.
@@ -131,22 +132,23 @@
     pub(crate) cancelled_slots: DecayingSum,
     pub(crate) slot_limit: f64,
     pub(crate) num_big_queries: f64,
-    /// Latency as a share of the aim, sum and count: of this limiter alone, and with what peers told.
+    /// Latency as a fraction of the target latency: of this limiter alone, and including what peers report.
     pub(crate) own_latency: DecayingMean,
     pub(crate) latency: DecayingMean,
     pub(crate) refused_full: DecayingMean,
-    /// Good answers, and the sum of their aims.
+    /// Good answers, and the sum of their target latencies.
     pub(crate) completed: DecayingSum,
     pub(crate) completed_targets: DecayingSum,
     pub(crate) hold_rate: DecayingSum,
     pub(crate) admit_rate: DecayingSum,
     pub(crate) retry_budget: f64,
-    /// Units held ahead of need, where that is switched on.
+    /// Prefetched units, if prefetch is enabled.
     pub(crate) prefetch: Option<Box<Prefetch>>,
 }
 
 impl Limiter {
-    /// Nothing seen yet; rates are smoothed over `smooth`, the pace of attempts over `pace`. `most` bounds what is kept.
+    /// A limiter without history. Rates are smoothed over `smoothing_ms`, the attempt rate over
+    /// `attempt_rate_ms`; `capacities` bounds the tables.
     pub(crate) fn blank(
         settings: Settings,
         seed: u64,
@@ -168,7 +170,7 @@
             leases: Leases::default(),
             open_grants: VecDeque::new(),
             allowance: BTreeMap::new(),
-            // Limiters that were given one seed must not draw alike: what each lets in by chance sums up.
+            // Limiters with the same seed must draw different numbers: their random admissions add up.
             rng: fastrand::Rng::with_seed(
                 seed ^ u64::from(settings.position).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             ),
@@ -216,9 +218,8 @@
 }
 
 impl Limiter {
-    /// Whether a wake-up asked for still means something. One for a request that is over, an ask that was
-    /// answered or an attempt that has ended does nothing when it comes, so that the caller need not wait for
-    /// it; it may come all the same.
+    /// Whether a requested wake-up still has an effect. A wake-up for a finished request, an answered ask or an
+    /// ended attempt does nothing, so the caller may drop it or deliver it.
     pub fn wake_is_needed(&self, wake: u64) -> bool {
         let open = || self.requests.get(&((wake >> 3) as RequestId));
         match wake & 7 {
@@ -230,20 +231,20 @@
     }
 }
 
-/// Sizes of what is kept by name.
+/// Capacities of the tables.
 pub(crate) struct Capacities {
     pub customers: usize,
     pub grants: usize,
-    /// Cells a row of the sketches of debts.
+    /// Cells per row of the deficit sketches.
     pub cells: usize,
-    /// Names seen without a record, and for how long.
+    /// Keys remembered without a record, and for how long.
     pub recent_keys: usize,
     pub recent_keys_ms: Millis,
-    /// Over which the pace of new names is taken.
+    /// Time over which the rate of new customers is taken.
     pub rate_window_ms: Millis,
 }
 
-/// Until when forgotten customers owe, by customer and plan.
+/// Times until which evicted customers have a deficit, by customer and plan.
 #[derive(Debug, Clone)]
 pub struct Deficits {
     pub equal_shares: DeficitSketch,
@@ -251,36 +252,37 @@
     pub ceilings: DeficitSketch,
 }
 
-/// How far the bound on customers is felt.
+/// How close the customer table is to its capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pressure {
-    /// There is room.
+    /// Records are free.
     BelowCapacity,
-    /// A new one displaces another.
+    /// A new customer evicts another one.
     Full,
-    /// New ones come so fast that they would displace all: strangers are refused.
+    /// New customers arrive so fast that they would evict all others; they are refused.
     Overloaded,
 }
 
-/// What a member of a customer's set remembers of it.
+/// A member's record of a customer.
 #[derive(Debug, Default)]
 pub struct Customer {
-    /// The even part here, for the time without a keeper.
+    /// This limiter's equal share, used while no quota owner answers.
     pub equal_share: TokenBucket,
-    /// Units in the keeper's store, as told last, less what was spent here since; full until a word comes.
+    /// Units in the quota owner's store by its last reply, less what was spent here since; full before the
+    /// first reply.
     pub store_left: f64,
-    /// Demand at all limiters as a multiple of the quota, as a keeper told it, and when.
+    /// Demand at all limiters as a multiple of the quota by the last reply, and when that was.
     pub demand_at: Millis,
     pub demand: f32,
     /// Units refused by chance since the last ask.
     pub unreported: f32,
     pub spread: u16,
     pub plan: u8,
-    /// Seen more than once.
+    /// The customer was seen more than once.
     pub seen_before: bool,
 }
 
-/// What a keeper holds for a customer, as of `at`.
+/// A quota owner's account of a customer, as of `at`.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Account {
     pub at: Millis,
@@ -288,31 +290,31 @@
     pub ceiling: f64,
     /// Units granted under the ceiling that a member may still spend.
     pub leased: f64,
-    /// Units asked for, and units granted: sums that fade.
+    /// Units asked for and units granted, as decaying sums.
     pub demand: f64,
     pub admitted: f64,
-    /// Requests granted and not yet done.
+    /// Requests that are granted and not done.
     pub open: u32,
     pub plan: u8,
-    /// This keeper's rank, which says what share it owns.
+    /// This owner's rank, which determines its share.
     pub rank: u8,
 }
 
-/// A member's request at its keeper: position and start of the member, number of the request.
+/// A member's request at its quota owner: position and incarnation of the member, request number.
 pub type GrantKey = (u32, u32, RequestId);
 
-/// What a keeper answered, kept for repeats and for the end of the request.
+/// A quota owner's decision, kept for repeated asks and for the end of the request.
 #[derive(Debug)]
 pub struct Grant {
     pub customer: CustomerId,
     pub units: f64,
     pub granted: bool,
-    /// Counts as out.
+    /// Counts as an open request.
     pub open: bool,
     pub done: bool,
 }
 
-/// A keeper that left an ask unanswered.
+/// Missed replies of a quota owner.
 #[derive(Debug, Clone, Copy)]
 pub struct MissedReplies {
     pub misses: u32,
@@ -322,22 +324,22 @@
 #[derive(Debug)]
 pub struct Server {
     pub entry: ServerEntry,
-    /// Attempts of this limiter out there.
+    /// Attempts of this limiter that are outstanding at the server.
     pub outstanding: u32,
     pub latency: f64,
     pub errors: f64,
     pub silences: u32,
-    /// Set aside until then; `ejection_ms` is how long the last time was.
+    /// End of the ejection; `ejection_ms` is the length of the last one.
     pub ejected_until: Millis,
     pub ejection_ms: Millis,
-    /// Why, until the log has told.
+    /// Reason of an ejection that is not logged yet.
     pub ejection_reason: Option<&'static str>,
     pub full_until: Millis,
     pub last_answer: Millis,
-    /// It counts as cold from this moment on.
+    /// The server counts as cold since then.
     pub cold_since: Option<Millis>,
     pub cold_bucket: TokenBucket,
-    /// Answers of the last seconds: how far its own figures are to be trusted.
+    /// Recent answers, which say how far the server's own figures can be trusted.
     pub answers: DecayingSum,
 }
 
@@ -345,28 +347,29 @@
 pub struct OpenRequest {
     pub request: Request,
     pub arrived: Millis,
-    /// Keepers passed over so far, and asks to the present one.
+    /// Rank of the quota owner that is asked, and number of asks to it.
     pub rank: u32,
     pub asks: u32,
-    /// Waiting for a keeper's word since then.
+    /// The quota owner whose reply is awaited, and since when.
     pub pending_ask: Option<(u32, Millis)>,
-    /// Units under a ceiling count as lent from this moment on: its arrival, or when they were asked for ahead.
+    /// Start of the lease of units under a ceiling: the arrival of the request, or the time of the prefetch
+    /// ask.
     pub leased_from: Millis,
-    /// Its units were held ahead.
+    /// The units were prefetched.
     pub prefetched: bool,
-    /// The keeper that granted the units.
+    /// The quota owner that granted the units.
     pub owner: Option<u32>,
-    /// When the quota let it in.
+    /// When the quota admitted the request.
     pub admitted_at: Millis,
     pub actual_units: Option<f64>,
     pub deadline: Millis,
     pub attempts: u32,
-    /// The earliest attempt that may have run: when it was sent, zone and cell of its server.
+    /// The first attempt that may have run: when it was sent, and zone and cell of its server.
     pub may_have_run: Option<(Millis, u32, u32)>,
     pub outstanding: bool,
     pub held: bool,
     pub streaming: bool,
-    /// Server of the last attempt, avoided by the next.
+    /// Server of the last attempt, avoided by the next one.
     pub last_server: Option<ServerId>,
 }
 
@@ -397,7 +400,7 @@
 #[derive(Debug)]
 pub struct Attempt {
     pub server: ServerId,
-    /// Zone and cell of the server when it was sent: the list may have dropped it since.
+    /// Zone and cell of the server at the time of sending; the server may have left the list since.
     pub location: (u32, u32),
     pub sent: Millis,
     pub slots: f64,
@@ -406,13 +409,13 @@
 }
 
 impl Server {
-    /// A line for the staff when the server has been set aside.
+    /// Takes the log line of an ejection that is not logged yet.
     pub fn take_ejection_log(&mut self, id: &ServerId) -> Option<String> {
         let reason = self.ejection_reason.take()?;
         Some(format!("server {id} {reason}, ejected for {} ms", self.ejection_ms))
     }
 
-    /// `span` is the time over which its answers are counted.
+    /// A new server; its answers are counted over `span` milliseconds.
     pub fn new(entry: ServerEntry, now: Millis, span: Millis) -> Self {
         Server {
             entry,
@@ -432,12 +435,12 @@
     }
 }
 
-/// The token of a wake-up: a request and, in the three low bits, a kind.
+/// Token of a wake-up: the request and, in the three low bits, the kind.
 pub fn wake_token(id: RequestId, kind: u64) -> u64 {
     u64::from(id) << 3 | kind
 }
 
-/// Kinds of wake-up, kept in the low bits of a token, the request above them.
+/// Kinds of wake-up, in the low bits of a token.
 pub const WAKE_STEP: u64 = 0;
 pub const WAKE_DEADLINE: u64 = 1;
 pub const WAKE_TARGET: u64 = 2;
--- a/src/validation.rs
+++ b/src/validation.rs
@@ -1,8 +1,8 @@
-//! Which settings can be served at all.
+//! Validation of the settings.
 
 use crate::interface::*;
 
-/// Each value that cannot be served, named.
+/// One message for each setting that is out of range.
 pub fn validation_errors(s: &Settings) -> Vec<String> {
     let valid = |x: f64| x.is_finite() && x >= 0.0;
     let class_ok = |c: &Class| c.aim_ms > 0.0 && valid(c.aim_ms) && valid(c.window_ms) && valid(c.late_worth);
@@ -32,7 +32,10 @@
         .collect()
 }
 
-/// An error that names the first value that cannot be served.
+/// Checks the settings.
+///
+/// # Errors
+/// The first message of [`validation_errors`].
 pub fn validate(s: &Settings) -> Result<(), String> {
     validation_errors(s).into_iter().next().map_or(Ok(()), Err)
 }
