--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -157,7 +157,7 @@
             return Err(ReadError::Corrupt("the checksum does not match".to_string()));
         }
         let read: Snapshot = postcard::from_bytes(body).map_err(|e| ReadError::Corrupt(e.to_string()))?;
-        read.state.fits(settings).map_err(ReadError::Corrupt)?;
+        read.state.validate(settings).map_err(ReadError::Corrupt)?;
         if !read.written_ms.is_finite() {
             return Err(ReadError::Corrupt("the time of writing is not a finite number".to_string()));
         }
--- a/src/accounts.rs
+++ b/src/accounts.rs
@@ -14,15 +14,18 @@
 /// The first owner holds this multiple of the quota's fraction of a ceiling, within these bounds. What it
 /// grants beyond the quota is guaranteed to nobody.
 const FIRST_OWNER_HEADROOM: f64 = 1.05;
-const FIRST_OWNER_FRACTION: (f64, f64) = (0.3, 0.62);
-/// Fractions of the rest held by the other owners, which take over while the first one is down, and by all
-/// members together, for the time without any owner. They sum to one.
+const MIN_FIRST_OWNER_FRACTION: f64 = 0.3;
+const MAX_FIRST_OWNER_FRACTION: f64 = 0.62;
+/// Fractions of the rest held by the other owners, which take over while the first one is down. With
+/// `MEMBERS_FRACTION` they sum to one.
 const OTHER_OWNER_FRACTIONS: [f64; QUOTA_OWNERS - 1] = [0.13, 0.07];
+/// Fraction of the rest held by all members together, for the time without any owner.
 const MEMBERS_FRACTION: f64 = 0.8;
 /// Fraction of the quota that the other owners grant: the first one may be cut off from some members only.
 pub(crate) const BACKUP_OWNER_FRACTION: f64 = 0.5;
 /// Bounds of the time over which demand is smoothed; within them it is the time of a whole burst.
-pub(crate) const DEMAND_WINDOW_MS: (Millis, Millis) = (1000.0, 10_000.0);
+pub(crate) const MIN_DEMAND_WINDOW_MS: Millis = 1000.0;
+pub(crate) const MAX_DEMAND_WINDOW_MS: Millis = 10_000.0;
 /// Time from its arrival in which a request may spend units granted under a ceiling; the quota owner counts
 /// them against the ceiling's depth until then. It covers the waits for a reply and for a server.
 pub(crate) const GRANT_LIFETIME_MS: Millis = 500.0;
@@ -44,7 +47,7 @@
 /// owners are silent.
 fn first_owner_fraction(plan: &Plan) -> f64 {
     let quota = (plan.rate / plan.ceiling_rate).max(plan.burst / plan.ceiling_burst);
-    (quota * FIRST_OWNER_HEADROOM).max(FIRST_OWNER_FRACTION.0).min(FIRST_OWNER_FRACTION.1)
+    (quota * FIRST_OWNER_HEADROOM).max(MIN_FIRST_OWNER_FRACTION).min(MAX_FIRST_OWNER_FRACTION)
 }
 
 /// Fraction of the ceiling held by an owner of this rank.
@@ -135,20 +138,20 @@
 }
 
 fn demand_window_ms(plan: &Plan) -> Millis {
-    (1000.0 * plan.burst / plan.rate.max(1e-9)).clamp(DEMAND_WINDOW_MS.0, DEMAND_WINDOW_MS.1)
+    (1000.0 * plan.burst / plan.rate.max(1e-9)).clamp(MIN_DEMAND_WINDOW_MS, MAX_DEMAND_WINDOW_MS)
 }
 
 impl CustomerCounts {
-    pub(crate) fn count_eviction(&mut self, fate: Evictability) {
-        match fate {
+    pub(crate) fn count_eviction(&mut self, eviction: Evictability) {
+        match eviction {
             Evictability::Lossless => self.evicted_full += 1,
             _ => self.evicted_with_deficit += 1,
         }
     }
 
-    pub(crate) fn log_line(&self, held: usize, capacity: usize, state: &str) -> String {
+    pub(crate) fn log_line(&self, used: usize, capacity: usize, state: &str) -> String {
         format!(
-            "customers: {held} of {capacity} records in use: {state} (evicted with nothing owed {}, with a deficit {}; \
+            "customers: {used} of {capacity} records in use: {state} (evicted with nothing owed {}, with a deficit {}; \
              new customers refused {}; asks decided without a record {})",
             self.evicted_full, self.evicted_with_deficit, self.new_refused, self.decided_without_record
         )
--- a/src/customers.rs
+++ b/src/customers.rs
@@ -23,21 +23,23 @@
 /// Minimum number of keys remembered that way: twice as many as one core refuses in that time, at one byte
 /// each.
 const MIN_RECENT_KEYS: usize = 500_000;
-/// Time over which the rate of new customers is taken, and the fraction of the table that must be filled before
-/// it counts.
+/// Time over which the rate of new customers is taken.
 const NEW_CUSTOMER_RATE_MS: Millis = 1000.0;
+/// Fraction of the table that must be filled before that rate counts.
 const MIN_FILL_FRACTION: f64 = 0.25;
 /// Maximum number of records visited per step; a step runs every 100 ms.
 const RECORDS_PER_STEP: usize = 1024;
-/// Time for which a quota owner keeps its grants, and for which a reply is valid at a member.
+/// Time for which a quota owner keeps its grants.
 pub(crate) const GRANT_RETENTION_MS: Millis = 8000.0;
+/// Time for which a reply is valid at a member.
 pub(crate) const REPLY_VALIDITY_MS: Millis = 4000.0;
 /// Maximum number of leases under ceilings, and of open grants. Beyond it nothing more is granted.
 pub(crate) const MAX_OUTSTANDING_GRANTS: usize = 1 << 16;
 /// Fraction of the capacity below which the table no longer counts as full.
-const RELIEVED_FRACTION: f64 = 0.9;
-/// Minimum number of grants kept, for the open requests of this limiter, and lines in a message.
+const NOT_FULL_FRACTION: f64 = 0.9;
+/// Minimum number of grants kept, for the open requests of this limiter.
 const MIN_GRANTS: usize = 8192;
+/// Lines in a message.
 const MAX_MESSAGE_LINES: f64 = 10.0;
 
 /// Capacities of the tables under these settings.
@@ -248,16 +250,16 @@
     /// A log line when the table first reaches its capacity, when new customers arrive too fast, and when
     /// either ends.
     pub(crate) fn log_customer_pressure(&mut self) -> Option<String> {
-        let (held, capacity) = (self.customers.len().max(self.accounts.len()), self.customers.capacity());
-        let press = match self.pressure {
+        let (used, capacity) = (self.customers.len().max(self.accounts.len()), self.customers.capacity());
+        let pressure = match self.pressure {
             _ if self.has_new_customer_overload() => Pressure::Overloaded,
-            Pressure::BelowCapacity if held < capacity => Pressure::BelowCapacity,
-            _ if (held as f64) < capacity as f64 * RELIEVED_FRACTION => Pressure::BelowCapacity,
+            Pressure::BelowCapacity if used < capacity => Pressure::BelowCapacity,
+            _ if (used as f64) < capacity as f64 * NOT_FULL_FRACTION => Pressure::BelowCapacity,
             _ => Pressure::Full,
         };
-        let was = std::mem::replace(&mut self.pressure, press);
-        let state = match (was, press) {
-            (was, now) if was == now => return None,
+        let previous = std::mem::replace(&mut self.pressure, pressure);
+        let state = match (previous, pressure) {
+            (previous, now) if previous == now => return None,
             (_, Pressure::Overloaded) => {
                 "new customers arrive too fast, they are refused until their second request"
             }
@@ -265,7 +267,7 @@
             (Pressure::Overloaded, _) => "new customers are accepted again",
             _ => "below capacity again",
         };
-        Some(self.customer_counts().log_line(held, capacity, state))
+        Some(self.customer_counts().log_line(used, capacity, state))
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,19 @@
-//! The decisions of a gateway that holds customers to quotas before a shared back end.
+//! Decision logic of a rate limiter and load balancer that enforces customer quotas in front of a shared back end.
 //!
-//! [`interface`] holds the settings, events and actions; [`policy::Limiter`] turns events into actions.
-//! There is no clock, thread, network or shared state inside: the caller brings the time with each event.
+//! [`interface`] defines the settings, events and actions; [`policy::Limiter`] turns events into actions.
+//! The crate uses no clock, thread, network or shared state: the caller passes the time with each event.
 //!
 //! ```
 //! use fawnhill::*;
 //!
-//! let look = Class {
+//! let lookup = Class {
 //!     aim_ms: 1000.0, late_worth: 0.0, effect: Effect::Safe, group: KeyGroup::All, window_ms: 0.0,
 //! };
 //! let basic = Plan {
 //!     rate: 4.0, burst: 8.0, open: 0, ceiling_rate: 0.0, ceiling_burst: 0.0, ceiling_slack: 0.0,
 //! };
 //! let settings = Settings {
-//!     limiters: 1, position: 0, zone: 0, classes: vec![look], plans: vec![basic], round_ms: 1.0,
+//!     limiters: 1, position: 0, zone: 0, classes: vec![lookup], plans: vec![basic], round_ms: 1.0,
 //!     max_attempts: 3, connect_timeout_ms: 250.0, may_probe: false, may_tell: false, may_cancel: true,
 //!     may_advise: false, messages_per_s: 0.0, must_subscribe: false, cold_share: 0.2, cold_ms: 10_000.0,
 //!     fall_multiple: 3.0, fall_ms: 2000.0, firms: 10_000,
@@ -32,7 +32,7 @@
 //! limiter.handle(5.0, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, .. })));
 //!
-//! // Settings that cannot be served are refused, and the error names the value.
+//! // Invalid settings are rejected, and the error names the setting.
 //! let error = Limiter::new(Settings { limiters: 0, ..settings }, 42, 0.0).unwrap_err();
 //! assert!(error.contains("limiters"));
 //! # Ok::<(), String>(())
--- a/src/limiter_state.rs
+++ b/src/limiter_state.rs
@@ -129,21 +129,28 @@
                 && finite(&c.store_left)
         };
         let account = |(_, a): &(CustomerId, AccountState)| {
-            let figures = a.levels.iter().chain(&a.rates).chain([&a.ago]);
-            usize::from(a.plan) < plans && a.rank < 3 && figures.into_iter().all(finite)
+            let values = a.levels.iter().chain(&a.rates).chain([&a.ago]);
+            usize::from(a.plan) < plans && a.rank < 3 && values.into_iter().all(finite)
         };
         let server =
             |(_, s): &(String, ServerState)| finite(&s.latency) && finite(&s.errors) && finite(&s.answers.0);
         let f = &self.feedback;
-        let figures = f.limit.iter().chain(&f.figures).chain(&f.units);
+        let values = f.limit.iter().chain(&f.figures).chain(&f.units);
         let sums = f.means.iter().flat_map(|(a, b)| [a, b]).chain(&f.rates);
         let spans = sums.clone().all(|(value, span)| finite(value) && finite(span) && *span > 0.0);
         match () {
-            () if !self.customers.iter().all(customer) => Err("a customer's record does not fit".to_string()),
-            () if !self.accounts.iter().all(account) => Err("an account does not fit".to_string()),
-            () if !self.servers.iter().all(server) => Err("a server's figures make no sense".to_string()),
-            () if !spans || !figures.into_iter().all(finite) => {
-                Err("the feedback makes no sense".to_string())
+            () if !self.customers.iter().all(customer) => {
+                Err("a customer record has an unknown plan, no limiters or a value that is not finite"
+                    .to_string())
+            }
+            () if !self.accounts.iter().all(account) => {
+                Err("an account has an unknown plan or rank or a value that is not finite".to_string())
+            }
+            () if !self.servers.iter().all(server) => {
+                Err("a server has a value that is not finite".to_string())
+            }
+            () if !spans || !values.into_iter().all(finite) => {
+                Err("the feedback has a value that is not finite or a span that is not positive".to_string())
             }
             () => Ok(()),
         }
@@ -280,14 +287,14 @@
             };
             let _ = self.customers.insert(now, *id, customer);
         }
-        for (id, h) in &state.servers {
+        for (id, server) in &state.servers {
             let Some(s) = self.servers.get_mut(id.as_str()) else { continue };
-            (s.latency, s.errors, s.silences) = (h.latency, h.errors, h.silences);
-            (s.ejected_until, s.ejection_ms) = (now + h.ejected.0, h.ejected.1);
-            (s.full_until, s.last_answer) = (now + h.full, at(h.since_answer));
-            s.answers = decaying_sum(h.answers, now);
+            (s.latency, s.errors, s.silences) = (server.latency, server.errors, server.silences);
+            (s.ejected_until, s.ejection_ms) = (now + server.ejected.0, server.ejected.1);
+            (s.full_until, s.last_answer) = (now + server.full, at(server.since_answer));
+            s.answers = decaying_sum(server.answers, now);
             // The server list may report a later start, whose bucket is still empty.
-            if let (Some((ago, (level, level_ago))), Some(from)) = (h.cold, s.cold_since) {
+            if let (Some((ago, (level, level_ago))), Some(from)) = (server.cold, s.cold_since) {
                 if at(ago) + 1.0 >= from {
                     s.cold_bucket = TokenBucket { level, at: at(level_ago) };
                 }
--- a/src/planted.rs
+++ b/src/planted.rs
@@ -45,22 +45,22 @@
 }
 
 #[cfg(feature = "planted")]
-static CHOSEN: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
+static ACTIVE: std::sync::atomic::AtomicU8 = std::sync::atomic::AtomicU8::new(0);
 
 #[cfg(feature = "planted")]
-static LOOKS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
+static CHECKS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
 /// Counts the check of a server and returns its index.
 #[cfg(feature = "planted")]
 pub fn count_check(at: usize) -> usize {
-    LOOKS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+    CHECKS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     at
 }
 
 /// Number of server checks by all limiters of this process.
 #[cfg(feature = "planted")]
 pub fn checks_counted() -> u64 {
-    LOOKS.load(std::sync::atomic::Ordering::Relaxed)
+    CHECKS.load(std::sync::atomic::Ordering::Relaxed)
 }
 
 /// Returns the index and counts nothing.
@@ -73,13 +73,13 @@
 /// Activates one fault in all limiters of this process, or none.
 #[cfg(feature = "planted")]
 pub fn activate(fault: Option<Fault>) {
-    CHOSEN.store(fault.map_or(0, |f| f as u8), std::sync::atomic::Ordering::SeqCst);
+    ACTIVE.store(fault.map_or(0, |f| f as u8), std::sync::atomic::Ordering::SeqCst);
 }
 
 /// Whether a fault is active.
 #[cfg(feature = "planted")]
 pub fn is_active(fault: Fault) -> bool {
-    CHOSEN.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
+    ACTIVE.load(std::sync::atomic::Ordering::Relaxed) == fault as u8
 }
 
 /// Always false: no fault can be active.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -20,90 +20,104 @@
 // Feedback (CASA).
 /// Initial slot limit: generous, it takes effect once the error turns positive.
 const INITIAL_SLOT_LIMIT: f64 = 4096.0;
-/// Minimum slots per server over the limits of all limiters together. Under a lower limit too few requests
-/// finish to raise it again.
+/// Minimum slots per server over the limits of all limiters together. Under a lower limit too few requests finish
+/// to raise it again.
 const MIN_SLOTS_PER_SERVER: f64 = 6.0;
-/// Fraction of the target latency that the smoothed latency may reach; above it the error is positive. The
-/// value is low since latency shows a queue only after the queue was served: at half the target latency a flood
-/// had already filled the servers.
+/// Fraction of the target latency that the smoothed latency may reach; above it the error is positive. The value
+/// is low since latency shows a queue only after the queue was served: at half the target latency a flood had
+/// already filled the servers.
 const TARGET_FRACTION: f64 = 0.25;
-/// Interval between two steps of the feedback, and the time in which numBigQueries moves by error times
-/// damping.
+/// Interval between two steps of the feedback.
 const STEP_MS: Millis = 100.0;
+/// Time in which numBigQueries moves by error times damping.
 const DAMPING_MS: Millis = 1000.0;
 /// Upper bound of alpha. With a larger one a single costly request fills a low limit and the back end idles.
 const MAX_ALPHA: f64 = 2.0;
-/// Number of samples over which latency, hold rate and admit rate are smoothed, and the bounds of that time.
+/// Number of samples over which latency, hold rate and admit rate are smoothed.
 const SMOOTHING_SAMPLES: f64 = 20.0;
-const SMOOTHING_MS: (Millis, Millis) = (1000.0, 10_000.0);
-/// Growth of the limit per step while the error is negative and more than half of the limit is in use. An
-/// unused limit says nothing about capacity.
+/// Bounds of the time over which they are smoothed.
+const MIN_SMOOTHING_MS: Millis = 1000.0;
+const MAX_SMOOTHING_MS: Millis = 10_000.0;
+/// Growth of the limit per step while the error is negative and more than half of the limit is in use. An unused
+/// limit says nothing about capacity.
 const LIMIT_GROWTH: f64 = 0.03;
-/// Number of recent requests whose units set the class bounds, and the fraction of the target latency for which
-/// a request may be held.
+/// Number of recent requests whose units set the class bounds.
 const MAX_RECENT_UNITS: usize = 256;
+/// Fraction of the target latency for which a request may be held.
 const MAX_HOLD_FRACTION: f64 = 0.25;
 
 // Quotas: members (the limiters that receive a customer's requests) and quota owners.
-/// Longest wait for ceilings to fill at startup, and the age difference from which a peer counts as already
-/// serving.
+/// Longest wait for ceilings to fill at startup.
 const MAX_STARTUP_WAIT_MS: Millis = 5000.0;
+/// A peer that started this much earlier already serves.
 const OLDER_PEER_MS: Millis = 2000.0;
 /// Fraction of the quota's store that must be left, as far as a member knows, before it spends without asking.
 const MIN_STORE_FRACTION: f64 = 0.5;
 /// Multiple of the quota that a member forwards to the quota owner, whose store decides exactly.
 const ASK_DEMAND_MULTIPLE: f64 = 1.5;
-/// Asks to one quota owner before the next one is asked; consecutive missed replies after which an owner counts
-/// as silent, and for how long.
+/// Asks to one quota owner before the next one is asked.
 const ASKS_PER_OWNER: u32 = 2;
+/// Consecutive missed replies after which a quota owner counts as silent.
 const MAX_MISSED_REPLIES: u32 = 3;
+/// Time for which a silent quota owner is skipped.
 const SILENT_OWNER_MS: Millis = 1000.0;
-/// A reply is late after this multiple of the smoothed reply wait. The wait has an initial value and a minimum,
-/// since some replies queue; the weight is that of the newest sample.
+/// A reply is late after this multiple of the smoothed reply wait.
 const LATE_REPLY_MULTIPLE: f64 = 2.5;
-const REPLY_WAIT_MS: (Millis, Millis) = (40.0, 20.0);
+/// Smoothed reply wait at the start, and its minimum, since some replies queue.
+const INITIAL_REPLY_WAIT_MS: Millis = 40.0;
+const MIN_REPLY_WAIT_MS: Millis = 20.0;
+/// Weight of the newest sample in the smoothed reply wait.
 const REPLY_WAIT_WEIGHT: f64 = 0.1;
 /// Fraction of the target latency in which quota owners are asked; after it the equal share decides.
 const ASK_TIME_FRACTION: f64 = 0.4;
-/// Fraction of the receivers' message rate that this limiter uses to ask, and the seconds of it sent in one
-/// burst. As much again returns in replies, and peers ask this limiter as much.
-const SEND_PART: (f64, f64) = (0.4, 0.2);
-/// Seconds of the message rate that may wait in the outbox, and the lower bound for lines of customers not seen
-/// before.
-const SEND_WAIT_S: (f64, f64) = (1.0, 0.1);
+/// Fraction of the receivers' message rate that this limiter uses to ask. As much again returns in replies, and
+/// peers ask this limiter as much.
+const SEND_RATE_FRACTION: f64 = 0.4;
+/// Seconds of that rate which may be sent in one burst.
+const SEND_BURST_S: f64 = 0.2;
+/// Seconds of the message rate that may wait in the outbox.
+const MAX_QUEUE_S: f64 = 1.0;
+/// Seconds of the message rate that may wait when a line of a customer not seen before is added.
+const MAX_NEW_CUSTOMER_QUEUE_S: f64 = 0.1;
 /// Length of a pause after which received asks count as outdated.
 const STALL_MS: Millis = 500.0;
 /// Number of possibly finished requests in the hold queue that triggers its clean-up.
 const HELD_CLEANUP_SLACK: usize = 64;
 
 // Servers and attempts.
-/// Weight of the newest sample in a server's smoothed latency and errors, and in the typical latency of all
-/// servers.
+/// Weight of the newest sample in a server's smoothed latency and errors.
 const NEWEST_WEIGHT: f64 = 0.2;
+/// Weight of the newest sample in the typical latency of all servers.
 const NEWEST_TYPICAL_WEIGHT: f64 = 0.05;
-/// Smoothed error rate and number of consecutive silent attempts at which a server is ejected. An attempt
-/// counts as silent after this multiple of the server's typical latency at the earliest.
+/// Smoothed error rate at which a server is ejected.
 const EJECT_ERROR_FRACTION: f64 = 0.4;
+/// Consecutive silent attempts at which a server is ejected.
 const EJECT_SILENCES: u32 = 3;
+/// An attempt counts as silent after this multiple of the server's typical latency at the earliest.
 const SILENCE_LATENCY_MULTIPLE: f64 = 6.0;
 /// First and longest ejection; the time doubles in between.
-const EJECTION_MS: (Millis, Millis) = (1000.0, 8000.0);
-/// Time for which a full server gets no requests, and the fraction of the target latency after which silence is
-/// acted on.
+const MIN_EJECTION_MS: Millis = 1000.0;
+const MAX_EJECTION_MS: Millis = 8000.0;
+/// Time for which a full server gets no requests.
 const FULL_SERVER_PAUSE_MS: Millis = 100.0;
+/// Fraction of the target latency after which silence is acted on.
 const SILENCE_CHECK_FRACTION: f64 = 0.4;
-/// Retries that each first attempt adds to the retry budget, and the maximum of the budget.
-const RETRY_BUDGET: (f64, f64) = (0.2, 20.0);
-/// Minimum weight of a server; factor on the expected time in another zone, a mild preference; time over which
-/// the attempt rate (the guide for cold servers) and the number of recent servers are taken.
+/// Retries that each first attempt adds to the retry budget.
+const RETRY_BUDGET_FRACTION: f64 = 0.2;
+/// Maximum of the retry budget, and its value at the start.
+const MAX_RETRY_BUDGET: f64 = 20.0;
+/// Minimum weight of a server.
 const MIN_WEIGHT: f64 = 0.1;
+/// Factor on the expected time in another zone: a mild preference for the own zone.
 const CROSS_ZONE_FACTOR: f64 = 1.05;
+/// Time over which the attempt rate is taken, which guides the load of cold servers.
 const ATTEMPT_RATE_MS: Millis = 5000.0;
+/// Time over which the number of recently serving servers decays.
 const FLEET_MEMORY_MS: Millis = 15_000.0;
-/// Number of limiters that share each server as one of their own, and the minimum number of a limiter's own
-/// servers. Among few servers a limiter learns sooner which are slow, and its outstanding requests count
-/// against them.
+/// Number of limiters that share each server as one of their own.
 const LIMITERS_PER_SERVER: f64 = 8.0;
+/// Minimum number of a limiter's own servers. Among few servers a limiter learns sooner which are slow, and its
+/// outstanding requests there count against them.
 const MIN_OWN_SERVERS: f64 = 2.0;
 /// Factor on the expected time of an ejected or just tried server, the last choice.
 const LAST_CHOICE_FACTOR: f64 = 1e6;
@@ -123,9 +137,9 @@
         Ok(Limiter {
             slot_limit: INITIAL_SLOT_LIMIT,
             num_big_queries: INITIAL_SLOT_LIMIT,
-            retry_budget: RETRY_BUDGET.1,
-            reply_wait_ms: REPLY_WAIT_MS.0,
-            ..Limiter::blank(settings, seed, now, (SMOOTHING_MS.0, ATTEMPT_RATE_MS), &capacities)
+            retry_budget: MAX_RETRY_BUDGET,
+            reply_wait_ms: INITIAL_REPLY_WAIT_MS,
+            ..Limiter::blank(settings, seed, now, (MIN_SMOOTHING_MS, ATTEMPT_RATE_MS), &capacities)
         })
     }
 
@@ -133,9 +147,9 @@
     /// already serve and only lack this limiter.
     pub fn is_ready(&self, now: Millis) -> bool {
         let fill_ms = |p: &Plan| 1000.0 * (p.ceiling_burst + p.ceiling_slack) / p.ceiling_rate;
-        let has_ceiling = self.settings.plans.iter().filter(|p| p.ceiling_rate > 0.0);
+        let with_ceiling = self.settings.plans.iter().filter(|p| p.ceiling_rate > 0.0);
         let longest =
-            has_ceiling.map(|p| GRANT_LIFETIME_MS + fill_ms(p)).fold(0.0, f64::max).min(MAX_STARTUP_WAIT_MS);
+            with_ceiling.map(|p| GRANT_LIFETIME_MS + fill_ms(p)).fold(0.0, f64::max).min(MAX_STARTUP_WAIT_MS);
         self.older_peer_seen || !self.settings.may_tell || now - self.ceilings_from() >= longest
     }
 
@@ -205,10 +219,10 @@
         }
         let id = request.id;
         let plan = &self.settings.plans[request.plan];
-        let bound = plan.rate > 0.0 || plan.open > 0 || plan.ceiling_rate > 0.0;
+        let has_quota = plan.rate > 0.0 || plan.open > 0 || plan.ceiling_rate > 0.0;
         self.requests.insert(id, OpenRequest::new(request, self.now, self.now + deadline));
-        let go = if bound { Self::spend_own_share } else { Self::dispatch };
-        go(self, id, out);
+        let next_step = if has_quota { Self::spend_own_share } else { Self::dispatch };
+        next_step(self, id, out);
     }
 
     /// Sends a request if its slots fit and a server accepts it, and holds it otherwise.
@@ -241,7 +255,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.attempts == 0 {
             self.admit_rate.add(self.now, 1.0);
-            self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(RETRY_BUDGET.1);
+            self.retry_budget = (self.retry_budget + RETRY_BUDGET_FRACTION).min(MAX_RETRY_BUDGET);
         }
         let class = request.request.class;
         let check_ms = self.settings.classes[class].aim_ms * SILENCE_CHECK_FRACTION;
@@ -390,11 +404,11 @@
             let Some(id) = self.held.pop_front() else { return };
             let Some(request) = self.requests.get_mut(&id).filter(|r| r.held) else { continue };
             let hold_ms = self.settings.classes[request.request.class].aim_ms * MAX_HOLD_FRACTION;
-            let short = request.attempts == 0 && self.now - request.admitted_at > hold_ms;
+            let held_too_long = request.attempts == 0 && self.now - request.admitted_at > hold_ms;
             request.held = false;
             // A retry that was held may have outlived the time in which servers drop repeats, so the rules are
             // checked again.
-            if short
+            if held_too_long
                 || self.lease_expired(&self.requests[&id])
                 || !self.may_retry_request(&self.requests[&id])
             {
@@ -513,10 +527,9 @@
         // fleet.
         let serving = self.servers.values().filter(|s| s.entry.condition == Condition::Serving).count();
         self.recent_servers = (self.recent_servers * (1.0 - STEP_MS / FLEET_MEMORY_MS)).max(serving as f64);
-        // A cold server's share comes only from the limiters that have it among their own.
-        let users_per_server = self.server_order.len() as f64 / self.own_server_count().max(1) as f64;
-        self.attempts_per_server =
-            users_per_server * self.attempt_demand.rate(self.now) / self.recent_servers.max(1.0);
+        // A cold server gets requests only from the limiters that have it among their own.
+        let scale = self.server_order.len() as f64 / self.own_server_count().max(1) as f64;
+        self.attempts_per_server = scale * self.attempt_demand.rate(self.now) / self.recent_servers.max(1.0);
         self.update_class_bounds();
         self.update_limit();
         self.send_held(out);
@@ -531,7 +544,7 @@
     /// second.
     fn update_spans(&mut self) {
         let per_ms = self.admit_rate.rate(self.now) / 1000.0;
-        let span = (SMOOTHING_SAMPLES / per_ms.max(1e-9)).clamp(SMOOTHING_MS.0, SMOOTHING_MS.1);
+        let span = (SMOOTHING_SAMPLES / per_ms.max(1e-9)).clamp(MIN_SMOOTHING_MS, MAX_SMOOTHING_MS);
         let Limiter {
             own_latency,
             latency,
@@ -588,9 +601,9 @@
         );
         // A share too small for such a request is not used: otherwise each of a hundred members would admit
         // one.
-        let own = ample || (capacity >= units && c.equal_share.level >= units);
+        let enough = ample || (capacity >= units && c.equal_share.level >= units);
         let (min_left, seen_before) = (plan.burst * min_fraction, c.seen_before);
-        let unasked = own && c.store_left - units >= min_left;
+        let unasked = enough && c.store_left - units >= min_left;
         let more = unasked && c.store_left - 2.0 * units >= min_left && c.equal_share.level >= 2.0 * units;
         let mut line = self.ask_for(&request);
         self.record_use(&request, more, out);
@@ -642,9 +655,9 @@
             let seen_before = self.customers.get(&request.customer).is_some_and(|c| c.seen_before);
             if owner == self.settings.position {
                 // A later owner's part of a ceiling is small, and this limiter has its share as a member too.
-                let last = open.rank == 0 || self.settings.plans[request.plan].ceiling_rate <= 0.0;
+                let decisive = open.rank == 0 || self.settings.plans[request.plan].ceiling_rate <= 0.0;
                 let reply = self.answer_ask(owner, self.incarnation, &ask);
-                if let Some(reply) = reply.filter(|reply| reply.granted || last) {
+                if let Some(reply) = reply.filter(|reply| reply.granted || decisive) {
                     return self.on_reply(owner, &reply, out);
                 }
             } else if self.settings.may_tell
@@ -700,7 +713,7 @@
             let before = f64::from(open.asks - 1) * self.reply_wait_ms * LATE_REPLY_MULTIPLE;
             let took = self.now - at + before;
             self.reply_wait_ms =
-                (self.reply_wait_ms + REPLY_WAIT_WEIGHT * (took - self.reply_wait_ms)).max(REPLY_WAIT_MS.1);
+                (self.reply_wait_ms + REPLY_WAIT_WEIGHT * (took - self.reply_wait_ms)).max(MIN_REPLY_WAIT_MS);
         }
         open.admitted_at = self.now;
         open.owner = reply.granted.then_some(from);
@@ -713,9 +726,9 @@
 
     /// Decides without a quota owner: by the equal share of rate and burst, at least one request. Without a
     /// rate quota, the share of the outstanding attempts in one target latency is used. A member's share of a
-    /// ceiling may be smaller than one request; it is then spent with a probability equal to its
-    /// fraction of the request (randomised rounding), so that the members' shares together stay within the ceiling however many decide
-    /// at once.
+    /// ceiling may be smaller than one request; it is then spent with a probability equal to its fraction of
+    /// the request (randomised rounding), so that the members' shares together stay within the ceiling however
+    /// many decide at once.
     fn spend_equal_share(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let draw = self.rng.f64();
         let Some(open) = self.requests.get_mut(&id) else { return };
@@ -842,7 +855,8 @@
 
     /// Whether a line to a peer would still be sent in time.
     fn can_send(&self, to: u32, line: &Line, seen_before: bool) -> bool {
-        let wait_s = if seen_before { SEND_WAIT_S.0 } else { self.new_customer_queue_s(SEND_WAIT_S.1) };
+        let wait_s =
+            if seen_before { MAX_QUEUE_S } else { self.new_customer_queue_s(MAX_NEW_CUSTOMER_QUEUE_S) };
         (self.outbox.len() as f64) < (self.settings.messages_per_s * wait_s).max(2.0)
             || self.outbox.iter().any(|(p, lines)| *p == to && fits_in_message(lines, line))
     }
@@ -862,8 +876,8 @@
     }
 
     fn flush_messages(&mut self, out: &mut Vec<Action>) {
-        let rate = self.settings.messages_per_s * SEND_PART.0;
-        let capacity = (rate * SEND_PART.1).max(1.0);
+        let rate = self.settings.messages_per_s * SEND_RATE_FRACTION;
+        let capacity = (rate * SEND_BURST_S).max(1.0);
         self.send_bucket.fill(self.now, rate, capacity);
         let share = self.own_latency.value(self.now);
         while self.send_bucket.level >= 1.0 {
@@ -986,7 +1000,7 @@
         let from = |ratio: f64| ((f64::from(settings.position) * ratio).fract() * all as f64) as usize;
         let (start, others) = (from(0.618_034), from(0.754_878));
         let own = |at: usize| (at + all - start) % all < choices;
-        let (mut best, mut seen): (Option<(f64, &ServerId)>, usize) = (None, 0);
+        let (mut best, mut considered): (Option<(f64, &ServerId)>, usize) = (None, 0);
         let others = (others..others + all).filter(|at| !own(at % all));
         for at in (start..start + choices).chain(others).map(|at| planted::count_check(at % all)) {
             let id = &server_order[at];
@@ -1002,8 +1016,8 @@
             if best.is_none_or(|b| time < b.0) {
                 best = Some((time, id));
             }
-            seen += usize::from(!last);
-            if seen == choices && !planted::is_active(Fault::Sweep) {
+            considered += usize::from(!last);
+            if considered == choices && !planted::is_active(Fault::Sweep) {
                 break;
             }
         }
@@ -1065,11 +1079,11 @@
         self.silences >= EJECT_SILENCES && self.outstanding > 0
     }
 
-    fn eject(&mut self, now: Millis, why: &'static str) {
+    fn eject(&mut self, now: Millis, reason: &'static str) {
         if now >= self.ejected_until {
-            self.ejection_ms = (self.ejection_ms * 2.0).clamp(EJECTION_MS.0, EJECTION_MS.1);
+            self.ejection_ms = (self.ejection_ms * 2.0).clamp(MIN_EJECTION_MS, MAX_EJECTION_MS);
             self.ejected_until = now + self.ejection_ms;
-            self.ejection_reason = Some(why);
+            self.ejection_reason = Some(reason);
         }
     }
 
--- a/src/prefetch.rs
+++ b/src/prefetch.rs
@@ -18,21 +18,22 @@
 
 /// Ids of prefetch asks have this bit set; ids of requests are below it.
 pub(crate) const PREFETCH_BIT: RequestId = 1 << 31;
-/// Lifetime of prefetched units from the time of the ask; a quota owner keeps its grants for longer. Under a
-/// ceiling, an owner without prefetch support counts the units as spent after `GRANT_LIFETIME_MS`, so they
-/// expire earlier, by the time that a request may wait for a server.
+/// Lifetime of prefetched units from the time of the ask; a quota owner keeps its grants for longer.
 const PREFETCH_LIFETIME_MS: Millis = 2500.0;
+/// Lifetime under a ceiling if the owner has no prefetch support: it counts the units as spent after
+/// `GRANT_LIFETIME_MS`, less the time that a request may wait for a server.
 const CEILING_LIFETIME_MS: Millis = GRANT_LIFETIME_MS / 2.0;
-/// Time over which use is measured, and the time of use that is prefetched: the longest that an ask and its
-/// reply take.
+/// Time over which use is measured.
 const USE_RATE_MS: Millis = 2000.0;
+/// Time of use that is prefetched: the longest that an ask and its reply take.
 const LOOKAHEAD_MS: Millis = 250.0;
 /// Minimum of prefetched units, in requests of the largest size seen.
 const MIN_PREFETCHED_REQUESTS: f64 = 2.0;
 /// Fraction of the quota's store that one member may prefetch beyond that minimum.
 const MAX_PREFETCH_FRACTION: f64 = 0.1;
-/// Time after which an unanswered prefetch ask is repeated, and after which it or its owner counts as lost.
+/// Time after which an unanswered prefetch ask is repeated.
 const REPEAT_ASK_MS: Millis = 100.0;
+/// Time after which the ask or its owner counts as lost.
 const LOST_ASK_MS: Millis = 500.0;
 /// Fraction of the quota's store that must be left by the last reply before a member spends its own share
 /// without asking. It is lower than without prefetch: replies are frequent, and a wait costs more here than a
@@ -41,9 +42,10 @@
 /// Demand at all limiters, as a multiple of the quota, up to which a customer counts as within its quota. A
 /// Poisson stream that uses nearly all of its quota reaches this now and then.
 const WITHIN_QUOTA_MULTIPLE: f64 = 1.3;
-/// A customer within its quota is admitted without units if this fraction of the store is left by a reply of at
-/// most this age.
-const AMPLE_STORE: (f64, Millis) = (0.5, 1000.0);
+/// Fraction of the store that must be left for a customer within its quota to be admitted without units.
+const AMPLE_STORE_FRACTION: f64 = 0.5;
+/// Maximum age of the reply that says so.
+const AMPLE_STORE_MAX_AGE_MS: Millis = 1000.0;
 /// Units that expire sooner are not counted on: an ask for others is already on its way.
 const EXPIRING_SOON_MS: Millis = 60.0;
 /// Seconds of the message rate that lines of customers not seen before may fill.
@@ -51,8 +53,10 @@
 /// Messages that must remain in the send bucket: for asks that a request waits for, for prefetch asks, and for
 /// reports of spent units, which are sent when there is room.
 const SEND_RESERVE: [f64; 3] = [0.0, 1.0, 2.0];
-/// Shortest time between two reviews of a customer, and how long a customer is reviewed after its last request.
-const REVIEW_MS: (Millis, Millis) = (100.0, PREFETCH_LIFETIME_MS);
+/// Shortest time between two reviews of a customer.
+const REVIEW_INTERVAL_MS: Millis = 100.0;
+/// How long a customer is reviewed after its last request.
+const ACTIVE_MS: Millis = PREFETCH_LIFETIME_MS;
 /// Units up to this amount are rounding errors.
 const ROUNDING_UNITS: f64 = 1e-6;
 
@@ -298,7 +302,8 @@
     pub(crate) fn has_ample_store(&self, request: &Request) -> bool {
         let (plan, c) = (&self.settings.plans[request.plan], self.customers.get(&request.customer));
         let Some(c) = c.filter(|_| self.prefetch.is_some()) else { return false };
-        let ample = c.store_left >= plan.burst * AMPLE_STORE.0 && self.now - c.demand_at <= AMPLE_STORE.1;
+        let ample = c.store_left >= plan.burst * AMPLE_STORE_FRACTION
+            && self.now - c.demand_at <= AMPLE_STORE_MAX_AGE_MS;
         plan.ceiling_rate <= 0.0 && ample && f64::from(c.demand) <= WITHIN_QUOTA_MULTIPLE
     }
 
@@ -359,7 +364,7 @@
             return;
         }
         let entry = p.customers.entry(request.customer).or_insert_with(|| {
-            p.reviews.push(Reverse(((now + REVIEW_MS.0).to_bits(), request.customer)));
+            p.reviews.push(Reverse(((now + REVIEW_INTERVAL_MS).to_bits(), request.customer)));
             CustomerPrefetch {
                 last_request: request.clone(),
                 last_seen: now,
@@ -373,7 +378,7 @@
                 max_ask: f64::INFINITY,
                 not_before: now,
                 store: None,
-                next_review: now + REVIEW_MS.0,
+                next_review: now + REVIEW_INTERVAL_MS,
             }
         });
         (entry.last_seen, entry.share_suffices, entry.largest) =
@@ -459,7 +464,7 @@
         entry.max_ask = asked.units / 2.0;
         let lacking = (entry.smallest - f64::from(reply.store_left)).max(0.0);
         let after = if plan.rate > 0.0 { 1000.0 * lacking / plan.rate } else { LOST_ASK_MS };
-        entry.not_before = now + after.max(REVIEW_MS.0);
+        entry.not_before = now + after.max(REVIEW_INTERVAL_MS);
     }
 
     /// Reviews the customers that are due: returns expired units and asks for missing ones.
@@ -495,14 +500,14 @@
                 entry.pending = None;
                 entry.not_before = now + LOST_ASK_MS;
             }
-            let active = now - entry.last_seen < REVIEW_MS.1;
+            let active = now - entry.last_seen < ACTIVE_MS;
             if !active && entry.batches.is_empty() && entry.pending.is_none() {
                 p.customers.remove(&customer);
             } else {
                 let expires = entry.batches.iter().map(|batch| batch.until).fold(now + LOST_ASK_MS, f64::min);
                 // At least 1 ms later, so that a batch kept for another reason is not reviewed in an endless
                 // loop.
-                entry.next_review = if active { now + REVIEW_MS.0 } else { expires.max(now + 1.0) };
+                entry.next_review = if active { now + REVIEW_INTERVAL_MS } else { expires.max(now + 1.0) };
                 p.reviews.push(Reverse((entry.next_review.to_bits(), customer)));
             }
             for (owner, done) in returned {
--- a/src/prefetch/tests.rs
+++ b/src/prefetch/tests.rs
@@ -4,7 +4,7 @@
 use crate::accounts::ceiling_fraction;
 use crate::state::WAKE_STEP;
 
-const BEGAN: Millis = 1_000_000.0;
+const START_MS: Millis = 1_000_000.0;
 const CUSTOMER: CustomerId = 7;
 
 fn settings(position: u32) -> Settings {
@@ -46,13 +46,13 @@
     quota_owner(CUSTOMER, (0, 3), 3, 0).expect("a quota owner")
 }
 
-/// The customer's first quota owner when its part of the ceiling has filled; `on` enables prefetch.
-fn owner_with_full_ceiling(on: bool) -> Limiter {
-    let mut limiter = Limiter::new(settings(first_owner()), 1, BEGAN).expect("legal settings");
-    if on {
+/// The customer's first quota owner when its part of the ceiling has filled; prefetch is on if `enabled`.
+fn owner_with_full_ceiling(enabled: bool) -> Limiter {
+    let mut limiter = Limiter::new(settings(first_owner()), 1, START_MS).expect("valid settings");
+    if enabled {
         limiter.enable_prefetch(100);
     }
-    advance(&mut limiter, BEGAN + 60_000.0);
+    advance(&mut limiter, START_MS + 60_000.0);
     limiter
 }
 
@@ -85,8 +85,12 @@
     // The store has filled again by then, and the 20 units may still be in use.
     let later = owner.now + PREFETCH_LIFETIME_MS + GRANT_LIFETIME_MS - 100.0;
     advance(&mut owner, later);
-    let held = grantable_units(&mut owner, 1);
-    assert!(held <= capacity() - 20.0 && held >= capacity() - 21.0, "{held} of {}", capacity());
+    let prefetched = grantable_units(&mut owner, 1);
+    assert!(
+        prefetched <= capacity() - 20.0 && prefetched >= capacity() - 21.0,
+        "{prefetched} of {}",
+        capacity()
+    );
     // After they have certainly expired the whole depth fills again.
     advance(&mut owner, later + 200.0);
     advance(&mut owner, later + 60_000.0);
@@ -117,14 +121,14 @@
 /// Units prefetched from the previous process may still be spent: nothing is granted until they have expired.
 #[test]
 fn a_restarted_owner_waits_until_earlier_prefetch_leases_expire() {
-    let from_start = |on: bool, after: Millis| {
-        let mut limiter = Limiter::new(settings(first_owner()), 1, BEGAN).expect("legal settings");
-        if on {
+    let from_start = |enabled: bool, after: Millis| {
+        let mut limiter = Limiter::new(settings(first_owner()), 1, START_MS).expect("valid settings");
+        if enabled {
             limiter.enable_prefetch(100);
         }
         // The ceiling starts at minus its slack and fills from then on.
         let owed_ms = 1000.0 * (1.0 + 2.0 * 5.0 * 0.62) / (10.0 * 0.62);
-        advance(&mut limiter, BEGAN + after + owed_ms);
+        advance(&mut limiter, START_MS + after + owed_ms);
         grantable_units(&mut limiter, 1)
     };
     assert!(from_start(false, GRANT_LIFETIME_MS) >= 1.0);
@@ -138,12 +142,15 @@
 /// Clients are accepted only when the ceilings can have begun to fill, with and without prefetch.
 #[test]
 fn readiness_is_delayed_as_long_as_the_filling_of_ceilings() {
-    let ready_ms = |on: bool| {
-        let mut limiter = Limiter::new(settings(0), 1, BEGAN).expect("legal settings");
-        if on {
+    let ready_ms = |enabled: bool| {
+        let mut limiter = Limiter::new(settings(0), 1, START_MS).expect("valid settings");
+        if enabled {
             limiter.enable_prefetch(100);
         }
-        (0..200).map(|n| 100.0 * f64::from(n)).find(|ms| limiter.is_ready(BEGAN + ms)).expect("it gets ready")
+        (0..200)
+            .map(|n| 100.0 * f64::from(n))
+            .find(|ms| limiter.is_ready(START_MS + ms))
+            .expect("becomes ready")
     };
     assert_eq!(ready_ms(true), ready_ms(false) + PREFETCH_LIFETIME_MS);
 }
@@ -151,7 +158,7 @@
 /// A member whose quota owner is another limiter.
 fn member() -> Limiter {
     let position = (first_owner() + 1) % 3;
-    let mut limiter = Limiter::new(settings(position), 1, BEGAN).expect("legal settings");
+    let mut limiter = Limiter::new(settings(position), 1, START_MS).expect("valid settings");
     limiter.enable_prefetch(100);
     let server = ServerEntry {
         server: "s".into(),
@@ -161,7 +168,7 @@
         weight: 1.0,
         started: 0.0,
     };
-    limiter.handle(BEGAN, Event::Servers { whole: true, entries: [server].into() }, &mut Vec::new());
+    limiter.handle(START_MS, Event::Servers { whole: true, entries: [server].into() }, &mut Vec::new());
     limiter
 }
 
@@ -182,8 +189,8 @@
         let now = limiter.now + 1.0;
         limiter.handle(now, Event::Request(request), &mut out);
     }
-    let held = &limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER];
-    let id = held.pending.expect("a prefetch ask").id;
+    let prefetched = &limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER];
+    let id = prefetched.pending.expect("a prefetch ask").id;
     let incarnation = limiter.incarnation;
     let reply = Reply {
         id,
@@ -224,12 +231,12 @@
 
 #[test]
 fn expired_units_are_not_spent_after_a_stall() {
-    for (long_lease, life) in [(true, PREFETCH_LIFETIME_MS), (false, CEILING_LIFETIME_MS)] {
+    for (long_lease, lifetime) in [(true, PREFETCH_LIFETIME_MS), (false, CEILING_LIFETIME_MS)] {
         let mut limiter = member();
         assert!(prefetch_units(&mut limiter, long_lease, 0) >= 1.0);
-        let held = &limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER];
-        let asked = held.batches[0].asked;
-        let (before, after) = (asked + life - 1.0, asked + life);
+        let prefetched = &limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER];
+        let asked = prefetched.batches[0].asked;
+        let (before, after) = (asked + lifetime - 1.0, asked + lifetime);
         assert_eq!(spends(&mut limiter, before, 900), Prefetched::Spent, "long lease {long_lease}");
         // There was no review in between, as after a stall.
         assert_ne!(spends(&mut limiter, after, 901), Prefetched::Spent, "long lease {long_lease}");
@@ -255,7 +262,7 @@
 #[test]
 fn a_repeated_reply_adds_no_units() {
     let mut limiter = member();
-    let held = prefetch_units(&mut limiter, true, 0);
+    let prefetched = prefetch_units(&mut limiter, true, 0);
     let id = limiter.prefetch.as_ref().expect("prefetch is enabled").customers[&CUSTOMER].batches[0].id;
     let reply = Reply {
         id,
@@ -267,7 +274,7 @@
         store_left: 3000.0,
     };
     limiter.on_prefetch_reply(first_owner(), &reply);
-    assert_eq!(units(&limiter), held);
+    assert_eq!(units(&limiter), prefetched);
 }
 
 /// Exported leases count at the successor for as long as here.
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -25,7 +25,7 @@
         }
         let age = now - self.reported;
         // A later start with an earlier time: the server's clock was set back in between.
-        let earlier = self.reported_before.is_some_and(|reported_before| self.reported < reported_before);
+        let earlier = self.reported_before.is_some_and(|before| self.reported < before);
         let too_old = self.is_new && age > MAX_NEW_START_AGE_MS;
         if age < 0.0 || earlier || too_old {
             return Some(now);
--- a/src/state.rs
+++ b/src/state.rs
@@ -321,6 +321,7 @@
     pub at: Millis,
 }
 
+/// A listed server and what this limiter knows about it.
 #[derive(Debug)]
 pub struct Server {
     pub entry: ServerEntry,
@@ -343,6 +344,7 @@
     pub answers: DecayingSum,
 }
 
+/// A client request without a final answer.
 #[derive(Debug)]
 pub struct OpenRequest {
     pub request: Request,
@@ -397,6 +399,7 @@
     }
 }
 
+/// An outstanding attempt.
 #[derive(Debug)]
 pub struct Attempt {
     pub server: ServerId,
