--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! This crate opens no file and measures nothing. [`slopes::Slopes`] are measurements written by commands
 //! (`marldeal-bench slopes`, `marldeal rehearse scale --slopes`, `marldeal faults scale`), [`size::Size`] is the
-//! deployment that operators plan, and [`table::table`] computes the needs. A missing slope is an error and never counts
-//! as zero.
+//! deployment that operators plan, and [`table::table`] computes the needs. A missing slope is an error and never
+//! counts as zero.
 //!
 //! ```
 //! use marldeal_capacity::fit::{fit, Value};
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -239,8 +239,8 @@
     state.leased.iter_mut().for_each(|(ago, ..)| *ago += elapsed_ms);
     state.open_grants.iter_mut().for_each(|(ago, _)| *ago += elapsed_ms);
     for (_, cells) in &mut state.deficits {
-        cells.iter_mut().for_each(|(_, owes)| *owes -= elapsed_ms);
-        cells.retain(|(_, owes)| *owes > 0.0);
+        cells.iter_mut().for_each(|(_, remaining_ms)| *remaining_ms -= elapsed_ms);
+        cells.retain(|(_, remaining_ms)| *remaining_ms > 0.0);
     }
     let feedback = &mut state.feedback;
     feedback.means.iter_mut().for_each(|(sum, count)| {
--- a/crates/snapshot/tests/snapshot.rs
+++ b/crates/snapshot/tests/snapshot.rs
@@ -119,9 +119,9 @@
     let bytes = old.snapshot(now, SnapshotKind::Running).to_bytes(&settings());
     let mut new = engine(2, now + 500.0);
     let read = Snapshot::from_bytes(&bytes, &settings()).expect("intact snapshot");
-    let belief = assess(read, now + 500.0);
-    assert!(matches!(belief, Assessment::Hints { .. }));
-    new.restore(now + 500.0, belief);
+    let assessment = assess(read, now + 500.0);
+    assert!(matches!(assessment, Assessment::Hints { .. }));
+    new.restore(now + 500.0, assessment);
     assert!(!new.is_ready(now + 500.0));
     assert!(!admits(&mut new, now + 501.0, 1, 8));
 }
@@ -167,9 +167,9 @@
     other_settings.plans[0].rate = 3.0;
     assert_eq!(Snapshot::from_bytes(&good, &other_settings), Err(ReadError::Settings));
     // A record that is invalid under these settings, with a correct checksum.
-    let mut wrong = old.snapshot(now, SnapshotKind::Final);
-    wrong.state.accounts[0].1.plan = 9;
-    assert!(matches!(read(&wrong.to_bytes(&settings())), Err(ReadError::Corrupt(_))));
+    let mut invalid = old.snapshot(now, SnapshotKind::Final);
+    invalid.state.accounts[0].1.plan = 9;
+    assert!(matches!(read(&invalid.to_bytes(&settings())), Err(ReadError::Corrupt(_))));
 }
 
 /// The encoding stays within its maximum size for any number of customers, and remains readable.
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -29,7 +29,8 @@
     Silent(u64),
 }
 
-/// Parses a fault as it is written on the command line: `error`, `turn-away`, `unavailable`, `reset`, `half`, `silent=MS`.
+/// Parses a fault as it is written on the command line: `error`, `turn-away`, `unavailable`, `reset`, `half`,
+/// `silent=MS`.
 impl FromStr for Fault {
     type Err = String;
 
--- a/marldeal/tests/upgrade.rs
+++ b/marldeal/tests/upgrade.rs
@@ -342,7 +342,7 @@
 
 #[test]
 fn garbled_snapshots_are_not_believed() {
-    beside([snapshot(b"noise"), snapshot(b"MDSN\0\x01")].concat(), drop, "these bytes are no snapshot");
+    beside([snapshot(b"noise"), snapshot(b"MDSN\0\x01")].concat(), drop, "data is not a snapshot");
 }
 
 #[test]
