--- a/marldeal/src/payload.rs
+++ b/marldeal/src/payload.rs
@@ -1,4 +1,5 @@
-//! Bodies on their way: a request's to a server, held or piped; an answer's to its client, whole or in chunks.
+//! Request and response bodies in transit: a request's body to a server, buffered or streamed, and a response's
+//! body to a client, buffered or in chunks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,39 +17,44 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, Sleep};
 
-/// Longest answer that is read whole before it is passed on, and longest body that counts as a small one.
+/// Largest response that is read in full before it is passed on, and largest body that is buffered in one
+/// block.
 pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
-/// Longest body of a request.
+/// Largest request body.
 pub const MAX_REQUEST_BODY_BYTES: u64 = 64 << 20;
-/// A pipe on which either side stands still for so long has broken.
+/// A transfer on which either side makes no progress for this long is broken off.
 pub const TRANSFER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a request's sender is asked for: the platform's slowest client writes 64 kB a second.
+/// The rate at which a client has to send a request's body. The platform's slowest client writes 64 kB/s.
 pub const MIN_UPLOAD_RATE: MinDataRate = MinDataRate { grace_ms: 2400.0, bytes_per_s: 60_000.0 };
 
 /// A request's body.
 #[derive(Debug)]
 pub enum Payload {
-    /// All of it is here, and may be sent again.
+    /// The body has been received in full and may be sent more than once.
     Buffered {
-        /// Its bytes.
+        /// The bytes of the body.
         blocks: Vec<Bytes>,
-        /// How many.
+        /// Length in bytes.
         length: usize,
-        /// Keeps its place in the budget.
-        held: Option<BufferedBody>,
+        /// Keeps the bytes accounted for in the memory budget.
+        reservation: Option<BufferedBody>,
     },
-    /// It is still to come, and can be sent once.
+    /// The body is still being received and can be sent only once.
     Streamed(Rc<StreamedBody>),
 }
 
 impl Payload {
-    /// A whole one.
-    pub fn held(mut held: BufferedBody) -> Payload {
-        Payload::Buffered { blocks: held.blocks().to_vec(), length: held.len(), held: Some(held) }
+    /// A body that has been received in full.
+    pub fn buffered(mut buffered: BufferedBody) -> Payload {
+        Payload::Buffered {
+            blocks: buffered.blocks().to_vec(),
+            length: buffered.len(),
+            reservation: Some(buffered),
+        }
     }
 
-    /// The bytes of a small one that is here.
+    /// The bytes, if the body is buffered in at most one block.
     pub fn small(&self) -> Option<&[u8]> {
         match self {
             Payload::Buffered { blocks, .. } if blocks.len() <= 1 => Some(blocks.first().map_or(&[], |b| b)),
@@ -57,81 +63,83 @@
     }
 }
 
-/// A body that is passed on as it comes.
+/// A request body that is passed on while it is received.
 #[derive(Debug)]
 pub struct StreamedBody {
-    /// What has been read of it already.
-    first: RefCell<(VecDeque<Bytes>, Option<BufferedBody>)>,
+    /// The chunks read before streaming began, and their share of the memory budget.
+    prefix: RefCell<(VecDeque<Bytes>, Option<BufferedBody>)>,
     rest: RefCell<Incoming>,
-    told: Option<u64>,
-    began: Instant,
-    came: Cell<u64>,
-    /// All of it has come.
+    declared_length: Option<u64>,
+    started: Instant,
+    received: Cell<u64>,
+    /// The body has been received in full.
     ended: Cell<bool>,
 }
 
 impl StreamedBody {
-    /// With what was held of it, and a piece that found no room.
+    /// Continues a body of which `buffered` has been read, and `chunk` did not fit into the memory budget.
     pub fn new(
-        mut held: BufferedBody,
-        piece: Bytes,
+        mut buffered: BufferedBody,
+        chunk: Bytes,
         rest: Incoming,
-        told: Option<u64>,
-        began: Instant,
+        declared_length: Option<u64>,
+        started: Instant,
     ) -> StreamedBody {
-        let mut first: VecDeque<Bytes> = held.blocks().iter().cloned().collect();
-        first.extend((!piece.is_empty()).then_some(piece));
-        let came = first.iter().map(|b| b.len() as u64).sum();
-        let ended = Cell::new(told == Some(came));
+        let mut prefix: VecDeque<Bytes> = buffered.blocks().iter().cloned().collect();
+        prefix.extend((!chunk.is_empty()).then_some(chunk));
+        let received = prefix.iter().map(|b| b.len() as u64).sum();
+        let ended = Cell::new(declared_length == Some(received));
         StreamedBody {
-            first: RefCell::new((first, Some(held))),
+            prefix: RefCell::new((prefix, Some(buffered))),
             rest: RefCell::new(rest),
-            told,
-            began,
-            came: Cell::new(came),
+            declared_length,
+            started,
+            received: Cell::new(received),
             ended,
         }
     }
 
-    /// The sender is waited for until then.
-    fn until(&self) -> Instant {
-        self.began + Duration::from_secs_f64(MIN_UPLOAD_RATE.deadline_ms(self.came.get()) / 1000.0)
+    /// When the client has to have sent more of the body.
+    fn receive_deadline(&self) -> Instant {
+        self.started + Duration::from_secs_f64(MIN_UPLOAD_RATE.deadline_ms(self.received.get()) / 1000.0)
     }
 
-    fn poll_piece(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        let mut first = self.first.borrow_mut();
-        if let Some(piece) = first.0.pop_front() {
-            return Poll::Ready(Some(Ok(piece)));
+    fn poll_chunk(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+        let mut prefix = self.prefix.borrow_mut();
+        if let Some(chunk) = prefix.0.pop_front() {
+            return Poll::Ready(Some(Ok(chunk)));
         }
-        first.1 = None;
+        prefix.1 = None;
         loop {
             let frame = std::task::ready!(Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx));
-            let piece = match frame {
+            let chunk = match frame {
                 None => {
                     self.ended.set(true);
                     return Poll::Ready(None);
                 }
                 Some(Err(e)) => return Poll::Ready(Some(Err(io::Error::other(e)))),
-                // Trailers end here.
+                // Trailers are not passed on.
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
-            if !piece.is_empty() {
-                self.came.set(self.came.get() + piece.len() as u64);
-                // One whose length was not told: what has gone cannot be called back, the rest need not follow.
-                if self.came.get() > MAX_REQUEST_BODY_BYTES {
-                    return Poll::Ready(Some(Err(io::Error::other("the body is too long"))));
+            if !chunk.is_empty() {
+                self.received.set(self.received.get() + chunk.len() as u64);
+                // Reached only if no length was declared. What has been sent cannot be recalled, but the rest
+                // is not sent.
+                if self.received.get() > MAX_REQUEST_BODY_BYTES {
+                    return Poll::Ready(Some(Err(io::Error::other("the request body is too large"))));
                 }
-                self.ended.set(self.told == Some(self.came.get()));
-                return Poll::Ready(Some(Ok(piece)));
+                self.ended.set(self.declared_length == Some(self.received.get()));
+                return Poll::Ready(Some(Ok(chunk)));
             }
         }
     }
 
-    /// Reads off what is remaining, at the sender's pace, so that it sees its answer; false if it does not come.
+    /// Reads and discards the rest of the body at the client's rate, so that the client reads its answer.
+    /// Returns false if the rest is not received in time.
     pub async fn discard_rest(&self) -> bool {
         while !self.ended.get() {
-            let piece = std::future::poll_fn(|cx| self.poll_piece(cx));
-            match tokio::time::timeout_at(self.until(), piece).await {
+            let chunk = std::future::poll_fn(|cx| self.poll_chunk(cx));
+            match tokio::time::timeout_at(self.receive_deadline(), chunk).await {
                 Ok(Some(Ok(_))) => {}
                 Ok(None) => return true,
                 Ok(Some(Err(_))) | Err(_) => return false,
@@ -141,20 +149,20 @@
     }
 }
 
-/// How far a message on a connection has gone.
+/// Tracks how far a message has been written to a connection.
 pub trait Progress {
-    /// The connection has taken its last byte in.
+    /// The connection has taken the last byte of the body.
     fn body_consumed(&self);
 }
 
-/// A body that tells its progress when its last byte has been taken.
+/// A body that reports when its last byte has been taken.
 pub struct TrackedBody<B, P> {
     body: B,
     progress: Rc<P>,
 }
 
 impl<B: Body, P: Progress> TrackedBody<B, P> {
-    /// Of a body; an empty one has been taken from the start, for the connection never asks it.
+    /// Wraps a body. An empty body is reported at once, since the connection never polls it.
     pub fn new(body: B, progress: Rc<P>) -> TrackedBody<B, P> {
         if body.is_end_stream() {
             progress.body_consumed();
@@ -189,22 +197,23 @@
 
 /// A request's body on its way to a server.
 pub enum OutgoingBody {
-    /// Of a held payload: blocks, and bytes that are remaining.
+    /// The blocks of a buffered body, and the number of bytes not taken yet.
     Buffered(std::vec::IntoIter<Bytes>, u64),
-    /// Of a piped one, and when its sender is late.
+    /// A streamed body, and a timer that expires when its client is too slow.
     Streamed(Rc<StreamedBody>, Pin<Box<Sleep>>),
 }
 
 impl OutgoingBody {
-    /// Of a payload.
+    /// The body to send for a payload.
     pub fn new(payload: &Payload) -> OutgoingBody {
         match payload {
             Payload::Buffered { blocks, length, .. } => {
                 OutgoingBody::Buffered(blocks.clone().into_iter(), *length as u64)
             }
-            Payload::Streamed(pipe) => {
-                OutgoingBody::Streamed(pipe.clone(), Box::pin(tokio::time::sleep_until(pipe.until())))
-            }
+            Payload::Streamed(body) => OutgoingBody::Streamed(
+                body.clone(),
+                Box::pin(tokio::time::sleep_until(body.receive_deadline())),
+            ),
         }
     }
 }
@@ -220,12 +229,12 @@
                 *remaining -= block.as_ref().map_or(0, |b| b.len() as u64);
                 Poll::Ready(block.map(|b| Ok(Frame::data(b))))
             }
-            OutgoingBody::Streamed(pipe, late) => match pipe.poll_piece(cx) {
-                Poll::Ready(piece) => {
-                    late.as_mut().reset(pipe.until());
-                    Poll::Ready(piece.map(|p| p.map(Frame::data)))
+            OutgoingBody::Streamed(body, timer) => match body.poll_chunk(cx) {
+                Poll::Ready(chunk) => {
+                    timer.as_mut().reset(body.receive_deadline());
+                    Poll::Ready(chunk.map(|frame| frame.map(Frame::data)))
                 }
-                Poll::Pending => late.as_mut().poll(cx).map(|()| Some(Err(io::ErrorKind::TimedOut.into()))),
+                Poll::Pending => timer.as_mut().poll(cx).map(|()| Some(Err(io::ErrorKind::TimedOut.into()))),
             },
         }
     }
@@ -233,41 +242,41 @@
     fn is_end_stream(&self) -> bool {
         match self {
             OutgoingBody::Buffered(_, remaining) => *remaining == 0,
-            OutgoingBody::Streamed(pipe, _) => pipe.ended.get() && pipe.first.borrow().0.is_empty(),
+            OutgoingBody::Streamed(body, _) => body.ended.get() && body.prefix.borrow().0.is_empty(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         let remaining = match self {
             OutgoingBody::Buffered(_, remaining) => Some(*remaining),
-            // As the connection has not taken any of it yet when it asks.
-            OutgoingBody::Streamed(pipe, _) => pipe.told,
+            // The connection asks before it has taken any of the body.
+            OutgoingBody::Streamed(body, _) => body.declared_length,
         };
         remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-/// A part of an answer that is passed on as it comes. Without [`Chunk::End`] it was broken off.
+/// A part of a streamed response. If the channel ends without [`Chunk::End`], the response was cut off.
 #[derive(Debug)]
 pub enum Chunk {
-    /// More of it.
+    /// More bytes of the body.
     Data(Bytes),
-    /// That was all.
+    /// The end of the body.
     End,
 }
 
-/// An answer's body on its way to a client.
+/// A response's body on its way to a client.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it is here.
+    /// The whole body.
     Buffered(Bytes),
-    /// It comes as its reader takes it.
+    /// The body is passed on at the rate at which the client reads it.
     Streamed {
-        /// Its chunks.
+        /// The chunks of the body.
         chunks: mpsc::Receiver<Chunk>,
-        /// Bytes that are still to come, where they were told.
+        /// Bytes that are still to come, if the length is known.
         remaining: Option<u64>,
-        /// There are no more.
+        /// The last chunk has been received.
         ended: bool,
     },
 }
@@ -284,14 +293,15 @@
             ResponseBody::Streamed { chunks, remaining, ended } => {
                 match std::task::ready!(chunks.poll_recv(cx)) {
                     Some(Chunk::Data(bytes)) => {
-                        *remaining = remaining.map(|l| l.saturating_sub(bytes.len() as u64));
+                        *remaining =
+                            remaining.map(|bytes_left| bytes_left.saturating_sub(bytes.len() as u64));
                         Poll::Ready(Some(Ok(Frame::data(bytes))))
                     }
                     Some(Chunk::End) => {
                         *ended = true;
                         Poll::Ready(None)
                     }
-                    // The reader must be able to tell: the connection ends in the middle.
+                    // The client has to notice the truncation, so the connection ends within the body.
                     None => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
                 }
             }
@@ -314,41 +324,51 @@
     }
 }
 
-/// Reads a request's body into memory as far as there is room; what finds none is to be piped.
+/// Reads a request's body into memory as far as the budget allows. A body that does not fit is streamed.
 ///
 /// # Errors
-/// It did not come, or not at the pace that is asked for.
+/// The body is too large, incomplete, or was sent more slowly than [`MIN_UPLOAD_RATE`].
 pub async fn receive(mut body: Incoming, budget: &Rc<Budget>) -> Result<Payload, ReceiveError> {
-    let began = Instant::now();
-    let told = body.size_hint().exact();
-    let mut held = BufferedBody::new(budget, told.and_then(|told| usize::try_from(told).ok()));
+    let started = Instant::now();
+    let declared_length = body.size_hint().exact();
+    let mut buffered = BufferedBody::new(
+        budget,
+        declared_length.and_then(|declared_length| usize::try_from(declared_length).ok()),
+    );
     if body.is_end_stream() {
-        return Ok(Payload::held(held));
+        return Ok(Payload::buffered(buffered));
     }
-    if told.is_some_and(|told| told > MAX_REQUEST_BODY_BYTES) {
+    if declared_length.is_some_and(|declared_length| declared_length > MAX_REQUEST_BODY_BYTES) {
         return Err(ReceiveError::TooLarge(body));
     }
     loop {
-        let until = began + Duration::from_secs_f64(MIN_UPLOAD_RATE.deadline_ms(held.len() as u64) / 1000.0);
-        let piece = match tokio::time::timeout_at(until, body.frame()).await {
-            Ok(None) => return Ok(Payload::held(held)),
+        let deadline =
+            started + Duration::from_secs_f64(MIN_UPLOAD_RATE.deadline_ms(buffered.len() as u64) / 1000.0);
+        let chunk = match tokio::time::timeout_at(deadline, body.frame()).await {
+            Ok(None) => return Ok(Payload::buffered(buffered)),
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             Ok(Some(Err(_))) => return Err(ReceiveError::Incomplete),
             Err(_) => return Err(ReceiveError::TimedOut),
         };
-        if !held.push(&piece) {
-            return Ok(Payload::Streamed(Rc::new(StreamedBody::new(held, piece, body, told, began))));
+        if !buffered.push(&chunk) {
+            return Ok(Payload::Streamed(Rc::new(StreamedBody::new(
+                buffered,
+                chunk,
+                body,
+                declared_length,
+                started,
+            ))));
         }
     }
 }
 
-/// Why a body was not taken in.
+/// Why a request's body was not received.
 #[derive(Debug)]
 pub enum ReceiveError {
-    /// It says that it is longer than any may be.
+    /// The declared length exceeds [`MAX_REQUEST_BODY_BYTES`].
     TooLarge(Incoming),
-    /// It did not come whole.
+    /// The connection ended within the body.
     Incomplete,
-    /// It came too slowly.
+    /// The body was sent too slowly.
     TimedOut,
 }
--- a/marldeal/src/reload.rs
+++ b/marldeal/src/reload.rs
@@ -1,5 +1,6 @@
-//! The configuration is read again on SIGHUP. A file that cannot be read, or makes no sense, is tried again for a while: it
-//! may be half written still, or the process may be short of descriptors, and nobody sends the signal twice.
+//! Reads the configuration again on SIGHUP. If the file cannot be read or is invalid, the reload is retried for
+//! a while: the file may still be half written or the process may lack descriptors, and nobody sends the signal
+//! twice.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,36 +10,37 @@
 
 use crate::driver::Driver;
 
-/// Which reading after a signal it is.
+/// What caused a reload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReloadTrigger {
-    /// The one that the signal asked for.
+    /// A SIGHUP.
     Signal,
-    /// The one before found no good file.
+    /// The previous reload failed.
     Retry,
 }
 
-/// How long after the signal it is tried again, and how often. What a new place of discovery has counts 4 s after the signal.
-const PATIENCE: Duration = Duration::from_secs(30);
-const EVERY: Duration = Duration::from_millis(200);
+/// How long after the signal a failed reload is retried, and at which interval. The platform expects a new
+/// discovery address to take effect within 4 s of the signal.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reads the configuration again after each signal, for ever.
+/// Reloads the configuration after each signal. Runs until the signal stream ends.
 pub async fn on_hangup(driver: Rc<Driver>, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
-        let mut until = Instant::now() + PATIENCE;
-        let mut read = driver.reload(ReloadTrigger::Signal);
-        while !read && Instant::now() < until {
+        let mut deadline = Instant::now() + RETRY_TIMEOUT;
+        let mut loaded = driver.reload(ReloadTrigger::Signal);
+        while !loaded && Instant::now() < deadline {
             let trigger = tokio::select! {
-                again = hangup.recv() => match again {
+                signal = hangup.recv() => match signal {
                     Some(()) => ReloadTrigger::Signal,
                     None => return,
                 },
-                () = tokio::time::sleep(EVERY) => ReloadTrigger::Retry,
+                () = tokio::time::sleep(RETRY_INTERVAL) => ReloadTrigger::Retry,
             };
             if trigger == ReloadTrigger::Signal {
-                until = Instant::now() + PATIENCE;
+                deadline = Instant::now() + RETRY_TIMEOUT;
             }
-            read = driver.reload(trigger);
+            loaded = driver.reload(trigger);
         }
     }
 }
--- a/marldeal/src/socket.rs
+++ b/marldeal/src/socket.rs
@@ -1,4 +1,5 @@
-//! A socket that tells when bytes come in and when bytes have gone out, and one that can be looked at beside its owner.
+//! A stream that reports reads and writes to an observer, and a socket that can be inspected while another task
+//! owns it.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -13,40 +14,41 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What is told.
+/// Receives the events of an [`ObservedStream`].
 pub trait IoObserver: Unpin {
-    /// A read was tried and brought so many bytes. An error ends the connection.
+    /// A read was attempted and returned this many bytes. An error ends the connection.
     fn on_read(&mut self, _: &mut Context<'_>, _bytes: usize) -> io::Result<()> {
         Ok(())
     }
-    /// So many bytes were written.
+    /// This many bytes were written.
     fn on_written(&mut self, _bytes: usize) {}
-    /// All that there was to write has been written.
+    /// All pending bytes have been written.
     fn on_flushed(&mut self) {}
 }
 
-/// What lies in a socket, unread.
+/// What a socket holds unread.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing, and the other side may still send.
+    /// Nothing, and the remote side may still send.
     Nothing,
-    /// Bytes.
+    /// At least one byte.
     Bytes,
-    /// Nothing, and nothing more will come: the other side has closed or reset it.
+    /// Nothing, and nothing more will arrive: the remote side has closed or reset the connection.
     Closed,
 }
 
-/// A socket that another part of the program can look at while its owner reads and writes it, until it is taken away.
+/// A socket that other tasks can inspect while its owner reads and writes it, until it is taken out.
 #[derive(Debug, Clone)]
 pub struct SharedSocket(Rc<RefCell<Option<TcpStream>>>);
 
 impl SharedSocket {
-    /// Of a socket.
+    /// Shares a socket.
     pub fn new(stream: TcpStream) -> SharedSocket {
         SharedSocket(Rc::new(RefCell::new(Some(stream))))
     }
 
-    /// What the kernel holds at this very moment, whether or not the event loop has been told: one system call.
+    /// Asks the kernel what is unread at this moment, whether or not the event loop has been notified. Costs
+    /// one system call.
     pub fn unread(&self) -> Unread {
         let stream = self.0.borrow();
         let Some(stream) = &*stream else { return Unread::Closed };
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The other side sends nothing more, behind whatever it has sent and is still unread.
+    /// Whether the remote side has stopped sending, even if bytes that it sent before are still unread.
     pub fn remote_closed(&self) -> bool {
         if self.unread() == Unread::Closed {
             return true;
@@ -72,53 +74,58 @@
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Takes the socket away: for all others it has ended.
+    /// Takes the socket out. For all other holders the connection has ended.
     pub fn take(&self) -> Option<TcpStream> {
         self.0.borrow_mut().take()
     }
 
-    /// Makes a call once the socket is ready for it, until it neither finds it busy nor is interrupted. The event loop's own
-    /// calls take one that moves fewer bytes than asked for as a sign that nothing more lies there (epoll(7)); that holds
-    /// for Linux as it is, and not where a call comes short for another reason: the rest would never be heard of.
-    fn once_ready<T>(
+    /// Calls `call` when the socket is ready, and again while it reports that the socket is not ready or the
+    /// call was interrupted. Tokio's own methods take a transfer of fewer bytes than requested as a sign that
+    /// the socket is drained (epoll(7)). That holds on Linux, but not where calls return short for another
+    /// reason: there, no further readiness would be reported for the remaining bytes.
+    fn poll_io<T>(
         &self,
-        mut ready: impl FnMut(&TcpStream) -> Poll<io::Result<()>>,
+        mut poll_ready: impl FnMut(&TcpStream) -> Poll<io::Result<()>>,
         mut call: impl FnMut(&TcpStream) -> io::Result<T>,
     ) -> Poll<io::Result<T>> {
         let stream = self.0.borrow();
         let Some(stream) = &*stream else { return Poll::Ready(Err(io::ErrorKind::NotConnected.into())) };
         loop {
-            std::task::ready!(ready(stream))?;
+            std::task::ready!(poll_ready(stream))?;
             match call(stream) {
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
 }
 
 impl AsyncRead for SharedSocket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        self.once_ready(|s| s.poll_read_ready(cx), |s| s.try_read_buf(to).map(drop))
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        self.poll_io(|s| s.poll_read_ready(cx), |s| s.try_read_buf(buffer).map(drop))
     }
 }
 
 impl AsyncWrite for SharedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        self.once_ready(|s| s.poll_write_ready(cx), |s| s.try_write(data))
+        self.poll_io(|s| s.poll_write_ready(cx), |s| s.try_write(data))
     }
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         data: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.once_ready(|s| s.poll_write_ready(cx), |s| s.try_write_vectored(data))
+        self.poll_io(|s| s.poll_write_ready(cx), |s| s.try_write_vectored(data))
     }
     fn is_write_vectored(&self) -> bool {
         self.0.borrow().as_ref().is_some_and(TcpStream::is_write_vectored)
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A socket holds nothing back.
+        // A TCP socket has no user-space buffer to flush.
         Poll::Ready(self.0.borrow().as_ref().map(drop).ok_or_else(|| io::ErrorKind::NotConnected.into()))
     }
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -129,13 +136,13 @@
     }
 }
 
-/// A socket and what it tells.
+/// A stream whose reads and writes are reported to an observer.
 pub struct ObservedStream<T, S = TcpStream> {
-    /// The socket.
+    /// The stream.
     pub stream: S,
-    /// What it tells.
+    /// Is notified of reads and writes.
     pub observer: T,
-    /// What was read of it before: comes first.
+    /// Bytes that were read from the stream before. They are returned first.
     pub prefix: Bytes,
 }
 
@@ -143,17 +150,17 @@
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        to: &mut ReadBuf<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = to.filled().len();
+        let filled_before = buffer.filled().len();
         if !self.prefix.is_empty() {
-            let count = self.prefix.len().min(to.remaining());
-            to.put_slice(&self.prefix.split_to(count));
+            let count = self.prefix.len().min(buffer.remaining());
+            buffer.put_slice(&self.prefix.split_to(count));
             return Poll::Ready(self.observer.on_read(cx, count));
         }
-        let done = Pin::new(&mut self.stream).poll_read(cx, to);
-        match self.observer.on_read(cx, to.filled().len() - before) {
-            Ok(()) => done,
+        let result = Pin::new(&mut self.stream).poll_read(cx, buffer);
+        match self.observer.on_read(cx, buffer.filled().len() - filled_before) {
+            Ok(()) => result,
             Err(e) => Poll::Ready(Err(e)),
         }
     }
@@ -161,32 +168,32 @@
 
 impl<T: IoObserver, S: AsyncWrite + Unpin> AsyncWrite for ObservedStream<T, S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut self.stream).poll_write(cx, data);
-        if let Poll::Ready(Ok(bytes)) = &done {
+        let result = Pin::new(&mut self.stream).poll_write(cx, data);
+        if let Poll::Ready(Ok(bytes)) = &result {
             self.observer.on_written(*bytes);
         }
-        done
+        result
     }
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         data: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut self.stream).poll_write_vectored(cx, data);
-        if let Poll::Ready(Ok(bytes)) = &done {
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, data);
+        if let Poll::Ready(Ok(bytes)) = &result {
             self.observer.on_written(*bytes);
         }
-        done
+        result
     }
     fn is_write_vectored(&self) -> bool {
         self.stream.is_write_vectored()
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let done = Pin::new(&mut self.stream).poll_flush(cx);
-        if matches!(done, Poll::Ready(Ok(()))) {
+        let result = Pin::new(&mut self.stream).poll_flush(cx);
+        if matches!(result, Poll::Ready(Ok(()))) {
             self.observer.on_flushed();
         }
-        done
+        result
     }
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/marldeal/src/tier/mod.rs
+++ b/marldeal/src/tier/mod.rs
@@ -1,3 +1,3 @@
-//! What limiters say to one another.
+//! Messages between limiters.
 
 pub mod peers;
--- a/marldeal/src/tier/peers.rs
+++ b/marldeal/src/tier/peers.rs
@@ -7,7 +7,8 @@
 
 use crate::driver::{Driver, MAX_DATAGRAM_BYTES};
 
-/// Hands what peers tell to the module, until the mail is closed. Guards against strangers and oversized datagrams: both are ignored.
+/// Passes messages from peers to the driver until the peer socket is closed. Datagrams from unknown senders and
+/// oversized datagrams are ignored.
 pub async fn listen(driver: Rc<Driver>, socket: Rc<UdpSocket>) {
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
     loop {
@@ -22,7 +23,7 @@
                 }
             }
             Ok(_) => {}
-            // An unreachable peer shows up as an error of the next receive: nothing is lost by going on.
+            // An unreachable peer surfaces as an error of the next receive. Nothing is lost by going on.
             Err(_) => tokio::time::sleep(std::time::Duration::from_millis(1)).await,
         }
     }
--- a/marldeal/src/transient.rs
+++ b/marldeal/src/transient.rs
@@ -1,5 +1,6 @@
-//! Errors of system calls that pass by themselves: a want of descriptors, ports, buffers or memory on this machine, a network
-//! that is down for a moment, an interrupted call. They say nothing of the other side, and are no reason to give up.
+//! Errors of system calls that are likely to pass: a lack of descriptors, ports, buffers or memory on this
+//! host, a network that is down for a moment, an interrupted call. They say nothing about the remote side and
+//! are no reason to give up.
 
 use std::future::Future;
 use std::io;
@@ -7,56 +8,58 @@
 
 use rustix::io::Errno;
 
-/// How long a call that fails so is made again, and how often.
-const PATIENCE: Duration = Duration::from_secs(5);
-const EVERY: Duration = Duration::from_millis(20);
+/// How long a call that fails with such an error is retried, and at which interval.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Descriptors, buffers or memory are wanting: to close something may help.
-const WANTING: [Errno; 4] = [Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::NOMEM];
-/// Other reasons on this side.
-const PASSING: [Errno; 6] =
+/// Descriptors, buffers or memory have run out. Closing connections may help.
+const RESOURCE_EXHAUSTION: [Errno; 4] = [Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::NOMEM];
+/// Other local causes.
+const OTHER_TRANSIENT: [Errno; 6] =
     [Errno::INTR, Errno::AGAIN, Errno::CONNABORTED, Errno::ADDRNOTAVAIL, Errno::NETDOWN, Errno::NETUNREACH];
 
-fn is_one_of(error: &io::Error, numbers: &[Errno]) -> bool {
-    error.raw_os_error().is_some_and(|n| numbers.iter().any(|known| known.raw_os_error() == n))
+fn is_one_of(error: &io::Error, errnos: &[Errno]) -> bool {
+    error.raw_os_error().is_some_and(|n| errnos.iter().any(|known| known.raw_os_error() == n))
 }
 
-/// Descriptors, buffers or memory are wanting on this machine.
+/// Whether this host has run out of descriptors, buffers or memory.
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
-    is_one_of(error, &WANTING)
+    is_one_of(error, &RESOURCE_EXHAUSTION)
 }
 
-/// The call failed for a reason on this side that passes by itself.
+/// Whether the call failed for a local reason that is likely to pass.
 pub fn is_transient(error: &io::Error) -> bool {
-    is_resource_exhaustion(error) || is_one_of(error, &PASSING)
+    is_resource_exhaustion(error) || is_one_of(error, &OTHER_TRANSIENT)
 }
 
-/// Makes a call again while it fails for a reason that passes, for 5 s at most.
+/// Retries a call that fails with a transient error, for up to [`RETRY_TIMEOUT`].
 ///
 /// # Errors
-/// That of the last call.
+/// The error of the last call.
 pub async fn retry<T, F: Future<Output = io::Result<T>>>(mut call: impl FnMut() -> F) -> io::Result<T> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         match call().await {
-            Err(error) if is_transient(&error) && began.elapsed() < PATIENCE => {
-                tokio::time::sleep(EVERY).await
+            Err(error) if is_transient(&error) && started.elapsed() < RETRY_TIMEOUT => {
+                tokio::time::sleep(RETRY_INTERVAL).await
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// The same for a call that blocks, before anything is served.
+/// Like [`retry`], for a blocking call before anything is served.
 ///
 /// # Errors
-/// That of the last call.
+/// The error of the last call.
 pub fn retry_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         match call() {
-            Err(error) if is_transient(&error) && began.elapsed() < PATIENCE => std::thread::sleep(EVERY),
-            done => return done,
+            Err(error) if is_transient(&error) && started.elapsed() < RETRY_TIMEOUT => {
+                std::thread::sleep(RETRY_INTERVAL)
+            }
+            result => return result,
         }
     }
 }
@@ -66,30 +69,31 @@
     use super::*;
 
     #[test]
-    fn a_want_on_this_side_passes_and_a_refusal_of_the_other_does_not() {
-        let of = |e: Errno| io::Error::from_raw_os_error(e.raw_os_error());
+    fn local_resource_errors_are_transient_and_remote_refusals_are_not() {
+        let error = |e: Errno| io::Error::from_raw_os_error(e.raw_os_error());
         assert!(
-            is_resource_exhaustion(&of(Errno::NFILE)) && !is_resource_exhaustion(&of(Errno::CONNABORTED))
+            is_resource_exhaustion(&error(Errno::NFILE))
+                && !is_resource_exhaustion(&error(Errno::CONNABORTED))
         );
         assert!([Errno::NFILE, Errno::INTR, Errno::ADDRNOTAVAIL, Errno::NETUNREACH]
             .iter()
-            .all(|e| is_transient(&of(*e))));
+            .all(|e| is_transient(&error(*e))));
         assert!(![Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH]
             .iter()
-            .any(|e| is_transient(&of(*e))));
+            .any(|e| is_transient(&error(*e))));
     }
 
     #[test]
-    fn a_call_is_made_again_until_it_passes_and_not_after_another_error() {
-        let mut left = 3;
-        let done = retry_blocking(|| match left {
+    fn transient_errors_are_retried_and_other_errors_are_not() {
+        let mut failures_left = 3;
+        let result = retry_blocking(|| match failures_left {
             0 => Ok("done"),
             _ => {
-                left -= 1;
+                failures_left -= 1;
                 Err(io::Error::from_raw_os_error(Errno::NFILE.raw_os_error()))
             }
         });
-        assert_eq!((done.ok(), left), (Some("done"), 0));
+        assert_eq!((result.ok(), failures_left), (Some("done"), 0));
         let mut calls = 0;
         let refused = retry_blocking(|| {
             calls += 1;
--- a/marldeal/src/upstream/discovery.rs
+++ b/marldeal/src/upstream/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on the list of servers: carries out what [`Resumption`] decides.
+//! The watch on the list of servers: carries out what [`WatchController`] decides.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,9 +17,9 @@
 use crate::driver::Driver;
 use crate::settings::server_list::{server_update, ServerList};
 use crate::socket::SharedSocket;
-use crate::upstream::asking::Asking;
-use crate::upstream::framing::{Word, Words};
-use crate::upstream::resumption::{Call, Millis, Resumption, Step, Whom};
+use crate::upstream::framing::{WatchDecoder, WatchMessage};
+use crate::upstream::registry_backoff::RegistryBackoff;
+use crate::upstream::watch_controller::{CallId, Millis, Step, WatchController, WatchSource};
 
 /// One source and how far its versions are known: those of another source say nothing here.
 struct Source {
@@ -43,21 +43,21 @@
 }
 
 /// How a source is asked, and how long the first call waits.
-fn resumption(driver: &Driver, source: &Source) -> Resumption {
+fn watch_controller(driver: &Driver, source: &Source) -> WatchController {
     let settings = &driver.config.settings;
     if !settings.must_subscribe {
-        return Resumption::new(Whom::agent(driver.config.drain_grace_ms), 0.0, 0.0);
+        return WatchController::new(WatchSource::agent(driver.config.drain_grace_ms), 0.0, 0.0);
     }
     let seed = driver.config.seed ^ u64::from(source.number).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let mut asking = Asking::new(settings.limiters, seed);
+    let mut backoff = RegistryBackoff::new(settings.limiters, seed);
     // What was known last serves until this limiter's turn comes; with nothing known there is nothing to wait with. A
     // new place is asked by all soon.
     let wait = match (source.version, source.number) {
-        (Some(_), 0) => asking.first(),
+        (Some(_), 0) => backoff.initial_wait(),
         (None, 0) => Duration::ZERO,
-        _ => asking.urgent(),
+        _ => backoff.urgent_wait(),
     };
-    Resumption::new(Whom::Registry(asking), 0.0, wait.as_secs_f64() * 1000.0)
+    WatchController::new(WatchSource::Registry(backoff), 0.0, wait.as_secs_f64() * 1000.0)
 }
 
 /// Ends a connection's task when it is dropped.
@@ -71,9 +71,9 @@
 
 /// An answered call.
 struct Watch {
-    call: Call,
+    call: CallId,
     body: Incoming,
-    words: Words,
+    decoder: WatchDecoder,
     _connection: Abort,
 }
 
@@ -89,18 +89,18 @@
 async fn keep(driver: Rc<Driver>, mut source: Source) {
     let began = Instant::now();
     let now = || began.elapsed().as_secs_f64() * 1000.0;
-    let mut machine = resumption(&driver, &source);
+    let mut controller = watch_controller(&driver, &source);
     let mut wishes = driver.list_refresh.subscribe();
     let mut whole = *wishes.borrow();
     let mut calls = JoinSet::new();
-    let mut waiting: HashMap<Call, AbortHandle> = HashMap::new();
+    let mut waiting: HashMap<CallId, AbortHandle> = HashMap::new();
     let mut watch: Option<Watch> = None;
     let mut said = String::new();
     loop {
         if watch.is_none() {
             driver.set_watch_socket(source.number, None);
         }
-        while let Some(step) = machine.step(now()) {
+        while let Some(step) = controller.step(now()) {
             match step {
                 Step::Begin(call) => {
                     let asks = ask(source.addr, source.version);
@@ -114,29 +114,29 @@
                 }
             }
         }
-        let due = began + Duration::from_secs_f64(machine.due().clamp(0.0, 1e9) / 1000.0);
+        let due = began + Duration::from_secs_f64(controller.next_due().clamp(0.0, 1e9) / 1000.0);
         // What has come goes before what is due: after a pause, what waited here must not be taken for silence.
         let why = tokio::select! {
             biased;
             frame = frame(&mut watch) => match frame {
                 _ if driver.sources.last_received.get() > source.number => None,
-                Ok(bytes) => hear(&driver, &mut source, &mut watch, &mut machine, &bytes, now()).err(),
+                Ok(bytes) => hear(&driver, &mut source, &mut watch, &mut controller, &bytes, now()).err(),
                 Err(why) => Some(why),
             },
             Some(done) = calls.join_next(), if !calls.is_empty() => {
-                // One that was called off is out of the machine already.
+                // One that was called off is out of the controller already.
                 let Ok((call, answer)) = done else { continue };
                 waiting.remove(&call);
                 match answer {
                     Ok(Answered { connection, body, socket }) => {
-                        if machine.answered(now(), call) {
+                        if controller.answered(now(), call) {
                             said.clear();
                             driver.set_watch_socket(source.number, Some(socket));
-                            watch = Some(Watch { call, body, words: Words::default(), _connection: connection });
+                            watch = Some(Watch { call, body, decoder: WatchDecoder::default(), _connection: connection });
                         }
                     }
                     Err(why) => {
-                        machine.ended(now(), call);
+                        controller.ended(now(), call);
                         if why != said {
                             info!("discovery: {why}; tried again");
                         }
@@ -151,7 +151,7 @@
                     source.version = None;
                 }
                 watch = None;
-                machine.anew(now()).iter().for_each(|call| drop(waiting.remove(call).inspect(AbortHandle::abort)));
+                controller.restart(now()).iter().for_each(|call| drop(waiting.remove(call).inspect(AbortHandle::abort)));
                 None
             }
             () = tokio::time::sleep_until(due.into()) => None,
@@ -162,7 +162,7 @@
         }
         if let Some(why) = why {
             info!("discovery: {why}; watching again");
-            watch.take().into_iter().for_each(|w| machine.ended(now(), w.call));
+            watch.take().into_iter().for_each(|w| controller.ended(now(), w.call));
         }
     }
 }
@@ -182,15 +182,15 @@
     driver: &Rc<Driver>,
     source: &mut Source,
     watch: &mut Option<Watch>,
-    machine: &mut Resumption,
+    controller: &mut WatchController,
     bytes: &[u8],
     now: Millis,
 ) -> Result<(), String> {
     let Some(watch) = watch else { return Ok(()) };
-    watch.words.push(bytes);
-    while let Some(word) = watch.words.take()? {
-        machine.heard(now, word != Word::Beat);
-        let Word::List(bytes) = word else { continue };
+    watch.decoder.push(bytes);
+    while let Some(message) = watch.decoder.next_message()? {
+        controller.message_received(now, message != WatchMessage::Heartbeat);
+        let WatchMessage::List(bytes) = message else { continue };
         // What a bad one held is missing from now on: the watch begins anew where it was still whole.
         let list = serde_json::from_slice::<ServerList>(&bytes).map_err(|e| format!("bad line: {e}"))?;
         source.version = Some(list.version);
--- a/marldeal/src/upstream/mod.rs
+++ b/marldeal/src/upstream/mod.rs
@@ -1,7 +1,7 @@
-//! What lies behind the limiter: servers and discovery.
+//! Connections to servers, and discovery of the list of servers.
 
-pub mod asking;
 pub mod discovery;
 pub mod framing;
-pub mod resumption;
+pub mod registry_backoff;
 pub mod servers;
+pub mod watch_controller;
