--- a/src/accounts.rs
+++ b/src/accounts.rs
@@ -44,7 +44,8 @@
 }
 
 /// Fraction of the ceiling held by the first owner. It depends on the plan alone and does not change when
-/// owners are silent.
+/// owners are silent. Without a ceiling the quotient may be NaN, which `max` and `min` replace by a bound.
+#[allow(clippy::manual_clamp)] // `clamp` would return NaN.
 fn first_owner_fraction(plan: &Plan) -> f64 {
     let quota = (plan.rate / plan.ceiling_rate).max(plan.burst / plan.ceiling_burst);
     (quota * FIRST_OWNER_HEADROOM).max(MIN_FIRST_OWNER_FRACTION).min(MAX_FIRST_OWNER_FRACTION)
@@ -151,7 +152,7 @@
 
     pub(crate) fn log_line(&self, used: usize, capacity: usize, state: &str) -> String {
         format!(
-            "customers: {used} of {capacity} records in use: {state} (evicted with nothing owed {}, with a deficit {}; \
+            "customers: {used} of {capacity} records in use: {state} (evicted without a deficit {}, with one {}; \
              new customers refused {}; asks decided without a record {})",
             self.evicted_full, self.evicted_with_deficit, self.new_refused, self.decided_without_record
         )
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -442,7 +442,7 @@
         }
     }
 
-    /// Guards against servers that accept work and answer nothing (hung, gone, cut off): an attempt at a server
+    /// Guards against servers that accept work and answer nothing (hung, vanished, cut off): an attempt at a server
     /// without any answer since it was sent is cancelled and sent elsewhere. This may hurt a heavy request at
     /// an otherwise idle server; the retry budget bounds that.
     fn check_silence(&mut self, id: RequestId, out: &mut Vec<Action>) {
--- a/src/prefetch.rs
+++ b/src/prefetch.rs
@@ -51,7 +51,7 @@
 /// Seconds of the message rate that lines of customers not seen before may fill.
 const NEW_CUSTOMER_QUEUE_S: f64 = 0.5;
 /// Messages that must remain in the send bucket: for asks that a request waits for, for prefetch asks, and for
-/// reports of spent units, which are sent when there is room.
+/// reports of spent units, which are sent only when the bucket allows it.
 const SEND_RESERVE: [f64; 3] = [0.0, 1.0, 2.0];
 /// Shortest time between two reviews of a customer.
 const REVIEW_INTERVAL_MS: Millis = 100.0;
