--- a/crates/faults/src/ground/config.rs
+++ b/crates/faults/src/environment/config.rs
@@ -4,18 +4,18 @@
 
 use marldeal_rehearsal::scenario::{ClassOf, PlanOf, Repeats, Scenario};
 
-use crate::processes::loopback;
+use crate::processes::loopback_address;
 
 /// Where a limiter finds the others, and is found.
 pub(super) struct Addresses {
     /// Discovery as this limiter sees it.
     pub discovery: SocketAddr,
     /// Where its datagrams arrive.
-    pub mail: SocketAddr,
+    pub datagrams: SocketAddr,
     /// Where it sends its own, by position.
     pub peers: Vec<SocketAddr>,
-    /// Where all hear.
-    pub everyone: SocketAddr,
+    /// Where all handle_actions.
+    pub broadcast: SocketAddr,
 }
 
 /// The configuration of the limiter at a position.
@@ -35,10 +35,10 @@
     };
     let zones: Vec<String> = (0..scenario.buildings).map(|b| format!("b{b}")).collect();
     serde_json::json!({
-        "name": format!("limiter-{position}"), "listen": SocketAddr::from((loopback(11, position as usize), 0)), "discovery": at.discovery,
+        "name": format!("limiter-{position}"), "listen": SocketAddr::from((loopback_address(11, position as usize), 0)), "discovery": at.discovery,
         "seed": format!("{:x}", seed.wrapping_add(u64::from(position))),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "peer_listen": at.mail, "peers": at.peers, "peers_all": at.everyone,
+        "peer_listen": at.datagrams, "peers": at.peers, "peers_all": at.broadcast,
         "settings": {
             "Balancers": s.limiters, "Position": position, "Zone": zones[s.zone as usize], "Dcs": zones,
             "RoundMs": s.round_ms, "Discovery": "automatic",
--- /dev/null
+++ b/crates/faults/src/environment/mod.rs
@@ -0,0 +1,522 @@
+//! Clients and nodes of a scenario on loopback_address, in limiter_addrs time, round limiters that are processes of their own, with proxies
+//! between all of them.
+//!
+//! Clients, nodes, network, figures and the oracle are those of the virtual world (`marldeal_rehearsal`); only what carries
+//! them is different. Nodes burn no CPU: a request is answered when the model says that its work is done.
+
+mod clients;
+mod config;
+mod links;
+mod servers;
+mod timeline;
+
+use std::cell::RefCell;
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use fawnhill::{Condition, Outcome};
+use marldeal_rehearsal::clients::{Clients, Try};
+use marldeal_rehearsal::draws::{self, Stream};
+use marldeal_rehearsal::figures::Recorder;
+use marldeal_rehearsal::node::Node;
+use marldeal_rehearsal::observe::{
+    Invariant, Judges, NothingAfterDeadline, OneUnderANumber, OneWordAnAsk, PartsWithinWhole, Seen,
+};
+use marldeal_rehearsal::rules::{Oracle, Rule, Store};
+use marldeal_rehearsal::scenario::{name_of, Scenario, Trouble, What};
+use marldeal_rehearsal::world::BEGIN_MS;
+use marldeal_standin::client::Client;
+use tokio::net::TcpListener;
+use tokio::sync::{oneshot, watch, Notify};
+use tokio::task::{AbortHandle, LocalSet};
+
+use crate::datagrams::DatagramProxy;
+use crate::figures::{Arrivals, Fleet, Lateness, Outcomes, Run};
+use crate::processes::{self, loopback_address, ConfigFiles, LogLine, Process, Program};
+use crate::resources::ResourceNeeds;
+use crate::tasks::{self, spawn_local};
+use links::Links;
+
+/// Time allowed after the last arrival for all to be answered.
+const FINAL_ANSWERS_TIMEOUT: Duration = Duration::from_secs(12);
+/// Processes that start at one time.
+const CONCURRENT_STARTS: usize = 16;
+/// How long a client whose time is over still listens for an answer: what comes then was late, what does not is lost.
+const GRACE_MS: f64 = 2000.0;
+/// The ground's own lateness from which nothing that a limiter does late is held against it.
+const MAX_OWN_LATENESS_MS: f64 = 100.0;
+/// How much later than sent an attempt may be seen: links, the node's queue of accepted connections, a busy machine.
+const OBSERVATION_SLACK_MS: f64 = 1000.0;
+/// Lines that are not in the log's form and are kept of a run.
+const MAX_NOTES: usize = 40;
+/// Most that limiter_addrs processes play: what one machine of 8 cores and 24 GiB was seen to bear.
+const MAX_LIMITERS: u32 = 300;
+const MAX_SERVERS: u32 = 400;
+const MAX_REQUESTS_PER_S: f64 = 4000.0;
+
+/// What of a scenario limiter_addrs processes cannot play, and why; nothing if all can.
+pub fn unsupported(scenario: &Scenario) -> Vec<String> {
+    let no = |t: &Trouble| {
+        let why = match t.what {
+            What::Part => "the ground has no regions",
+            What::Vanish => "a loopback_address address cannot fall discovery_silences without privileges",
+            _ => return None,
+        };
+        Some(format!("\"{}\" is played in the virtual world only: {why}", name_of(t.what)))
+    };
+    let mut found: Vec<String> = scenario.timeline.iter().filter_map(no).collect();
+    if scenario.regions > 1 {
+        found.push("regions: the ground has one, and no far ways".to_string());
+    }
+    if scenario.clients.proxied > 0.0 {
+        found.push("clients.proxied: proxies are played in the virtual world only".to_string());
+    }
+    if scenario.nodes.count > MAX_SERVERS || scenario.limiters.count > MAX_LIMITERS {
+        found
+            .push(format!("at most {MAX_SERVERS} nodes and {MAX_LIMITERS} limiters are played by processes"));
+    }
+    if scenario.requests_per_s() > MAX_REQUESTS_PER_S {
+        found.push(format!(
+            "at most {MAX_REQUESTS_PER_S} requests a second are played by processes, not {:.0}",
+            scenario.requests_per_s()
+        ));
+    }
+    found
+}
+
+struct TestServer {
+    simulation: Node,
+    id: String,
+    addr: SocketAddr,
+    zone: u32,
+    condition: Condition,
+    /// Discovery has told of its last start.
+    start_notified: bool,
+    waiting: HashMap<u64, oneshot::Sender<Outcome>>,
+    /// Ends its listener and connections when its process does.
+    generation: watch::Sender<u64>,
+    changed: Rc<Notify>,
+    error_share: f64,
+    reset_share: f64,
+    last_busy_ms: f64,
+    rng: Stream,
+}
+
+struct SentRequest {
+    request: Try,
+    deadline: f64,
+    /// When it was handed to the limiter.
+    sent_at: f64,
+    /// An attempt of it has come to a node.
+    arrived: bool,
+    /// Ends its exchange, and with it the connection.
+    task: AbortHandle,
+}
+
+/// A limiter's process, as the ground keeps it.
+struct Limiter {
+    process: Option<Process>,
+    /// Stopped, starved, quota_stores to end or down: since then; what it owed then is not held against it.
+    hindrances: u32,
+    /// When it was last hindrances.
+    hindered_until: f64,
+    /// CPU of those of its processes that have exit_status.
+    cpu_ms: f64,
+}
+
+struct State {
+    scenario: Scenario,
+    started: Instant,
+    start_unix_ms: f64,
+    clients: Clients,
+    oracle: Oracle,
+    judges: Judges,
+    recorder: Recorder,
+    outcomes: Outcomes,
+    servers: Vec<TestServer>,
+    limiters: Vec<Limiter>,
+    addrs: Vec<SocketAddr>,
+    configs: Vec<serde_json::Value>,
+    sent_requests: HashMap<u64, SentRequest>,
+    /// Tries whose client has given up: limiter, deadline; until they cannot matter any more.
+    abandoned: HashMap<u64, (usize, f64)>,
+    quota_stores: Vec<Store>,
+    usual_customers: usize,
+    within_quota: HashMap<u64, bool>,
+    worth_within_quota: HashMap<u64, f64>,
+    next_attempt: u64,
+    version: u64,
+    /// How often discovery is discovery_silences towards a group now.
+    discovery_silences: Vec<u32>,
+    /// Version of the list that each group was announced last, and that it has received last.
+    announced: Vec<u64>,
+    received: Vec<u64>,
+    /// Tries whose limiter was killed before it had sent them on, as far as was seen.
+    killed_before_sending: HashSet<u64>,
+    arrivals: Arrivals,
+    lateness: Lateness,
+    descriptors: usize,
+    rng: Stream,
+    notes: Vec<String>,
+    failure: Option<String>,
+}
+
+struct Environment {
+    state: RefCell<State>,
+    client: Client,
+    clients_changed: Notify,
+    links: Links,
+    datagrams: Rc<DatagramProxy>,
+    program: Program,
+    files: ConfigFiles,
+}
+
+impl State {
+    fn now(&self) -> f64 {
+        BEGIN_MS + self.started.elapsed().as_secs_f64() * 1000.0
+    }
+
+    /// A moment of the world on the process's clock.
+    fn instant(&self, at: f64) -> tokio::time::Instant {
+        (self.started + Duration::from_secs_f64(((at - BEGIN_MS) / 1000.0).clamp(0.0, 1e6))).into()
+    }
+
+    /// The limiter ran all the time since then, and the ground was not late itself.
+    fn is_accountable(&self, limiter: usize, since: f64) -> bool {
+        let l = &self.limiters[limiter];
+        l.hindrances == 0 && l.hindered_until < since && self.lateness.last_exceeded < since
+    }
+
+    fn change_hindrances(&mut self, limiter: usize, by: i32) {
+        let now = self.now();
+        let l = &mut self.limiters[limiter];
+        l.hindrances = l.hindrances.saturating_add_signed(by);
+        l.hindered_until = now;
+    }
+
+    fn record_violation(&mut self, rule: Rule, what: String) {
+        let now = self.now();
+        self.oracle.saw(rule, now, what);
+    }
+}
+
+/// Plays a scenario in limiter_addrs time with the given judges beside those that always sit; `progress` is told each second that
+/// has passed.
+///
+/// # Errors
+/// One plain line a mistake, or what could not be started.
+pub fn run_scenario(
+    scenario: &Scenario,
+    seed: u64,
+    program: &Program,
+    judges: Vec<Box<dyn Invariant>>,
+    progress: impl FnMut(f64) + 'static,
+) -> Result<Run, String> {
+    let unsupported = unsupported(scenario);
+    if !unsupported.is_empty() {
+        return Err(unsupported.join("\n"));
+    }
+    let scenario = scenario.drawn(seed);
+    ResourceNeeds::for_scenario(&scenario, Links::proxy_count(&scenario)).check()?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
+    // Interrupted, the run is dropped, and with it every process that it has started.
+    LocalSet::new().block_on(&runtime, async {
+        let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+            .map_err(|e| format!("SIGTERM: {e}"))?;
+        tokio::select! {
+            run = run_in_environment(&scenario, seed, program, judges, progress) => run,
+            _ = tokio::signal::ctrl_c() => Err("interrupted".to_string()),
+            _ = term.recv() => Err("quota_stores to end".to_string()),
+        }
+    })
+}
+
+async fn run_in_environment(
+    scenario: &Scenario,
+    seed: u64,
+    program: &Program,
+    mut judges: Vec<Box<dyn Invariant>>,
+    mut progress: impl FnMut(f64) + 'static,
+) -> Result<Run, String> {
+    // What an earlier run of this thread has left.
+    drop(tasks::take_panic());
+    judges.push(Box::new(NothingAfterDeadline { slack_ms: OBSERVATION_SLACK_MS }));
+    judges.push(Box::new(OneWordAnAsk::default()));
+    judges.push(Box::new(OneUnderANumber::default()));
+    judges.push(Box::new(PartsWithinWhole::default()));
+    let started = Instant::now();
+    let count = scenario.limiters.count as usize;
+    let (servers, listeners) = servers::open(scenario, seed).await?;
+    let targets: Vec<SocketAddr> = servers.iter().map(|h| h.addr).collect();
+    let links = Links::open(scenario, seed, &targets).await?;
+    let limiter_addrs = processes::datagram_addresses(count)?;
+    let clock = move || BEGIN_MS + started.elapsed().as_secs_f64() * 1000.0;
+    let datagrams = DatagramProxy::open(scenario, seed, limiter_addrs.clone(), clock).await?;
+    let mut state = State {
+        started,
+        start_unix_ms: 0.0,
+        clients: Clients::new(scenario, seed, BEGIN_MS),
+        oracle: Oracle::from_afar(scenario, BEGIN_MS),
+        judges: Judges::new(judges),
+        recorder: Recorder::new(scenario, BEGIN_MS),
+        outcomes: Outcomes::default(),
+        arrivals: Arrivals::new(
+            scenario,
+            &servers.iter().map(|h| h.simulation.model().speed).collect::<Vec<_>>(),
+        ),
+        lateness: Lateness::new(MAX_OWN_LATENESS_MS),
+        descriptors: 0,
+        servers,
+        limiters: Vec::new(),
+        addrs: Vec::new(),
+        configs: Vec::new(),
+        sent_requests: HashMap::new(),
+        abandoned: HashMap::new(),
+        quota_stores: Vec::new(),
+        usual_customers: 0,
+        within_quota: HashMap::new(),
+        worth_within_quota: HashMap::new(),
+        next_attempt: 0,
+        version: 0,
+        discovery_silences: vec![0; links.group_count()],
+        announced: vec![0; links.group_count()],
+        received: vec![0; links.group_count()],
+        killed_before_sending: HashSet::new(),
+        rng: draws::stream(seed, "sockets", 0),
+        notes: Vec::new(),
+        failure: None,
+        scenario: scenario.clone(),
+    };
+    state.usual_customers = state.clients.firms().len();
+    for group in 0..links.group_count() {
+        links.announce(group, &state.server_list(&links, group));
+    }
+    let (peers, broadcast) = (datagrams.peer_addrs()?, datagrams.broadcast_addr()?);
+    for (position, datagrams) in limiter_addrs.iter().enumerate() {
+        let discovery = links.discovery(links.group_of(position));
+        let at = config::Addresses { discovery, datagrams: *datagrams, peers: peers.clone(), broadcast };
+        state.configs.push(config::config(scenario, seed, position as u32, &at));
+    }
+    let files = ConfigFiles::new(scenario.limiters.prefetch)?;
+    let environment = Rc::new(Environment {
+        state: RefCell::new(state),
+        client: Client::default(),
+        clients_changed: Notify::new(),
+        links,
+        datagrams,
+        program: program.clone(),
+        files,
+    });
+    let is_observed = Rc::downgrade(&environment);
+    environment.datagrams.set_observer(Box::new(move |from, to, given, body| {
+        let (Some(environment), Some(lines)) = (is_observed.upgrade(), fawnhill::line_kinds(body)) else {
+            return;
+        };
+        let mut state = environment.state.borrow_mut();
+        let now = state.now();
+        state.judges.see(now, &Seen::Words { from, to, given, lines: &lines });
+    }));
+    spawn_local(servers::record_received_lists(environment.clone()));
+    start_all(&environment).await?;
+    let started = {
+        let mut state = environment.state.borrow_mut();
+        state.started = Instant::now();
+        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        state.start_unix_ms = unix.as_secs_f64() * 1000.0;
+        for l in &mut state.limiters {
+            l.hindered_until = 0.0;
+        }
+        state.started
+    };
+    for (n, listener) in listeners.into_iter().enumerate() {
+        spawn_local(servers::serve(environment.clone(), n, listener));
+        spawn_local(servers::complete_requests(environment.clone(), n));
+    }
+    for index in 0..scenario.timeline.len() {
+        spawn_local(timeline::run_fault(environment.clone(), index));
+    }
+    spawn_local(measure_own_lateness(environment.clone()));
+    let asking = spawn_local(clients::run_clients(environment.clone()));
+    let last = Duration::from_secs_f64(scenario.seconds);
+    for second in 1u32.. {
+        tokio::time::sleep_until((started + Duration::from_secs(u64::from(second))).into()).await;
+        end_second(&environment);
+        progress(f64::from(second));
+        if let Some(said) = tasks::take_panic() {
+            return Err(format!("the ground take_panic: {said}"));
+        }
+        if let Some(failure) = environment.state.borrow_mut().failure.take() {
+            return Err(failure);
+        }
+        let over = environment.state.borrow().clients.open() == 0;
+        if started.elapsed() > last + FINAL_ANSWERS_TIMEOUT || (started.elapsed() > last && over) {
+            break;
+        }
+    }
+    asking.abort();
+    Ok(collect_result(&environment, seed))
+}
+
+fn collect_result(environment: &Rc<Environment>, seed: u64) -> Run {
+    let mut guard = environment.state.borrow_mut();
+    let state = &mut *guard;
+    let scenario = state.scenario.clone();
+    let mut recorder = std::mem::replace(&mut state.recorder, Recorder::new(&scenario, BEGIN_MS));
+    recorder.done_ms = state.servers.iter().map(|h| h.simulation.done_ms()).sum();
+    state.outcomes.killed_taken = state.killed_before_sending.len() as u64;
+    let words = environment.datagrams.counts();
+    let lost = words.lost;
+    recorder.messages = [words.sent.iter().sum(), lost];
+    recorder.message_bytes = words.bytes;
+    let mut cpu_ms = Vec::new();
+    let mut memory_mb = Vec::new();
+    for l in &mut state.limiters {
+        let now = l.process.as_ref().and_then(|p| crate::figures::usage(p.pid));
+        cpu_ms.push(l.cpu_ms + now.map_or(0.0, |u| u.cpu_ms));
+        memory_mb.extend(now.map(|u| u.memory_mb));
+    }
+    let (figures, seconds) = recorder.finish(seed, state.oracle.broken(), state.oracle.count(), 0);
+    let fleet = Fleet {
+        outcomes: state.outcomes.clone(),
+        words,
+        cpu_ms,
+        memory_mb,
+        descriptors: state.descriptors,
+        load: state.arrivals.finish(seed),
+        lateness: state.lateness.finish(),
+        breaches: state.judges.breaches().to_vec(),
+        breach_count: state.judges.count(),
+        notes: std::mem::take(&mut state.notes),
+    };
+    Run { figures, seconds, fleet }
+}
+
+/// Starts all limiters, some at a time, and waits until each is wait_until_ready.
+async fn start_all(environment: &Rc<Environment>) -> Result<(), String> {
+    let count = environment.state.borrow().configs.len();
+    for from in (0..count).step_by(CONCURRENT_STARTS) {
+        let some: Vec<_> = (from..(from + CONCURRENT_STARTS).min(count))
+            .map(|n| {
+                let environment = environment.clone();
+                let config = environment.state.borrow().configs[n].clone();
+                spawn_local(
+                    async move { Process::start(&environment.program, &environment.files, &config).await },
+                )
+            })
+            .collect();
+        for starting in some {
+            let process = starting.await.map_err(|e| e.to_string())?.ok_or("a start panicked")??;
+            let position = environment.state.borrow().limiters.len();
+            let mut state = environment.state.borrow_mut();
+            state.addrs.push(process.addr);
+            // A limiter that starts again does so at its address.
+            state.configs[position]["listen"] = process.addr.to_string().into();
+            state.limiters.push(Limiter { process: None, hindrances: 0, hindered_until: 0.0, cpu_ms: 0.0 });
+            drop(state);
+            attach_process(environment, position, process);
+        }
+    }
+    let addrs = environment.state.borrow().addrs.clone();
+    for addr in addrs {
+        processes::wait_until_ready(&environment.client, addr).await?;
+    }
+    Ok(())
+}
+
+/// A limiter runs from now on; its log is read.
+fn attach_process(environment: &Rc<Environment>, limiter: usize, mut process: Process) {
+    if let Some(mut lines) = process.lines.take() {
+        let environment = environment.clone();
+        spawn_local(async move {
+            while let Some(line) = lines.recv().await {
+                handle_log_line(&environment, limiter, line);
+            }
+        });
+    }
+    environment.state.borrow_mut().limiters[limiter].process = Some(process);
+}
+
+/// A limiter tells something in its log.
+fn handle_log_line(environment: &Rc<Environment>, limiter: usize, line: LogLine) {
+    let mut guard = environment.state.borrow_mut();
+    let state = &mut *guard;
+    let now = state.now();
+    match line {
+        LogLine::Text(text) => {
+            if state.notes.len() < MAX_NOTES {
+                state.notes.push(format!("limiter {limiter}: {text}"));
+            }
+        }
+        LogLine::Fields(fields) => {
+            let text = |key: &str| fields.get(key).and_then(|v| v.as_str());
+            let number = |key: &str| fields.get(key).and_then(serde_json::Value::as_f64);
+            match text("event") {
+                Some("acts") => {
+                    if let (Some(duty), Some(fence)) =
+                        (text("duty"), fields.get("number").and_then(|n| n.as_u64()))
+                    {
+                        state.judges.see(now, &Seen::Acts { limiter, duty, number: fence });
+                    }
+                }
+                Some("holds") => {
+                    let figures = (text("budget"), number("part"), number("whole"), number("for_ms"));
+                    if let (Some(budget), Some(part), Some(whole), Some(for_ms)) = figures {
+                        let until = now + for_ms;
+                        state.judges.see(now, &Seen::Holds { limiter, budget, part, whole, until });
+                    }
+                }
+                _ => {}
+            }
+        }
+    }
+}
+
+/// How late this process itself wakes up: what it sees late is not held against limiters.
+async fn measure_own_lateness(environment: Rc<Environment>) {
+    const EVERY: Duration = Duration::from_millis(20);
+    loop {
+        let due = tokio::time::Instant::now() + EVERY;
+        tokio::time::sleep_until(due).await;
+        let late_ms = due.elapsed().as_secs_f64() * 1000.0;
+        let mut state = environment.state.borrow_mut();
+        let now = state.now();
+        state.lateness.record(now, late_ms);
+    }
+}
+
+fn end_second(environment: &Rc<Environment>) {
+    let mut guard = environment.state.borrow_mut();
+    let state = &mut *guard;
+    let now = state.now();
+    let (mut busy, mut held) = (Vec::new(), Vec::new());
+    for (n, h) in state.servers.iter_mut().enumerate() {
+        let done = h.simulation.done_ms();
+        busy.push(((done - h.last_busy_ms) / (h.simulation.model().capacity() * 1000.0)) as f32);
+        held.push(h.simulation.held() as f32);
+        h.last_busy_ms = done;
+        let fit = h.condition == Condition::Serving && h.simulation.share(now) >= 1.0;
+        let seen = Seen::Load { node: n, fit, held: h.simulation.held(), slots: h.simulation.model().slots };
+        state.judges.see(now, &seen);
+        state.arrivals.end_second(n, fit);
+    }
+    state.recorder.tick(now, busy, held);
+    state.descriptors = state.descriptors.max(crate::figures::own_descriptors());
+    state.oracle.sweep(now);
+    state.abandoned.retain(|_, (_, deadline)| now - *deadline < 60_000.0);
+    for n in 0..state.limiters.len() {
+        let l = &mut state.limiters[n];
+        // One that is hindrances is exit_status and started by its trouble.
+        let exit_status =
+            if l.hindrances == 0 { l.process.as_mut().and_then(Process::exit_status) } else { None };
+        if let Some(how) = exit_status {
+            l.process = None;
+            state.outcomes.crashes += 1;
+            state.judges.see(now, &Seen::Died { limiter: n });
+            let what = format!("limiter {n} exit_status by itself: {how}");
+            state.record_violation(Rule::Answer, what);
+        }
+    }
+}
--- /dev/null
+++ b/crates/faults/src/environment/servers.rs
@@ -0,0 +1,370 @@
+//! Nodes on loopback_address: the model says when a request is done, sockets say so to the limiter.
+
+use std::cell::Cell;
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use marldeal_rehearsal::node::{CalledOff, Done, Job, Turned};
+use tokio::net::TcpStream;
+
+use super::*;
+
+/// Work that a node spends on a repeat that it drops.
+const REPEAT_MS: f64 = 1.0;
+
+/// All nodes of a scenario, with their listeners.
+pub(super) async fn open(
+    scenario: &Scenario,
+    seed: u64,
+) -> Result<(Vec<TestServer>, Vec<TcpListener>), String> {
+    let (mut servers, mut listeners) = (Vec::new(), Vec::new());
+    for index in 0..scenario.nodes.count {
+        let mut rng = draws::stream(seed, "node", u64::from(index));
+        let speed = draws::between(&mut rng, scenario.nodes.speed);
+        let port_error = |e: std::io::Error| format!("no port for a node: {e}");
+        let listener =
+            TcpListener::bind((loopback_address(10, index as usize), 0)).await.map_err(port_error)?;
+        let addr = listener.local_addr().map_err(port_error)?;
+        listeners.push(listener);
+        servers.push(TestServer {
+            simulation: Node::warm(scenario.model(speed), BEGIN_MS),
+            id: format!("node-{index}"),
+            addr,
+            zone: index % scenario.buildings,
+            condition: Condition::Serving,
+            start_notified: true,
+            waiting: HashMap::new(),
+            generation: watch::channel(0).0,
+            changed: Rc::new(Notify::new()),
+            error_share: 0.0,
+            reset_share: 0.0,
+            last_busy_ms: 0.0,
+            rng,
+        });
+    }
+    Ok((servers, listeners))
+}
+
+pub(super) async fn serve(environment: Rc<Environment>, index: usize, listener: TcpListener) {
+    let mut generation = environment.state.borrow().servers[index].generation.subscribe();
+    loop {
+        tokio::select! {
+            // The listener closes with the process.
+            _ = generation.changed() => return,
+            accepted = listener.accept() => {
+                if let Ok((stream, _)) = accepted {
+                    let _ = stream.set_nodelay(true);
+                    spawn_local(serve_connection(environment.clone(), index, stream));
+                }
+            }
+        }
+    }
+}
+
+async fn serve_connection(environment: Rc<Environment>, index: usize, stream: TcpStream) {
+    let mut generation = {
+        let mut state = environment.state.borrow_mut();
+        let now = state.now();
+        state.recorder.connections += 1;
+        if !state.servers[index].simulation.connect(now) {
+            return;
+        }
+        state.servers[index].generation.subscribe()
+    };
+    let fresh = Cell::new(true);
+    let service = hyper::service::service_fn(|request| {
+        handle_request(environment.clone(), index, request, fresh.replace(false))
+    });
+    let serving = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+    tokio::select! {
+        _ = generation.changed() => return,
+        _ = serving => {}
+    }
+    let mut state = environment.state.borrow_mut();
+    let now = state.now();
+    state.servers[index].simulation.disconnect(now, 1);
+}
+
+/// A request that a node holds; dropped when its connection ends.
+struct HeldRequest {
+    environment: Rc<Environment>,
+    index: usize,
+    key: u64,
+    job: u64,
+    try_id: u64,
+    repeat: bool,
+    sent: f64,
+    completed: bool,
+}
+
+impl Drop for HeldRequest {
+    fn drop(&mut self) {
+        if self.completed {
+            return;
+        }
+        let mut guard = self.environment.state.borrow_mut();
+        let state = &mut *guard;
+        let now = state.now();
+        let server = &mut state.servers[self.index];
+        if server.waiting.remove(&self.key).is_some() {
+            let how = server.simulation.call_off(now, self.key);
+            if how != CalledOff::RunsOn {
+                state.oracle.leaves(now, self.job, self.repeat, false);
+            }
+            state.oracle.ended(self.try_id, self.sent, Outcome::Cancelled);
+            state.servers[self.index].changed.notify_one();
+        }
+    }
+}
+
+async fn handle_request(
+    environment: Rc<Environment>,
+    index: usize,
+    request: Request<Incoming>,
+    fresh: bool,
+) -> Result<Response<Full<Bytes>>, std::io::Error> {
+    let name = request.headers().get("x-correlation-id").and_then(|v| v.to_str().ok());
+    let try_id = name.and_then(|v| u64::from_str_radix(v, 16).ok()).unwrap_or(0);
+    request.into_body().collect().await.map_err(std::io::Error::other)?;
+    let (held, outcome) = {
+        let mut guard = environment.state.borrow_mut();
+        let state = &mut *guard;
+        let now = state.now();
+        // A client that has left is not known any more: the node works for it all the same, as any would.
+        let known = state
+            .sent_requests
+            .get(&try_id)
+            .map(|s| (s.request.job, s.request.class, s.request.work, s.request.firm));
+        let (job, class, work, firm) = known.unwrap_or((try_id, 0, state.scenario.classes[0].work_ms, 0));
+        state.recorder.attempts += 1;
+        state.arrivals.record(index);
+        if let Some(sent) = state.sent_requests.get_mut(&try_id) {
+            sent.arrived = true;
+        }
+        state.killed_before_sending.remove(&try_id);
+        // Also for a client that has given up: nothing is to arrive any more.
+        let sent = state.sent_requests.get(&try_id).map(|s| (s.request.limiter, s.deadline));
+        if let Some((limiter, deadline)) = sent.or(state.abandoned.get(&try_id).copied()) {
+            let stopped = !state.is_accountable(limiter, deadline - 60_000.0);
+            // What the ground itself brings late is not the limiter's.
+            if state.lateness.last_exceeded < deadline {
+                state.judges.see(now, &Seen::Arrived { node: index, try_id, limiter, deadline, stopped });
+            }
+        }
+        if known.is_some() {
+            if let Some(inside) = state.oracle.sent(now, try_id, index) {
+                state.recorder.sent(state.clients.firms()[firm].plan, class, inside);
+                let units = state.scenario.classes[class].units;
+                state.outcomes.units[0] += units;
+                state.outcomes.units[1] += if inside { 0.0 } else { units };
+                *state.within_quota.entry(job).or_insert(false) |= inside;
+            }
+        }
+        let repeat = state.oracle.arrives(now, job, class);
+        state.next_attempt += 1;
+        let key = state.next_attempt;
+        let server = &mut state.servers[index];
+        let job_of = Job { key, work: if repeat { REPEAT_MS } else { work }, told: server.start_notified };
+        match server.simulation.arrive(now, job_of, fresh) {
+            Ok(()) => {
+                let (done, outcome) = oneshot::channel();
+                server.waiting.insert(key, done);
+                server.changed.notify_one();
+                let held = HeldRequest {
+                    environment: environment.clone(),
+                    index,
+                    key,
+                    job,
+                    try_id,
+                    repeat,
+                    sent: now,
+                    completed: false,
+                };
+                (held, outcome)
+            }
+            Err(turned) => {
+                state.oracle.leaves(now, job, repeat, false);
+                let outcome = if turned == Turned::Full { Outcome::Full } else { Outcome::Severed };
+                state.oracle.ended(try_id, now, outcome);
+                if turned == Turned::Fell {
+                    let share = state.servers[index].simulation.fall().map_or(0.0, |f| f.told_share);
+                    state.oracle.fell(now, index, share);
+                    state.recorder.falls += 1;
+                    end_process(&environment, state, index);
+                }
+                drop(guard);
+                return response_for(outcome);
+            }
+        }
+    };
+    let mut held = held;
+    let outcome = outcome.await.unwrap_or(Outcome::Severed);
+    held.completed = true;
+    let mut state = environment.state.borrow_mut();
+    state.oracle.ended(try_id, held.sent, outcome);
+    if outcome == Outcome::Ok {
+        let work = state.sent_requests.get(&try_id).map_or(0.0, |s| s.request.work);
+        state.recorder.useful_ms += if held.repeat { REPEAT_MS } else { work };
+    }
+    drop(state);
+    response_for(outcome)
+}
+
+fn response_for(outcome: Outcome) -> Result<Response<Full<Bytes>>, std::io::Error> {
+    let plain = |status: u16| Response::builder().status(status);
+    let answer = match outcome {
+        Outcome::Ok => plain(200).body(Full::new(Bytes::from_static(b"booked"))),
+        Outcome::Full => plain(503).header("x-unprocessed", "1").body(Full::default()),
+        Outcome::Error => plain(500).body(Full::default()),
+        _ => return Err(std::io::ErrorKind::ConnectionReset.into()),
+    };
+    answer.map_err(std::io::Error::other)
+}
+
+/// Ends requests when the model says that they are done.
+pub(super) async fn complete_requests(environment: Rc<Environment>, index: usize) {
+    let changed = environment.state.borrow().servers[index].changed.clone();
+    loop {
+        let due = {
+            let state = environment.state.borrow();
+            state.servers[index].simulation.next_due().map(|at| state.instant(at))
+        };
+        match due {
+            Some(due) => tokio::select! {
+                () = tokio::time::sleep_until(due) => {}
+                () = changed.notified() => {}
+            },
+            None => changed.notified().await,
+        }
+        let mut guard = environment.state.borrow_mut();
+        let state = &mut *guard;
+        let now = state.now();
+        let mut done: Vec<Done> = Vec::new();
+        let server = &mut state.servers[index];
+        server.simulation.due(now, &mut done);
+        for d in done {
+            let outcome = if draws::chance(&mut server.rng, server.error_share) {
+                Outcome::Error
+            } else if draws::chance(&mut server.rng, server.reset_share) {
+                Outcome::Severed
+            } else {
+                Outcome::Ok
+            };
+            if let Some(sender) = server.waiting.remove(&d.key) {
+                let _ = sender.send(outcome);
+            }
+        }
+    }
+}
+
+/// A node's process ends: its listener and its connections with it.
+pub(super) fn end_process(environment: &Rc<Environment>, state: &mut State, index: usize) {
+    environment.links.set_server_down(index, true);
+    let now = state.now();
+    let server = &mut state.servers[index];
+    server.simulation.exit(now);
+    server.waiting.clear();
+    server.generation.send_modify(|generation| *generation += 1);
+    set_condition(environment, state, index, Condition::Gone);
+}
+
+pub(super) fn set_condition(
+    environment: &Rc<Environment>,
+    state: &mut State,
+    index: usize,
+    condition: Condition,
+) {
+    state.servers[index].condition = condition;
+    state.servers[index].start_notified = false;
+    let after = draws::between(&mut state.rng, state.scenario.net.roster_s);
+    let environment = environment.clone();
+    spawn_local(async move {
+        tokio::time::sleep(Duration::from_secs_f64(after)).await;
+        announce(&environment);
+    });
+}
+
+/// Tells the server_list as it set_stopped to all limiters that can handle_actions it.
+pub(super) fn announce(environment: &Rc<Environment>) {
+    let mut guard = environment.state.borrow_mut();
+    let state = &mut *guard;
+    let now = state.now();
+    for group in 0..environment.links.group_count() {
+        if state.discovery_silences[group] > 0
+            || !environment.datagrams.network.borrow().told(environment.links.building(group))
+        {
+            continue;
+        }
+        let list = state.server_list(&environment.links, group);
+        environment.links.announce(group, &list);
+        state.announced[group] = state.version;
+        if environment.links.is_observed(group) {
+            continue;
+        }
+        state.received[group] = state.version;
+        for index in 0..state.servers.len() {
+            let takes = state.servers[index].condition == Condition::Serving;
+            for limiter in environment.links.limiters(group) {
+                state.oracle.told(now, limiter, index, takes);
+            }
+        }
+    }
+    state.mark_starts_notified();
+}
+
+/// What limiters are told through proxies counts from when they have been told it.
+pub(super) async fn record_received_lists(environment: Rc<Environment>) {
+    let Some(mut received) = environment.links.take_received_lines() else { return };
+    while let Some((group, line)) = received.recv().await {
+        let Ok(list) = serde_json::from_str::<serde_json::Value>(&line) else { continue };
+        let (Some(version), Some(servers)) = (list["version"].as_u64(), list["servers"].as_array()) else {
+            continue;
+        };
+        let mut guard = environment.state.borrow_mut();
+        let state = &mut *guard;
+        let now = state.now();
+        // A new watch is told the list again.
+        state.received[group] = state.received[group].max(version);
+        for index in 0..state.servers.len() {
+            let id = state.servers[index].id.as_str();
+            let takes = servers.iter().any(|s| s["id"] == id && s["state"] == "active");
+            for limiter in environment.links.limiters(group) {
+                state.oracle.told(now, limiter, index, takes);
+            }
+        }
+        state.mark_starts_notified();
+    }
+}
+
+impl State {
+    /// A start that one group has not received of is nobody's fault there.
+    fn mark_starts_notified(&mut self) {
+        let notified = |s: usize| self.discovery_silences[s] == 0 && self.received[s] >= self.announced[s];
+        let all = (0..self.discovery_silences.len()).all(notified);
+        for server in &mut self.servers {
+            server.start_notified |= all;
+        }
+    }
+}
+
+/// A node's process starts again at its address.
+pub(super) async fn restart_process(environment: &Rc<Environment>, index: usize) {
+    let addr = environment.state.borrow().servers[index].addr;
+    let listener = match TcpListener::bind(addr).await {
+        Ok(listener) => listener,
+        Err(e) => {
+            environment.state.borrow_mut().failure =
+                Some(format!("a node does not start again at {addr}: {e}"));
+            return;
+        }
+    };
+    environment.links.set_server_down(index, false);
+    let mut state = environment.state.borrow_mut();
+    let now = state.now();
+    state.servers[index].simulation.start(now);
+    spawn_local(serve(environment.clone(), index, listener));
+    set_condition(environment, &mut state, index, Condition::Serving);
+}
--- a/crates/faults/src/figures.rs
+++ b/crates/faults/src/figures.rs
@@ -7,7 +7,7 @@
 use marldeal_rehearsal::scenario::Scenario;
 use serde::Serialize;
 
-use crate::mail::Counts;
+use crate::datagrams::DatagramCounts;
 
 /// All of a run.
 pub struct Run {
@@ -15,18 +15,18 @@
     pub figures: Figures,
     /// Each second.
     pub seconds: Vec<Second>,
-    /// Counts over the fleet.
+    /// DatagramCounts over the fleet.
     pub fleet: Fleet,
 }
 
 impl Run {
-    /// Rules and invariants that were broken.
-    pub fn broken(&self) -> u64 {
+    /// Rules and invariants that were violation_count.
+    pub fn violation_count(&self) -> u64 {
         self.figures.broken_count + self.fleet.breach_count
     }
 
     /// The first of them, in words.
-    pub fn first_broken(&self) -> Option<String> {
+    pub fn first_violation(&self) -> Option<String> {
         let rule = self.figures.broken.first();
         let rule = rule.map(|b| (b.at_s, format!("{:?} at {:.3} s: {}", b.rule, b.at_s, b.what)));
         let begin = marldeal_rehearsal::world::BEGIN_MS;
@@ -38,14 +38,14 @@
     }
 }
 
-/// Counts over the fleet.
+/// DatagramCounts over the fleet.
 #[derive(Debug, Clone, Serialize)]
 pub struct Fleet {
     /// How tries ended that the rules say something of.
     pub outcomes: Outcomes,
     /// Words between limiters.
     #[serde(skip)]
-    pub words: Counts,
+    pub words: DatagramCounts,
     /// CPU of each limiter, in milliseconds.
     pub cpu_ms: Vec<f64>,
     /// Resident memory of each limiter that runs at the end, in MB.
@@ -55,8 +55,8 @@
     /// Load of servers against their fair part.
     pub load: Load,
     /// The ground's own lateness.
-    pub lateness: Late,
-    /// Invariants that were broken, the first ones.
+    pub lateness: LatenessQuantiles,
+    /// Invariants that were violation_count, the first ones.
     pub breaches: Vec<Breach>,
     /// How many were.
     pub breach_count: u64,
@@ -77,7 +77,7 @@
     pub crashes: u64,
     /// Limiters that had to be killed after SIGTERM.
     pub hung: u64,
-    /// Kills aimed between taking a request and sending it that fell there, as far as nodes saw.
+    /// Kills aimed between taking a request and sending it that fell there, as far as nodes record.
     pub killed_taken: u64,
     /// The same between sending and answering.
     pub killed_sent: u64,
@@ -102,7 +102,7 @@
 
 /// Requests that have come to each node in each second.
 pub struct Arrivals {
-    speeds: Vec<f64>,
+    server_speeds: Vec<f64>,
     now: Vec<u32>,
     fit: Vec<bool>,
     windows: Vec<Vec<(u32, f64)>>,
@@ -110,24 +110,24 @@
 }
 
 impl Arrivals {
-    /// For the nodes of a scenario, of which the speeds are given.
-    pub fn new(scenario: &Scenario, speeds: &[f64]) -> Arrivals {
+    /// For the nodes of a scenario, of which the server_speeds are given.
+    pub fn new(scenario: &Scenario, server_speeds: &[f64]) -> Arrivals {
         Arrivals {
-            speeds: speeds.to_vec(),
-            now: vec![0; speeds.len()],
-            fit: vec![true; speeds.len()],
+            server_speeds: server_speeds.to_vec(),
+            now: vec![0; server_speeds.len()],
+            fit: vec![true; server_speeds.len()],
             windows: Vec::new(),
             seconds: scenario.seconds as usize,
         }
     }
 
     /// One has come.
-    pub fn saw(&mut self, node: usize) {
+    pub fn record(&mut self, node: usize) {
         self.now[node] += 1;
     }
 
     /// A second is over at a node; only what is fit from its beginning to its end has a fair part.
-    pub fn tick(&mut self, node: usize, fit: bool) {
+    pub fn end_second(&mut self, node: usize, fit: bool) {
         if node == 0 {
             self.windows.push(Vec::new());
         }
@@ -135,7 +135,7 @@
         let count = std::mem::take(&mut self.now[node]);
         self.fit[node] = fit;
         if let Some(window) = self.windows.last_mut().filter(|_| counts) {
-            window.push((count, self.speeds[node]));
+            window.push((count, self.server_speeds[node]));
         }
     }
 
@@ -186,14 +186,14 @@
 /// How late the ground itself was.
 pub struct Lateness {
     us: Histogram<u64>,
-    beyond_ms: f64,
+    tolerance_ms: f64,
     /// When it was last later than allowed.
-    pub last_beyond: f64,
+    pub last_exceeded: f64,
 }
 
 /// Quantiles of the ground's lateness in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct Late {
+pub struct LatenessQuantiles {
     /// Half of the time.
     pub p50_ms: f64,
     /// In 99 of 100 cases.
@@ -203,35 +203,35 @@
 }
 
 /// Lateness at the 99th percentile from which times in the figures are the ground's own.
-const SPOILT_MS: f64 = 20.0;
+const MAX_P99_LATENESS_MS: f64 = 20.0;
 
-impl Late {
+impl LatenessQuantiles {
     /// Times that were measured are the ground's own as much as the limiters'.
-    pub fn spoils(&self) -> bool {
-        self.p99_ms > SPOILT_MS
+    pub fn distorts_times(&self) -> bool {
+        self.p99_ms > MAX_P99_LATENESS_MS
     }
 }
 
 impl Lateness {
-    /// From `beyond_ms` on nothing is held against limiters.
-    pub fn new(beyond_ms: f64) -> Lateness {
+    /// From `tolerance_ms` on nothing is held against limiters.
+    pub fn new(tolerance_ms: f64) -> Lateness {
         let us =
             Histogram::new_with_bounds(1, 600_000_000, 3).unwrap_or_else(|_| unreachable!("legal bounds"));
-        Lateness { us, beyond_ms, last_beyond: 0.0 }
+        Lateness { us, tolerance_ms, last_exceeded: 0.0 }
     }
 
     /// It woke up so late.
-    pub fn saw(&mut self, now: f64, late_ms: f64) {
+    pub fn record(&mut self, now: f64, late_ms: f64) {
         let _ = self.us.record(((late_ms * 1000.0) as u64).clamp(1, 600_000_000));
-        if late_ms > self.beyond_ms {
-            self.last_beyond = now;
+        if late_ms > self.tolerance_ms {
+            self.last_exceeded = now;
         }
     }
 
     /// What it came to.
-    pub fn finish(&self) -> Late {
+    pub fn finish(&self) -> LatenessQuantiles {
         let at = |q| self.us.value_at_quantile(q) as f64 / 1000.0;
-        Late { p50_ms: at(0.5), p99_ms: at(0.99), most_ms: self.us.max() as f64 / 1000.0 }
+        LatenessQuantiles { p50_ms: at(0.5), p99_ms: at(0.99), most_ms: self.us.max() as f64 / 1000.0 }
     }
 }
 
@@ -269,9 +269,9 @@
             for _ in 0..40 {
                 for node in 0..10 {
                     let some = if even { 10 } else { usize::from(node == 3) * 100 };
-                    (0..some).for_each(|_| arrivals.saw(node));
+                    (0..some).for_each(|_| arrivals.record(node));
                 }
-                (0..10).for_each(|node| arrivals.tick(node, true));
+                (0..10).for_each(|node| arrivals.end_second(node, true));
             }
             arrivals.finish(7)
         };
@@ -286,8 +286,8 @@
         let scenario = Scenario { seconds: 3.0, ..Scenario::default() };
         let mut arrivals = Arrivals::new(&scenario, &[1.0; 3]);
         for fit in [true, false, true] {
-            (0..3).for_each(|node| arrivals.saw(node));
-            (0..3).for_each(|node| arrivals.tick(node, node > 0 || fit));
+            (0..3).for_each(|node| arrivals.record(node));
+            (0..3).for_each(|node| arrivals.end_second(node, node > 0 || fit));
         }
         assert_eq!(arrivals.windows.iter().map(Vec::len).collect::<Vec<_>>(), [3, 2, 2]);
     }
@@ -295,10 +295,10 @@
     #[test]
     fn lateness_beyond_the_bound_is_remembered() {
         let mut lateness = Lateness::new(100.0);
-        (0..99).for_each(|n| lateness.saw(f64::from(n), 1.0));
-        assert_eq!(lateness.last_beyond, 0.0);
-        lateness.saw(500.0, 250.0);
-        assert_eq!(lateness.last_beyond, 500.0);
-        assert!(!lateness.finish().spoils() && lateness.finish().most_ms >= 249.0);
+        (0..99).for_each(|n| lateness.record(f64::from(n), 1.0));
+        assert_eq!(lateness.last_exceeded, 0.0);
+        lateness.record(500.0, 250.0);
+        assert_eq!(lateness.last_exceeded, 500.0);
+        assert!(!lateness.finish().distorts_times() && lateness.finish().most_ms >= 249.0);
     }
 }
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -7,11 +7,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod datagrams;
+pub mod environment;
 pub mod figures;
-pub mod ground;
-pub mod mail;
 pub mod plans;
 pub mod processes;
-pub mod room;
+pub mod resources;
 pub mod streams;
 mod tasks;
--- a/crates/faults/src/plans.rs
+++ b/crates/faults/src/plans.rs
@@ -39,7 +39,7 @@
         for (name, text) in ALL {
             let plan = Scenario::read(text).unwrap_or_else(|wrong| panic!("{name}: {wrong:?}"));
             assert!(!plan.about.is_empty(), "{name}");
-            assert_eq!(crate::ground::mistakes(&plan), Vec::<String>::new(), "{name}");
+            assert_eq!(crate::environment::unsupported(&plan), Vec::<String>::new(), "{name}");
         }
     }
 
--- a/crates/faults/src/processes.rs
+++ b/crates/faults/src/processes.rs
@@ -1,4 +1,4 @@
-//! Limiters as processes of their own on loopback. What is started here ends when it is dropped.
+//! Limiters as processes of their current on loopback_address. What is started here ends when it is dropped.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Longest that a limiter may take to listen and to be ready; generous, for hundreds may start at once.
-const START: Duration = Duration::from_secs(60);
+/// Longest that a limiter may take to listen and to be wait_until_ready; generous, for hundreds may start at once.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Which program is started, and with what beside its configuration.
 #[derive(Debug, Clone)]
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// One plain line.
-    pub fn own() -> Result<Program, String> {
+    pub fn current() -> Result<Program, String> {
         let path = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
         Ok(Program { path, variables: Vec::new() })
     }
@@ -39,42 +39,42 @@
 
 /// One line of a limiter's log.
 #[derive(Debug, Clone)]
-pub enum Line {
+pub enum LogLine {
     /// With its fields.
-    Told(serde_json::Value),
+    Fields(serde_json::Value),
     /// Not in the log's form: what a panic says, for one.
-    Other(String),
+    Text(String),
 }
 
-impl Line {
-    fn read(text: String) -> Line {
+impl LogLine {
+    fn read(text: String) -> LogLine {
         match serde_json::from_str::<serde_json::Value>(&text) {
-            Ok(told) if told.is_object() => Line::Told(told),
-            _ => Line::Other(text),
+            Ok(fields) if fields.is_object() => LogLine::Fields(fields),
+            _ => LogLine::Text(text),
         }
     }
 
     /// What happened, if the line names it.
     pub fn event(&self) -> Option<&str> {
         match self {
-            Line::Told(told) => told.get("event")?.as_str(),
-            Line::Other(_) => None,
+            LogLine::Fields(fields) => fields.get("event")?.as_str(),
+            LogLine::Text(_) => None,
         }
     }
 }
 
 /// The directory of configuration files; removed when dropped.
-pub struct Files {
+pub struct ConfigFiles {
     at: TempDir,
     prefetch: u32,
 }
 
-impl Files {
+impl ConfigFiles {
     /// A new one. The limiters at the first `prefetch` positions hold units of quotas ahead of need.
     ///
     /// # Errors
     /// One plain line.
-    pub fn new(prefetch: u32) -> Result<Files, String> {
+    pub fn new(prefetch: u32) -> Result<ConfigFiles, String> {
         let at = TempDir::with_prefix("marldeal-").map_err(|e| format!("no directory for files: {e}"))?;
         let log = at.path().join("log.toml");
         let ahead = at.path().join("ahead.toml");
@@ -82,7 +82,7 @@
         for (path, text) in [(log, json.to_string()), (ahead, format!("{json}[prefetch]\n"))] {
             std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         }
-        Ok(Files { at, prefetch })
+        Ok(ConfigFiles { at, prefetch })
     }
 
     fn path(&self) -> &Path {
@@ -98,7 +98,7 @@
     /// Where it serves.
     pub addr: SocketAddr,
     /// What it logs from then on.
-    pub lines: Option<mpsc::UnboundedReceiver<Line>>,
+    pub lines: Option<mpsc::UnboundedReceiver<LogLine>>,
 }
 
 impl Process {
@@ -108,66 +108,70 @@
     /// One plain line: what could not be started, with what it said last.
     pub async fn start(
         program: &Program,
-        files: &Files,
+        files: &ConfigFiles,
         config: &serde_json::Value,
     ) -> Result<Process, String> {
         let mut child = spawn(program, files, config)?;
-        let pid = child.id().ok_or("a limiter ended at once")?;
+        let pid = child.id().ok_or("a limiter exit_status at once")?;
         let log = child.stderr.take().ok_or("a limiter has no log")?;
-        let (say, mut heard) = mpsc::unbounded_channel();
+        let (sender, mut received) = mpsc::unbounded_channel();
         // Read to the end, so that the limiter never waits for its log.
         tokio::spawn(async move {
             let mut lines = BufReader::new(log).lines();
             while let Ok(Some(text)) = lines.next_line().await {
-                let _ = say.send(Line::read(text));
+                let _ = sender.send(LogLine::read(text));
             }
         });
         let mut last = String::new();
         let listens = async {
-            while let Some(line) = heard.recv().await {
+            while let Some(line) = received.recv().await {
                 if line.event() == Some("serving") {
-                    let Line::Told(told) = &line else { continue };
-                    return told.get("at").and_then(|at| at.as_str()?.parse::<SocketAddr>().ok());
+                    let LogLine::Fields(fields) = &line else { continue };
+                    return fields.get("at").and_then(|at| at.as_str()?.parse::<SocketAddr>().ok());
                 }
                 last = format!("{line:?}");
             }
             None
         };
-        let addr = tokio::time::timeout(START, listens).await;
+        let addr = tokio::time::timeout(START_TIMEOUT, listens).await;
         let addr = addr.map_err(|_| "a limiter does not listen".to_string())?;
         let addr = addr.ok_or_else(|| format!("a limiter ends as it starts: {last}"))?;
-        Ok(Process { child, pid, addr, lines: Some(heard) })
+        Ok(Process { child, pid, addr, lines: Some(received) })
     }
 
     /// Starts a limiter and ends it before it can listen.
     ///
     /// # Errors
     /// One plain line.
-    pub async fn stumble(program: &Program, files: &Files, config: &serde_json::Value) -> Result<(), String> {
+    pub async fn start_and_kill(
+        program: &Program,
+        files: &ConfigFiles,
+        config: &serde_json::Value,
+    ) -> Result<(), String> {
         let mut child = spawn(program, files, config)?;
         child.kill().await.map_err(|e| format!("a limiter does not die: {e}"))
     }
 
-    /// Sends it a signal; one that has ended hears nothing.
+    /// Sends it a signal; one that has exit_status hears nothing.
     pub fn signal(&self, what: Signal) {
-        // Its number is its own until it has been waited for, which `ended` alone does.
+        // Its number is its current until it has been waited for, which `exit_status` alone does.
         if self.child.id().is_some() {
             let _ = kill(Pid::from_raw(self.pid as i32), what);
         }
     }
 
-    /// How it has ended by itself, if it has.
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    /// How it has exit_status by itself, if it has.
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     /// Kills it and waits until it is gone, so that its addresses are free.
-    pub async fn end(mut self) {
+    pub async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 }
 
-fn spawn(program: &Program, files: &Files, config: &serde_json::Value) -> Result<Child, String> {
+fn spawn(program: &Program, files: &ConfigFiles, config: &serde_json::Value) -> Result<Child, String> {
     let name = config.get("name").and_then(|n| n.as_str()).unwrap_or("limiter");
     let path = files.path().join(format!("{name}.json"));
     std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -183,9 +187,9 @@
     command.spawn().map_err(|e| format!("a limiter does not start: {e}"))
 }
 
-/// The loopback address of one of many: each kind has a network of its own, so that no connection's own port ever takes
+/// The loopback_address address of one of many: each kind has a network of its current, so that no connection's current port ever takes
 /// the place of a listener that comes back.
-pub fn loopback(kind: u8, number: usize) -> Ipv4Addr {
+pub fn loopback_address(kind: u8, number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, kind, (number / 250) as u8, (number % 250 + 1) as u8)
 }
 
@@ -193,17 +197,18 @@
 ///
 /// # Errors
 /// One plain line.
-pub fn mail_addresses(limiters: usize) -> Result<Vec<SocketAddr>, String> {
-    let bound: Result<Vec<_>, _> = (0..limiters).map(|n| UdpSocket::bind((loopback(14, n), 0))).collect();
+pub fn datagram_addresses(limiters: usize) -> Result<Vec<SocketAddr>, String> {
+    let bound: Result<Vec<_>, _> =
+        (0..limiters).map(|n| UdpSocket::bind((loopback_address(14, n), 0))).collect();
     let all = bound.and_then(|all| all.iter().map(UdpSocket::local_addr).collect::<Result<Vec<_>, _>>());
     all.map_err(|e| format!("no address for datagrams: {e}"))
 }
 
-/// Waits until a limiter is ready.
+/// Waits until a limiter is wait_until_ready.
 ///
 /// # Errors
-/// When it does not get ready in time.
-pub async fn ready(client: &Client, addr: SocketAddr) -> Result<(), String> {
+/// When it does not get wait_until_ready in time.
+pub async fn wait_until_ready(client: &Client, addr: SocketAddr) -> Result<(), String> {
     let began = Instant::now();
     loop {
         let request = hyper::Request::get("/-/ready").header("host", "ground").body(bytes::Bytes::new());
@@ -211,7 +216,7 @@
         if client.exchange(addr, request).await.is_ok_and(|a| a.status() == 200) {
             return Ok(());
         }
-        if began.elapsed() > START {
+        if began.elapsed() > START_TIMEOUT {
             return Err(format!("the limiter at {addr} does not get ready"));
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/faults/src/streams.rs
+++ b/crates/faults/src/streams.rs
@@ -1,4 +1,4 @@
-//! A relay for streams: it stands between limiters and a listener, and does to their connections what a gate says.
+//! A proxy for streams: it stands between limiters and a listener, and does to their connections what a faults says.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,19 +13,19 @@
 
 use crate::tasks::spawn_local;
 
-/// What is wrong with a way.
+/// What is active with a way.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Wrong {
+pub enum StreamFault {
     /// New connections are refused.
     Refuse,
     /// Connections come up; nothing goes either way.
     Mute,
-    /// This share of what is sent one way breaks off before its last byte.
+    /// This share of what is sent one way draws_break off before its last byte.
     Break {
         /// Which share.
         share: f64,
         /// Of what is said to the limiter, not of what it says.
-        answers: bool,
+        towards_limiter: bool,
     },
     /// Answers wait so many milliseconds, least and most.
     Hold([f64; 2]),
@@ -34,56 +34,56 @@
 }
 
 /// What stands in a way now.
-pub struct Gate {
-    wrong: RefCell<Vec<(usize, Wrong)>>,
+pub struct LinkFaults {
+    active: RefCell<Vec<(usize, StreamFault)>>,
     /// Nobody listens behind it.
-    down: Cell<bool>,
+    target_down: Cell<bool>,
     changed: Notify,
     rng: RefCell<Stream>,
 }
 
-impl Gate {
+impl LinkFaults {
     /// An open one.
-    pub fn new(rng: Stream) -> Rc<Gate> {
-        Rc::new(Gate {
-            wrong: RefCell::default(),
-            down: Cell::new(false),
+    pub fn new(rng: Stream) -> Rc<LinkFaults> {
+        Rc::new(LinkFaults {
+            active: RefCell::default(),
+            target_down: Cell::new(false),
             changed: Notify::new(),
             rng: RefCell::new(rng),
         })
     }
 
-    /// Something is wrong from now on; `number` tells it apart.
-    pub fn begins(&self, number: usize, wrong: Wrong) {
-        self.wrong.borrow_mut().push((number, wrong));
+    /// Something is active from now on; `number` tells it apart.
+    pub fn start(&self, number: usize, active: StreamFault) {
+        self.active.borrow_mut().push((number, active));
         self.changed.notify_waiters();
     }
 
     /// It is over.
-    pub fn ends(&self, number: usize) {
-        self.wrong.borrow_mut().retain(|(n, _)| *n != number);
+    pub fn end(&self, number: usize) {
+        self.active.borrow_mut().retain(|(n, _)| *n != number);
         self.changed.notify_waiters();
     }
 
-    /// Whether anybody listens behind it: a relay would accept for one that does not.
-    pub fn set_down(&self, down: bool) {
-        self.down.set(down);
+    /// Whether anybody listens behind it: a proxy would accept for one that does not.
+    pub fn set_target_down(&self, target_down: bool) {
+        self.target_down.set(target_down);
         self.changed.notify_waiters();
     }
 
-    fn any(&self, of: impl Fn(&Wrong) -> bool) -> bool {
-        self.wrong.borrow().iter().any(|(_, w)| of(w))
+    fn any(&self, of: impl Fn(&StreamFault) -> bool) -> bool {
+        self.active.borrow().iter().any(|(_, w)| of(w))
     }
 
-    fn refuses(&self) -> bool {
-        self.down.get() || self.any(|w| *w == Wrong::Refuse)
+    fn refuses_connections(&self) -> bool {
+        self.target_down.get() || self.any(|w| *w == StreamFault::Refuse)
     }
 
-    fn mute(&self) -> bool {
-        self.any(|w| *w == Wrong::Mute)
+    fn is_muted(&self) -> bool {
+        self.any(|w| *w == StreamFault::Mute)
     }
 
-    async fn until(&self, holds: impl Fn(&Gate) -> bool) {
+    async fn wait_until(&self, holds: impl Fn(&LinkFaults) -> bool) {
         loop {
             let changed = self.changed.notified();
             if holds(self) {
@@ -93,69 +93,73 @@
         }
     }
 
-    fn breaks(&self, way: bool) -> bool {
-        let shares = |w: &Wrong| match w {
-            Wrong::Break { share, answers } if *answers == way => *share,
+    fn draws_break(&self, direction: bool) -> bool {
+        let shares = |w: &StreamFault| match w {
+            StreamFault::Break { share, towards_limiter } if *towards_limiter == direction => *share,
             _ => 0.0,
         };
-        let share = self.wrong.borrow().iter().map(|(_, w)| shares(w)).sum();
+        let share = self.active.borrow().iter().map(|(_, w)| shares(w)).sum();
         draws::chance(&mut self.rng.borrow_mut(), share)
     }
 
-    /// How long some bytes take; `answers` go towards the limiter.
-    fn takes_ms(&self, bytes: usize, answers: bool) -> f64 {
+    /// How long some bytes take; `towards_limiter` go towards the limiter.
+    fn delay_ms(&self, bytes: usize, towards_limiter: bool) -> f64 {
         let mut rng = self.rng.borrow_mut();
-        let one = |w: &Wrong, rng: &mut Stream| match w {
-            Wrong::Hold(ms) if answers => draws::between(rng, *ms),
-            Wrong::Trickle(per_s) => 1000.0 * bytes as f64 / per_s,
+        let one = |w: &StreamFault, rng: &mut Stream| match w {
+            StreamFault::Hold(ms) if towards_limiter => draws::between(rng, *ms),
+            StreamFault::Trickle(per_s) => 1000.0 * bytes as f64 / per_s,
             _ => 0.0,
         };
-        self.wrong.borrow().iter().map(|(_, w)| one(w, &mut rng)).sum()
+        self.active.borrow().iter().map(|(_, w)| one(w, &mut rng)).sum()
     }
 }
 
-/// Whole lines that limiters were told through a relay, with the relay's number.
-pub type Lines = mpsc::UnboundedSender<(usize, String)>;
+/// Whole lines that limiters were told through a proxy, with the proxy's number.
+pub type LineSender = mpsc::UnboundedSender<(usize, String)>;
 
-/// A relay in front of `target`; ends when it is dropped. Where limiters connect is told.
-pub struct Relay {
+/// A proxy in front of `target`; end when it is dropped. Where limiters connect is told.
+pub struct StreamProxy {
     /// Where it listens.
     pub addr: SocketAddr,
     /// What stands in its way.
-    pub gate: Rc<Gate>,
+    pub faults: Rc<LinkFaults>,
     task: tokio::task::AbortHandle,
 }
 
-impl Drop for Relay {
+impl Drop for StreamProxy {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Relay {
+impl StreamProxy {
     /// Listens at an address of the caller's choice, port 0 for any.
     ///
     /// # Errors
     /// One plain line.
-    pub async fn open(at: SocketAddr, target: SocketAddr, gate: Rc<Gate>) -> Result<Relay, String> {
-        Relay::open_heard(at, target, gate, None).await
+    pub async fn open(
+        at: SocketAddr,
+        target: SocketAddr,
+        faults: Rc<LinkFaults>,
+    ) -> Result<StreamProxy, String> {
+        StreamProxy::open_observed(at, target, faults, None).await
     }
 
     /// The same; each line that has been passed on to a limiter is told, when it has been.
     ///
     /// # Errors
     /// One plain line.
-    pub async fn open_heard(
+    pub async fn open_observed(
         at: SocketAddr,
         target: SocketAddr,
-        gate: Rc<Gate>,
-        heard: Option<(usize, Lines)>,
-    ) -> Result<Relay, String> {
-        let no = |e: std::io::Error| format!("no port for a relay: {e}");
+        faults: Rc<LinkFaults>,
+        observer: Option<(usize, LineSender)>,
+    ) -> Result<StreamProxy, String> {
+        let no = |e: std::io::Error| format!("no port for a proxy: {e}");
         let listener = TcpListener::bind(at).await.map_err(no)?;
         let addr = listener.local_addr().map_err(no)?;
-        let task = spawn_local(accept(listener, addr, target, gate.clone(), heard)).abort_handle();
-        Ok(Relay { addr, gate, task })
+        let task = spawn_local(accept(listener, addr, target, faults.clone(), observer)).abort_handle();
+        Ok(StreamProxy { addr, faults, task })
     }
 }
 
@@ -163,15 +167,15 @@
     listener: TcpListener,
     addr: SocketAddr,
     target: SocketAddr,
-    gate: Rc<Gate>,
-    heard: Option<(usize, Lines)>,
+    faults: Rc<LinkFaults>,
+    observer: Option<(usize, LineSender)>,
 ) {
     let mut listener = Some(listener);
     loop {
-        if gate.refuses() {
-            // Only a closed listener refuses. Its address is no connection's own, so it is free when it comes back.
+        if faults.refuses_connections() {
+            // Only a closed listener refuses_connections. Its address is no connection's own, so it is free when it comes back.
             drop(listener.take());
-            gate.until(|g| !g.refuses()).await;
+            faults.wait_until(|g| !g.refuses_connections()).await;
         }
         let Some(open) = &listener else {
             match TcpListener::bind(addr).await {
@@ -182,72 +186,77 @@
         };
         tokio::select! {
             accepted = open.accept() => match accepted {
-                Ok((stream, _)) => drop(spawn_local(carry(stream, target, gate.clone(), heard.clone()))),
+                Ok((stream, _)) => drop(spawn_local(forward_connection(stream, target, faults.clone(), observer.clone()))),
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             },
-            () = gate.until(Gate::refuses) => {}
+            () = faults.wait_until(LinkFaults::refuses_connections) => {}
         }
     }
 }
 
-/// One connection: ends with either side.
-async fn carry(stream: TcpStream, target: SocketAddr, gate: Rc<Gate>, heard: Option<(usize, Lines)>) {
-    let held = gate.mute();
-    gate.until(|g| !g.mute()).await;
+/// One connection: end with either side.
+async fn forward_connection(
+    stream: TcpStream,
+    target: SocketAddr,
+    faults: Rc<LinkFaults>,
+    observer: Option<(usize, LineSender)>,
+) {
+    let stalled = faults.is_muted();
+    faults.wait_until(|g| !g.is_muted()).await;
     let Ok(onward) = TcpStream::connect(target).await else { return };
     let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
     let (from_limiter, to_limiter) = stream.into_split();
     let (from_server, to_server) = onward.into_split();
     tokio::select! {
-        () = pump(from_limiter, to_server, &gate, false, held, None) => {}
-        () = pump(from_server, to_limiter, &gate, true, false, heard) => {}
+        () = forward(from_limiter, to_server, &faults, false, stalled, None) => {}
+        () = forward(from_server, to_limiter, &faults, true, false, observer) => {}
     }
 }
 
 /// Longest line that is kept of what is told: a list of the most nodes that are played.
-const MOST_LINE: usize = 1 << 20;
-/// How long an end that came while a way was held takes to show.
-const END_SHOWS: Duration = Duration::from_millis(5);
+const MAX_LINE_BYTES: usize = 1 << 20;
+/// How long an end that came while a way was stalled takes to show.
+const CLOSE_DETECTION_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// The sender has ended its connection behind what was read last.
-async fn gone(from: &mut OwnedReadHalf) -> bool {
+async fn is_closed(from: &mut OwnedReadHalf) -> bool {
     let mut one = [0; 1];
-    matches!(tokio::time::timeout(END_SHOWS, from.peek(&mut one)).await, Ok(Ok(0) | Err(_)))
+    matches!(tokio::time::timeout(CLOSE_DETECTION_TIMEOUT, from.peek(&mut one)).await, Ok(Ok(0) | Err(_)))
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    gate: &Gate,
-    answers: bool,
-    mut held: bool,
-    heard: Option<(usize, Lines)>,
+    faults: &LinkFaults,
+    towards_limiter: bool,
+    mut stalled: bool,
+    observer: Option<(usize, LineSender)>,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     let mut line = Vec::new();
     loop {
         let Ok(read @ 1..) = from.read(&mut buffer).await else { return };
-        held |= gate.mute();
-        gate.until(|g| !g.mute()).await;
+        stalled |= faults.is_muted();
+        faults.wait_until(|g| !g.is_muted()).await;
         // What its sender has called off meanwhile never comes: on a network the end would be right behind it.
-        if std::mem::take(&mut held) && gone(&mut from).await {
+        if std::mem::take(&mut stalled) && is_closed(&mut from).await {
             return;
         }
-        let takes_ms = gate.takes_ms(read, answers);
-        if takes_ms > 0.0 {
-            tokio::time::sleep(Duration::from_secs_f64(takes_ms / 1000.0)).await;
+        let delay_ms = faults.delay_ms(read, towards_limiter);
+        if delay_ms > 0.0 {
+            tokio::time::sleep(Duration::from_secs_f64(delay_ms / 1000.0)).await;
         }
-        let breaks = gate.breaks(answers);
+        let breaks = faults.draws_break(towards_limiter);
         let passed = if breaks { read - 1 } else { read };
         if to.write_all(&buffer[..passed]).await.is_err() || breaks {
             return;
         }
-        let Some((number, lines)) = &heard else { continue };
+        let Some((number, lines)) = &observer else { continue };
         for byte in &buffer[..passed] {
             if *byte == b'\n' {
                 let _ =
                     lines.send((*number, String::from_utf8_lossy(&std::mem::take(&mut line)).into_owned()));
-            } else if line.len() < MOST_LINE {
+            } else if line.len() < MAX_LINE_BYTES {
                 line.push(*byte);
             }
         }
@@ -267,8 +276,8 @@
         LocalSet::new().block_on(&runtime, test);
     }
 
-    /// A server that says back what it hears, behind a relay.
-    async fn echo() -> Relay {
+    /// A server that says back what it hears, behind a proxy.
+    async fn echo() -> StreamProxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let target = listener.local_addr().expect("an address");
         spawn_local(async move {
@@ -279,8 +288,8 @@
                 });
             }
         });
-        let gate = Gate::new(draws::stream(1, "gate", 0));
-        Relay::open("127.0.0.1:0".parse().expect("an address"), target, gate).await.expect("a relay")
+        let faults = LinkFaults::new(draws::stream(1, "gate", 0));
+        StreamProxy::open("127.0.0.1:0".parse().expect("an address"), target, faults).await.expect("a relay")
     }
 
     async fn says(stream: &mut TcpStream, text: &[u8]) -> Option<Vec<u8>> {
@@ -293,18 +302,18 @@
     #[test]
     fn an_open_gate_passes_all_and_a_refusing_one_no_new_connection() {
         on_sockets(async {
-            let relay = echo().await;
-            let mut stream = TcpStream::connect(relay.addr).await.expect("a connection");
+            let proxy = echo().await;
+            let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
             assert_eq!(says(&mut stream, b"hello").await.as_deref(), Some(&b"hello"[..]));
-            relay.gate.begins(0, Wrong::Refuse);
+            proxy.faults.start(0, StreamFault::Refuse);
             let mut refused = false;
             while !refused {
-                refused = TcpStream::connect(relay.addr).await.is_err();
+                refused = TcpStream::connect(proxy.addr).await.is_err();
                 tokio::task::yield_now().await;
             }
             assert_eq!(says(&mut stream, b"still").await.as_deref(), Some(&b"still"[..]));
-            relay.gate.ends(0);
-            while TcpStream::connect(relay.addr).await.is_err() {
+            proxy.faults.end(0);
+            while TcpStream::connect(proxy.addr).await.is_err() {
                 tokio::task::yield_now().await;
             }
         });
@@ -313,12 +322,12 @@
     #[test]
     fn a_mute_way_says_nothing_until_it_is_let_go() {
         on_sockets(async {
-            let relay = echo().await;
-            relay.gate.begins(0, Wrong::Mute);
-            let mut stream = TcpStream::connect(relay.addr).await.expect("it accepts");
+            let proxy = echo().await;
+            proxy.faults.start(0, StreamFault::Mute);
+            let mut stream = TcpStream::connect(proxy.addr).await.expect("it accepts");
             let waits = says(&mut stream, b"hello");
             assert!(tokio::time::timeout(Duration::from_millis(100), waits).await.is_err());
-            relay.gate.ends(0);
+            proxy.faults.end(0);
             let mut back = [0; 5];
             stream.read_exact(&mut back).await.expect("let go late, not lost");
             assert_eq!(&back, b"hello");
@@ -330,16 +339,17 @@
         on_sockets(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let target = listener.local_addr().expect("an address");
-            let gate = Gate::new(draws::stream(1, "gate", 0));
-            let relay =
-                Relay::open("127.0.0.1:0".parse().expect("an address"), target, gate).await.expect("a relay");
-            let mut stream = TcpStream::connect(relay.addr).await.expect("a connection");
+            let faults = LinkFaults::new(draws::stream(1, "gate", 0));
+            let proxy = StreamProxy::open("127.0.0.1:0".parse().expect("an address"), target, faults)
+                .await
+                .expect("a relay");
+            let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
             let (mut behind, _) = listener.accept().await.expect("passed on");
-            relay.gate.begins(0, Wrong::Mute);
+            proxy.faults.start(0, StreamFault::Mute);
             stream.write_all(b"hello").await.expect("written");
             drop(stream);
             tokio::time::sleep(Duration::from_millis(50)).await;
-            relay.gate.ends(0);
+            proxy.faults.end(0);
             let mut came = Vec::new();
             let _ = behind.read_to_end(&mut came).await;
             assert!(came.is_empty(), "{came:?}");
@@ -349,9 +359,9 @@
     #[test]
     fn what_breaks_off_lacks_its_last_byte() {
         on_sockets(async {
-            let relay = echo().await;
-            relay.gate.begins(0, Wrong::Break { share: 1.0, answers: false });
-            let mut stream = TcpStream::connect(relay.addr).await.expect("a connection");
+            let proxy = echo().await;
+            proxy.faults.start(0, StreamFault::Break { share: 1.0, towards_limiter: false });
+            let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
             stream.write_all(b"hello").await.expect("written");
             let mut back = Vec::new();
             let _ = stream.read_to_end(&mut back).await;
@@ -364,33 +374,34 @@
         on_sockets(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let target = listener.local_addr().expect("an address");
-            let gate = Gate::new(draws::stream(1, "gate", 0));
-            let (say, mut heard) = mpsc::unbounded_channel();
+            let faults = LinkFaults::new(draws::stream(1, "gate", 0));
+            let (say, mut observer) = mpsc::unbounded_channel();
             let at = "127.0.0.1:0".parse().expect("an address");
-            let relay = Relay::open_heard(at, target, gate, Some((7, say))).await.expect("a relay");
-            let mut stream = TcpStream::connect(relay.addr).await.expect("a connection");
+            let proxy =
+                StreamProxy::open_observed(at, target, faults, Some((7, say))).await.expect("a relay");
+            let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
             let (mut behind, _) = listener.accept().await.expect("passed on");
             behind.write_all(b"one\ntw").await.expect("written");
-            assert_eq!(heard.recv().await, Some((7, "one".to_string())));
-            relay.gate.begins(0, Wrong::Break { share: 1.0, answers: true });
+            assert_eq!(observer.recv().await, Some((7, "one".to_string())));
+            proxy.faults.start(0, StreamFault::Break { share: 1.0, towards_limiter: true });
             behind.write_all(b"o\n").await.expect("written");
             let mut came = Vec::new();
             let _ = stream.read_to_end(&mut came).await;
-            assert_eq!((came.as_slice(), heard.try_recv().is_err()), (&b"one\ntwo"[..], true));
+            assert_eq!((came.as_slice(), observer.try_recv().is_err()), (&b"one\ntwo"[..], true));
         });
     }
 
     #[test]
     fn held_answers_and_a_trickle_take_their_time() {
         on_sockets(async {
-            let relay = echo().await;
+            let proxy = echo().await;
             let took = |from: std::time::Instant| from.elapsed().as_secs_f64() * 1000.0;
-            let mut stream = TcpStream::connect(relay.addr).await.expect("a connection");
-            relay.gate.begins(0, Wrong::Hold([80.0, 80.0]));
+            let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
+            proxy.faults.start(0, StreamFault::Hold([80.0, 80.0]));
             let from = std::time::Instant::now();
             assert!(says(&mut stream, b"hello").await.is_some() && took(from) >= 80.0);
-            relay.gate.ends(0);
-            relay.gate.begins(1, Wrong::Trickle(100.0));
+            proxy.faults.end(0);
+            proxy.faults.start(1, StreamFault::Trickle(100.0));
             let from = std::time::Instant::now();
             // Five bytes each way at 100 a second.
             assert!(says(&mut stream, b"hello").await.is_some() && took(from) >= 99.0);
--- a/crates/faults/src/tasks.rs
+++ b/crates/faults/src/tasks.rs
@@ -11,18 +11,18 @@
 use tokio::task::JoinHandle;
 
 thread_local! {
-    /// What has panicked first in a task of this thread; a run has a thread to itself.
+    /// What has take_panic first in a task of this thread; a run has a thread to itself.
     static PANICKED: RefCell<Option<String>> = const { RefCell::new(None) };
 }
 
-/// What a panic said.
-fn said(panic: &(dyn Any + Send)) -> String {
+/// What a panic panic_message.
+fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(|s| (*s).to_string());
     text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "no words".to_string())
 }
 
-/// What has panicked since it was last asked.
-pub fn panicked() -> Option<String> {
+/// What has take_panic since it was last asked.
+pub fn take_panic() -> Option<String> {
     PANICKED.with_borrow_mut(Option::take)
 }
 
@@ -40,7 +40,7 @@
                 Ok(poll) => poll.map(Some),
                 Err(panic) => {
                     PANICKED.with_borrow_mut(|first| {
-                        first.get_or_insert_with(|| said(panic.as_ref()));
+                        first.get_or_insert_with(|| panic_message(panic.as_ref()));
                     });
                     Poll::Ready(None)
                 }
--- a/marldeal/src/command/demo.rs
+++ b/marldeal/src/command/demo.rs
@@ -13,7 +13,7 @@
 use marldeal_standin::traffic::{generate, Customer, Kind};
 use tokio::time::Instant;
 
-use marldeal_faults::processes::{self, Files, Process, Program};
+use marldeal_faults::processes::{self, ConfigFiles, Process, Program};
 
 const LIMITERS: u32 = 2;
 const NODES: usize = 3;
@@ -107,8 +107,8 @@
         update_line(version, true, &(0..NODES).map(entry).collect::<Vec<_>>())
     };
     let discovery = Discovery::shared(roster(1, None));
-    let mail = processes::mail_addresses(LIMITERS as usize)?;
-    let (program, files) = (Program::own()?, Files::new(0)?);
+    let mail = processes::datagram_addresses(LIMITERS as usize)?;
+    let (program, files) = (Program::current()?, ConfigFiles::new(0)?);
     let mut limiters = Vec::new();
     for n in 0..LIMITERS as usize {
         limiters.push(Process::start(&program, &files, &config(n, discovery.addr, &mail)).await?);
@@ -116,7 +116,7 @@
     let client = Arc::new(Client::default());
     println!("{NODES} nodes, {LIMITERS} limiters, {} firms on loopback; starting ...", firms().len());
     for limiter in &limiters {
-        processes::ready(&client, limiter.addr).await?;
+        processes::wait_until_ready(&client, limiter.addr).await?;
     }
 
     let kind =
--- a/marldeal/src/command/faults.rs
+++ b/marldeal/src/command/faults.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Subcommand};
 use marldeal_faults::figures::Run;
 use marldeal_faults::processes::Program;
-use marldeal_faults::{ground, plans};
+use marldeal_faults::{environment, plans};
 use marldeal_rehearsal::figures::Figures;
 use marldeal_rehearsal::observe::{Invariant, NoneIdle};
 use marldeal_rehearsal::report::{self, Extra};
@@ -111,7 +111,7 @@
     for name in names {
         match plan_of(name) {
             Ok(plan) => {
-                let cannot = ground::mistakes(&plan);
+                let cannot = environment::unsupported(&plan);
                 for line in &cannot {
                     println!("{name}: {line}");
                 }
@@ -142,7 +142,7 @@
             return Err(format!("with {limiters} limiters: {wrong}"));
         }
     }
-    let program = Program::own()?;
+    let program = Program::current()?;
     let mut all: Vec<Run> = Vec::new();
     let mut beside: Vec<Figures> = Vec::new();
     println!("{}", HEAD);
@@ -154,7 +154,9 @@
         if what.none_idle {
             judges.push(Box::new(NoneIdle::new(IDLE_MS)));
         }
-        let run = ground::play(&plan, seed, &program, judges, move |s| watched.set_position(s as u64))?;
+        let run = environment::run_scenario(&plan, seed, &program, judges, move |s| {
+            watched.set_position(s as u64)
+        })?;
         bar.finish_and_clear();
         println!("{}", row(&plan, seed, &run));
         if what.beside && plan.not_virtual().is_empty() {
@@ -164,7 +166,7 @@
         }
         all.push(run);
     }
-    let shown = all.iter().find(|r| r.broken() > 0).or(all.first());
+    let shown = all.iter().find(|r| r.violation_count() > 0).or(all.first());
     let Some(shown) = shown else { return Ok(()) };
     for (title, rows) in tables(&plan, shown) {
         println!("\n{title} (seed {})", shown.figures.seed);
@@ -182,8 +184,8 @@
             serde_json::json!({"processes": all.iter().map(of).collect::<Vec<_>>(), "virtual": beside});
         std::fs::write(path, text.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    let broken: Vec<u64> = all.iter().filter(|r| r.broken() > 0).map(|r| r.figures.seed).collect();
-    match shown.first_broken() {
+    let broken: Vec<u64> = all.iter().filter(|r| r.violation_count() > 0).map(|r| r.figures.seed).collect();
+    match shown.first_violation() {
         None => Ok(()),
         Some(first) => Err(format!(
             "broken under {} of {} seeds ({broken:?}); seed {}: {first}\nagain: marldeal faults run {} --limiters {} --seeds {}",
@@ -203,7 +205,7 @@
         "The ground itself woke up {:.1} ms late in 99 of 100 cases, {:.0} ms at most.",
         late.p99_ms, late.most_ms
     );
-    if late.spoils() {
+    if late.distorts_times() {
         format!("{own} Times below are the ground's own as much as the limiters': this machine is too small for this run.")
     } else {
         own
@@ -238,8 +240,8 @@
         f.connections as f64 / asked,
         f.messages[0] as f64 / asked,
         fleet.cpu_ms.iter().sum::<f64>() / asked,
-        run.broken(),
-        if fleet.lateness.spoils() { "the ground was late" } else { "" },
+        run.violation_count(),
+        if fleet.lateness.distorts_times() { "the ground was late" } else { "" },
     ) + &format!("  {} limiters", plan.limiters.count)
 }
 
@@ -273,7 +275,7 @@
     };
     let most = |all: &[f64]| all.iter().copied().fold(0.0, f64::max);
     let middle = |all: &[f64]| sorted(all).get(all.len() / 2).copied().unwrap_or(0.0);
-    let heard: Vec<f64> = fleet.words.heard.iter().map(|n| *n as f64 / plan.seconds).collect();
+    let heard: Vec<f64> = fleet.words.received.iter().map(|n| *n as f64 / plan.seconds).collect();
     let line = |name: &str, value: String| (name.to_string(), value);
     let load = &fleet.load;
     let three = |[a, b, c]: [f64; 3]| format!("{a:.2}, {b:.2}, {c:.2}");
--- a/marldeal/src/command/rehearse.rs
+++ b/marldeal/src/command/rehearse.rs
@@ -291,9 +291,10 @@
     }
     let bar = bar(scenario.seconds.ceil() as u64);
     let watched = bar.clone();
-    let program = marldeal_faults::processes::Program::own()?;
+    let program = marldeal_faults::processes::Program::current()?;
     let progress = move |s| watched.set_position(s as u64);
-    let real = marldeal_faults::ground::play(&scenario, seeds.seed, &program, Vec::new(), progress)?;
+    let real =
+        marldeal_faults::environment::run_scenario(&scenario, seeds.seed, &program, Vec::new(), progress)?;
     bar.finish_and_clear();
     let virtually = World::new(&scenario, seeds.seed)?.play(|_| {});
     if let Some(path) = page {
@@ -343,7 +344,7 @@
             beyond.push(name);
         }
     }
-    if let Some(first) = real.first_broken() {
+    if let Some(first) = real.first_violation() {
         return Err(format!("broken on sockets: {first}"));
     }
     match beyond.as_slice() {
--- a/marldeal/tests/faults.rs
+++ b/marldeal/tests/faults.rs
@@ -8,7 +8,7 @@
 use fawnhill::LineKind;
 use marldeal_faults::figures::Run;
 use marldeal_faults::processes::Program;
-use marldeal_faults::{ground, plans};
+use marldeal_faults::{environment, plans};
 use marldeal_rehearsal::observe::{Invariant, Seen};
 use marldeal_rehearsal::scenario::Scenario;
 
@@ -21,9 +21,9 @@
 }
 
 fn play_judged(scenario: &Scenario, seed: u64, judges: Vec<Box<dyn Invariant>>) -> Run {
-    let run = ground::play(scenario, seed, &program(), judges, |_| {});
+    let run = environment::run_scenario(scenario, seed, &program(), judges, |_| {});
     let run = run.unwrap_or_else(|why| panic!("{}: {why}", scenario.name));
-    if let Some(first) = run.first_broken() {
+    if let Some(first) = run.first_violation() {
         panic!("{}, seed {seed}: {first}\n{:#?}", scenario.name, run.fleet.notes);
     }
     assert_eq!((run.fleet.outcomes.crashes, run.fleet.words.too_long), (0, 0), "{}", scenario.name);
@@ -50,14 +50,14 @@
     let [woken, _, twice] = side_by_side(["woken-together", "stopped-past-deadlines", "twice-and-late"]);
     assert!(woken.figures.ends.in_time > 200, "{:?}", woken.figures.ends);
     let words = twice.fleet.words;
-    assert!(words.heard.iter().sum::<u64>() > words.sent.iter().sum::<u64>(), "{words:?}");
+    assert!(words.received.iter().sum::<u64>() > words.sent.iter().sum::<u64>(), "{words:?}");
 }
 
 #[test]
 fn some_hear_nobody_each_sees_a_partition_of_its_own_or_a_third_have_a_slow_core() {
     let [deaf, parted, _] = side_by_side(["one-way", "each-its-own-partition", "slow-cores"]);
     let words = &deaf.fleet.words;
-    assert!(words.lost > 0 && words.heard.iter().all(|n| *n > 0), "{words:?}");
+    assert!(words.lost > 0 && words.received.iter().all(|n| *n > 0), "{words:?}");
     assert!(parted.fleet.words.lost > 0);
 }
 
@@ -235,7 +235,7 @@
     let judged = |when: fn(&Seen<'_>) -> bool| {
         let judges: Vec<Box<dyn Invariant>> = vec![Box::new(Panics(when))];
         let run = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            ground::play(&scenario, 1, &program, judges, |_| {})
+            environment::run_scenario(&scenario, 1, &program, judges, |_| {})
         }));
         marldeal_standin::wait_for("none of them", || marked() == 0);
         run
--- a/marldeal/tests/planted.rs
+++ b/marldeal/tests/planted.rs
@@ -4,7 +4,7 @@
 
 use marldeal_faults::figures::Run;
 use marldeal_faults::processes::Program;
-use marldeal_faults::{ground, plans};
+use marldeal_faults::{environment, plans};
 use marldeal_rehearsal::scenario::{Repeats, Scenario};
 use marldeal_soak::command::{play_seed, Arguments};
 use marldeal_soak::judge::{judge, Rule};
@@ -54,7 +54,8 @@
 fn play(scenario: &Scenario, seed: u64, fault: Option<&str>) -> Run {
     let variables = fault.map(|f| ("MARLDEAL_PLANTED".to_string(), f.to_string())).into_iter().collect();
     let program = Program { path: env!("CARGO_BIN_EXE_marldeal").into(), variables };
-    ground::play(scenario, seed, &program, Vec::new(), |_| {}).unwrap_or_else(|why| panic!("{why}"))
+    environment::run_scenario(scenario, seed, &program, Vec::new(), |_| {})
+        .unwrap_or_else(|why| panic!("{why}"))
 }
 
 fn says(run: &Run, word: &str) -> bool {
