--- a/marldeal/src/management/line.rs
+++ b/marldeal/src/management/line.rs
@@ -1,4 +1,4 @@
-//! The line protocol of the operators' listener: one call to a connection, without I/O.
+//! The line protocol of the operators' listener: one call per connection. No I/O.
 
 use std::fmt::Write;
 
@@ -6,103 +6,103 @@
 
 use crate::driver::DriverStats;
 
-/// What may be called.
+/// The calls that operators can make.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process can serve.
+    /// Asks whether this process can serve.
     Status,
-    /// The figures.
+    /// Asks for the counters and gauges.
     Stats,
-    /// Send clients away.
+    /// Stops taking clients.
     Standby,
-    /// Take clients again.
+    /// Takes clients again.
     Active,
 }
 
-/// Longest call taken in, its end included.
-pub const MOST_LINE: usize = 64;
+/// Longest line that is accepted, including its end.
+pub const MAX_LINE_BYTES: usize = 64;
 
-/// What came so far.
+/// The result of parsing the bytes received so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Read {
-    /// No whole line yet.
-    More,
-    /// A whole call.
+pub enum Parsed {
+    /// The line is not complete yet.
+    Incomplete,
+    /// A valid call.
     Call(Call),
-    /// No call, and why.
-    Bad(&'static str),
+    /// Not a valid call, and the reason.
+    Invalid(&'static str),
 }
 
 const CALLS: [(&str, Call); 4] =
     [("status", Call::Status), ("stats", Call::Stats), ("standby", Call::Standby), ("active", Call::Active)];
 
-/// Reads what has come; the first line counts, whatever follows it. `ended`: nothing more comes.
-pub fn read(bytes: &[u8], ended: bool) -> Read {
+/// Parses the received bytes. Only the first line counts. `ended` says that no more bytes will follow.
+pub fn parse(bytes: &[u8], ended: bool) -> Parsed {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
         return match () {
-            () if bytes.len() >= MOST_LINE => Read::Bad("the line is too long"),
-            () if ended && !bytes.is_empty() => Read::Bad("the line did not come whole"),
-            () if ended => Read::Bad("no call"),
-            () => Read::More,
+            () if bytes.len() >= MAX_LINE_BYTES => Parsed::Invalid("the line is too long"),
+            () if ended && !bytes.is_empty() => Parsed::Invalid("the line did not come whole"),
+            () if ended => Parsed::Invalid("no call"),
+            () => Parsed::Incomplete,
         };
     };
-    if end >= MOST_LINE {
-        return Read::Bad("the line is too long");
+    if end >= MAX_LINE_BYTES {
+        return Parsed::Invalid("the line is too long");
     }
     let line = bytes[..end].strip_suffix(b"\r").unwrap_or(&bytes[..end]).trim_ascii();
     match CALLS.iter().find(|(name, _)| name.as_bytes() == line) {
-        Some((_, call)) => Read::Call(*call),
-        None if line.is_empty() => Read::Bad("no call"),
-        None if !line.is_ascii() => Read::Bad("a call is written in ASCII"),
-        None => Read::Bad("unknown call"),
+        Some((_, call)) => Parsed::Call(*call),
+        None if line.is_empty() => Parsed::Invalid("no call"),
+        None if !line.is_ascii() => Parsed::Invalid("a call is written in ASCII"),
+        None => Parsed::Invalid("unknown call"),
     }
 }
 
-/// All figures, a line each, for classes of these names.
-pub fn figures(names: &[String], figures: &DriverStats) -> String {
+/// Formats all counters and gauges, one per line. `class_names` are the names of the classes in their order.
+pub fn stats_lines(class_names: &[String], stats: &DriverStats) -> String {
     let mut text = String::new();
-    for (what, end) in [
+    for (label, outcome) in [
         ("succeeded", RequestOutcome::Succeeded),
         ("declined", RequestOutcome::Declined),
         ("aborted", RequestOutcome::Aborted),
     ] {
-        for (class, name) in names.iter().enumerate() {
-            let _ = writeln!(text, "{what}.{name}={}", figures.request_counters.finished(class, end));
+        for (class, name) in class_names.iter().enumerate() {
+            let _ = writeln!(text, "{label}.{name}={}", stats.request_counters.finished(class, outcome));
         }
     }
-    let rest = [
-        ("forwards", figures.request_counters.forwarded()),
-        ("outstanding", figures.request_counters.outstanding()),
-        ("discovered", figures.discovered as u64),
-        ("ejected", figures.ejected as u64),
-        ("sighup_applied", figures.reloads.applied),
-        ("sighup_rejected", figures.reloads.rejected),
-        ("denied", figures.denied),
-        ("violations", figures.violations),
+    let totals = [
+        ("forwards", stats.request_counters.forwarded()),
+        ("outstanding", stats.request_counters.outstanding()),
+        ("discovered", stats.discovered as u64),
+        ("ejected", stats.ejected as u64),
+        ("sighup_applied", stats.reloads.applied),
+        ("sighup_rejected", stats.reloads.rejected),
+        ("denied", stats.denied),
+        ("violations", stats.violations),
     ];
-    for (name, figure) in rest {
-        let _ = writeln!(text, "{name}={figure}");
+    for (name, value) in totals {
+        let _ = writeln!(text, "{name}={value}");
     }
     text
 }
 
-/// The answer to a call that went well: one line, or the figures and a last line.
-pub fn success(said: &str, figures: Option<&str>) -> String {
-    match figures {
-        Some(figures) => format!("SUCCESS {said}\n{figures}EOT\n"),
-        None => format!("SUCCESS {said}\n"),
+/// The answer to a successful call: one line, or the statistics and a final `EOT` line.
+pub fn success(message: &str, stats: Option<&str>) -> String {
+    match stats {
+        Some(stats) => format!("SUCCESS {message}\n{stats}EOT\n"),
+        None => format!("SUCCESS {message}\n"),
     }
 }
 
-/// The answer to anything else.
-pub fn failure(why: &str) -> String {
-    format!("FAILURE {why}\n")
+/// The answer to a call that failed.
+pub fn failure(reason: &str) -> String {
+    format!("FAILURE {reason}\n")
 }
 
-/// The answer to what is no call, with those that are.
-pub fn no_call(why: &str) -> String {
+/// The answer to an invalid call. It lists the valid ones.
+pub fn invalid_call(reason: &str) -> String {
     let names: Vec<&str> = CALLS.iter().map(|(name, _)| *name).collect();
-    failure(&format!("{why}; the calls are {}", names.join(", ")))
+    failure(&format!("{reason}; the calls are {}", names.join(", ")))
 }
 
 #[cfg(test)]
@@ -111,16 +111,16 @@
     use proptest::prelude::*;
 
     #[test]
-    fn the_first_line_counts_and_ends_may_be_crlf() {
-        assert_eq!(read(b"stat", false), Read::More);
-        assert_eq!(read(b"status\n", false), Read::Call(Call::Status));
-        assert_eq!(read(b"standby\r\n", false), Read::Call(Call::Standby));
-        assert_eq!(read(b"active\nstandby\n", false), Read::Call(Call::Active));
-        assert_eq!(read(b" stats \n", true), Read::Call(Call::Stats));
+    fn first_line_is_the_call_and_may_end_in_crlf() {
+        assert_eq!(parse(b"stat", false), Parsed::Incomplete);
+        assert_eq!(parse(b"status\n", false), Parsed::Call(Call::Status));
+        assert_eq!(parse(b"standby\r\n", false), Parsed::Call(Call::Standby));
+        assert_eq!(parse(b"active\nstandby\n", false), Parsed::Call(Call::Active));
+        assert_eq!(parse(b" stats \n", true), Parsed::Call(Call::Stats));
     }
 
     #[test]
-    fn what_is_no_call_is_named() {
+    fn invalid_calls_are_rejected() {
         for (bytes, ended) in [
             (&b"\n"[..], false),
             (b"", true),
@@ -130,26 +130,27 @@
             (b"stats now\n", false),
             (b"st\xc3\xa4tus\n", false),
             (b"status\0\n", false),
-            (&[b'x'; MOST_LINE], false),
+            (&[b'x'; MAX_LINE_BYTES], false),
         ] {
-            assert!(matches!(read(bytes, ended), Read::Bad(_)), "{bytes:?}");
+            assert!(matches!(parse(bytes, ended), Parsed::Invalid(_)), "{bytes:?}");
         }
         assert_eq!(
-            no_call("unknown call"),
+            invalid_call("unknown call"),
             "FAILURE unknown call; the calls are status, stats, standby, active\n"
         );
     }
 
     proptest! {
-        /// However the bytes fall into reads, the result is the same, and no more than the bound is waited for.
+        /// However the bytes are split into reads, the result is the same, and the parser never waits for more
+        /// than the maximum.
         #[test]
-        fn pieces_read_as_the_whole(bytes in prop::collection::vec(prop_oneof![Just(b'\n'), Just(b'\r'), any::<u8>(), b'a'..=b'z'], 0..100)) {
-            let whole = read(&bytes, true);
-            let first = (0..=bytes.len()).map(|n| read(&bytes[..n], false)).find(|r| *r != Read::More);
+        fn parsing_in_pieces_equals_parsing_the_whole(bytes in prop::collection::vec(prop_oneof![Just(b'\n'), Just(b'\r'), any::<u8>(), b'a'..=b'z'], 0..100)) {
+            let whole = parse(&bytes, true);
+            let first = (0..=bytes.len()).map(|n| parse(&bytes[..n], false)).find(|r| *r != Parsed::Incomplete);
             if let Some(first) = first {
                 prop_assert_eq!(first, whole);
             }
-            prop_assert!(bytes.len() < MOST_LINE || read(&bytes, false) != Read::More);
+            prop_assert!(bytes.len() < MAX_LINE_BYTES || parse(&bytes, false) != Parsed::Incomplete);
         }
     }
 }
--- a/marldeal/src/management/mod.rs
+++ b/marldeal/src/management/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' listener. It reads the figures and speaks to the lifecycle; it decides nothing.
+//! The operators' listener. It reads the statistics and passes commands to the lifecycle.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,20 +12,20 @@
 use tokio::time::timeout;
 
 use crate::driver::Driver;
-use line::{Call, Read, MOST_LINE};
+use line::{Call, Parsed, MAX_LINE_BYTES};
 use tracing::info;
 
 pub mod line;
 
-/// Callers held at once: of more, the one that has said nothing for longest goes. With what is kept for them
-/// ([`crate::settings::config`]), clients cannot take their descriptors.
-pub const MOST_CALLERS: usize = 16;
-/// A caller has so long for its line, and so long to take the answer in.
-const CALL_TIME: Duration = Duration::from_secs(5);
+/// Most connections open at once. One more closes the oldest. Descriptors are reserved for them (see
+/// [`crate::settings::config`]), so clients cannot use them up.
+pub const MAX_CALLERS: usize = 16;
+/// How long a caller may take to send its line and to read the answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers operators for ever.
+/// Answers operators' calls. Never returns.
 pub async fn serve(driver: Rc<Driver>, listener: TcpListener) {
-    // By arrival: dropping the sender ends the caller.
+    // Callers by order of arrival. Dropping a sender ends that caller's connection.
     let callers: Rc<RefCell<BTreeMap<u64, oneshot::Sender<()>>>> = Rc::default();
     let mut number = 0;
     let mut failing = false;
@@ -42,42 +42,44 @@
             }
         };
         failing = false;
-        if callers.borrow().len() >= MOST_CALLERS {
+        if callers.borrow().len() >= MAX_CALLERS {
             callers.borrow_mut().pop_first();
         }
         number += 1;
-        let (hold, gone) = oneshot::channel();
-        callers.borrow_mut().insert(number, hold);
+        let (cancel, cancelled) = oneshot::channel();
+        callers.borrow_mut().insert(number, cancel);
         let (driver, callers) = (driver.clone(), callers.clone());
         tokio::task::spawn_local(async move {
             tokio::select! {
-                _ = timeout(CALL_TIME, call(&driver, stream)) => {}
-                _ = gone => {}
+                _ = timeout(CALL_TIMEOUT, handle_connection(&driver, stream)) => {}
+                _ = cancelled => {}
             }
             callers.borrow_mut().remove(&number);
         });
     }
 }
 
-/// One call. An error is the caller's: it left.
-async fn call(driver: &Driver, mut stream: TcpStream) -> std::io::Result<()> {
-    let mut bytes = Vec::with_capacity(MOST_LINE);
+/// Handles one call. Errors are ignored by the caller of this function: they mean that the operator has
+/// disconnected.
+async fn handle_connection(driver: &Driver, mut stream: TcpStream) -> std::io::Result<()> {
+    let mut bytes = Vec::with_capacity(MAX_LINE_BYTES);
     let answer = loop {
-        let mut piece = [0; MOST_LINE];
-        let room = (MOST_LINE - bytes.len()).max(1);
-        let count = stream.read(&mut piece[..room]).await?;
-        bytes.extend_from_slice(&piece[..count]);
-        match line::read(&bytes, count == 0) {
-            Read::More => {}
-            Read::Call(call) => break perform(driver, call),
-            Read::Bad(why) => break line::no_call(why),
+        let mut chunk = [0; MAX_LINE_BYTES];
+        let free = (MAX_LINE_BYTES - bytes.len()).max(1);
+        let count = stream.read(&mut chunk[..free]).await?;
+        bytes.extend_from_slice(&chunk[..count]);
+        match line::parse(&bytes, count == 0) {
+            Parsed::Incomplete => {}
+            Parsed::Call(call) => break perform(driver, call),
+            Parsed::Invalid(reason) => break line::invalid_call(reason),
         }
     };
     stream.write_all(answer.as_bytes()).await?;
     stream.shutdown().await?;
-    // What follows the line is read off, so that closing does not reset the answer away.
+    // Bytes behind the line are read, since closing a socket with unread bytes would reset the connection and
+    // lose the answer.
     let mut rest = [0; 256];
-    for _ in 0..MOST_LINE {
+    for _ in 0..MAX_LINE_BYTES {
         if stream.read(&mut rest).await? == 0 {
             break;
         }
@@ -86,7 +88,7 @@
 }
 
 fn perform(driver: &Driver, call: Call) -> String {
-    let told = |said: Result<_, marldeal_lifecycle::AlreadyEnding>| match said {
+    let phase_answer = |result: Result<_, marldeal_lifecycle::AlreadyEnding>| match result {
         Ok(phase) => line::success(&format!("{phase}"), None),
         Err(ending) => line::failure(&ending.to_string()),
     };
@@ -94,9 +96,9 @@
         Call::Status if driver.can_serve() => line::success(&driver.phase().to_string(), None),
         Call::Status => line::failure("no server takes work yet, or the ceilings are still filling"),
         Call::Stats => {
-            line::success("figures", Some(&line::figures(&driver.config.classes, &driver.stats())))
+            line::success("figures", Some(&line::stats_lines(&driver.config.classes, &driver.stats())))
         }
-        Call::Standby => told(driver.handle_command(Command::Standby)),
-        Call::Active => told(driver.handle_command(Command::Active)),
+        Call::Standby => phase_answer(driver.handle_command(Command::Standby)),
+        Call::Active => phase_answer(driver.handle_command(Command::Active)),
     }
 }
--- a/marldeal/src/run.rs
+++ b/marldeal/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and serves until told to stop.
+//! Starts the parts of the limiter and serves until the process is told to stop.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -19,13 +19,14 @@
 use crate::tier::peers;
 use crate::upgrade::{SuccessorHandle, UpgradeEndpoint};
 use crate::upstream::discovery;
-use crate::upstream::servers::Servers;
+use crate::upstream::servers::HttpUpstream;
 use crate::{logging, management, reload, transient, upgrade};
 
-/// Runs a limiter as the environment configures it, with what a file switches on beside.
+/// Runs a limiter as the environment configures it, with the optional features that the file at `extensions`
+/// enables.
 ///
 /// # Errors
-/// One plain line: what cannot be read, or listened on.
+/// A one-line message that names what could not be read or listened on.
 pub fn run(extensions: Option<&Path>) -> Result<(), String> {
     #[cfg(feature = "planted")]
     fawnhill::planted::activate(
@@ -38,9 +39,9 @@
     runtime.map_err(|e| format!("cannot start: {e}"))?.block_on(serve(extensions, inherited))
 }
 
-/// Serves until SIGTERM or SIGINT, then finishes what was taken.
+/// Serves until SIGTERM or SIGINT, then finishes the requests that were accepted.
 async fn serve(extensions: Option<&Path>, inherited: Option<std::net::TcpListener>) -> Result<(), String> {
-    // Before all else: until it is handled, a SIGHUP ends the program.
+    // Installed first: until SIGHUP is handled, it ends the process.
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
@@ -50,10 +51,10 @@
         None => Extensions::default(),
     };
     logging::init(&config.name, extensions.log);
-    // Only an inherited listener can be shared by two processes: without one there is nothing to hand over.
-    let meeting = inherited.is_some().then(|| upgrade::path(&config.name));
-    let predecessor = match &meeting {
-        Some(path) => upgrade::predecessor(path).await,
+    // Only an inherited listener can be shared by two processes. Without one there is nothing to hand over.
+    let upgrade_socket = inherited.is_some().then(|| upgrade::socket_path(&config.name));
+    let predecessor = match &upgrade_socket {
+        Some(path) => upgrade::connect_to_predecessor(path).await,
         None => None,
     };
     let own_listener = inherited.is_none();
@@ -64,28 +65,28 @@
         }
         None => listen(config.listen).await?,
     };
-    let servers = Servers::new(&config);
-    let beside = predecessor.is_some();
-    let driver = Driver::new(config, Rc::new(servers.clone()), beside)?;
+    let upstream = HttpUpstream::new(&config);
+    let has_predecessor = predecessor.is_some();
+    let driver = Driver::new(config, Rc::new(upstream.clone()), has_predecessor)?;
     if let Some(bounds) = extensions.final_answers {
         driver.enable_answer_cache(bounds);
         info!("keeps up to {} final answers by key", bounds.max_answers);
     }
-    if let Some(most) = extensions.prefetch {
-        driver.enable_prefetch(most);
-        info!("holds units of quotas ahead of need for up to {most} customers");
+    if let Some(max_customers) = extensions.prefetch {
+        driver.enable_prefetch(max_customers);
+        info!("prefetches quota units for up to {max_customers} customers");
     }
-    if !beside {
-        let mail =
+    if !has_predecessor {
+        let socket =
             transient::retry(|| driver.open_peer_socket()).await.map_err(|e| format!("peer_listen: {e}"))?;
-        if let Some(mail) = mail {
-            tokio::task::spawn_local(peers::listen(driver.clone(), mail));
+        if let Some(socket) = socket {
+            tokio::task::spawn_local(peers::listen(driver.clone(), socket));
         }
     }
-    let at = listener.local_addr().map_err(|e| format!("no address: {e}"))?;
+    let at = listener.local_addr().map_err(|e| format!("cannot read the listening address: {e}"))?;
     if let Some(at) = driver.config.management {
         let listener = listen(at).await?;
-        let at = listener.local_addr().map_err(|e| format!("no address: {e}"))?;
+        let at = listener.local_addr().map_err(|e| format!("cannot read the listening address: {e}"))?;
         info!("management on {at}");
         tokio::task::spawn_local(management::serve(driver.clone(), listener));
     }
@@ -94,7 +95,7 @@
     let proxies = match extensions.external_processor {
         Some(options) => {
             let listener = listen(options.listen).await?;
-            let at = listener.local_addr().map_err(|e| format!("no address: {e}"))?;
+            let at = listener.local_addr().map_err(|e| format!("cannot read the listening address: {e}"))?;
             info!("external processor on {at}");
             let serving = external::serve(driver.clone(), options, listener, stopped);
             Some(tokio::task::spawn_local(serving))
@@ -103,40 +104,40 @@
     };
     info!(event = "serving", limiter = %driver.config.name, %at, "serves on {at}");
     tokio::task::spawn_local(driver.clone().run_timers());
-    tokio::task::spawn_local(async move { servers.sweep().await });
+    tokio::task::spawn_local(async move { upstream.sweep().await });
     tokio::task::spawn_local(discovery::watch(driver.clone()));
-    let (arrive, arrivals) = mpsc::unbounded_channel();
-    let heir = Rc::<SuccessorHandle>::default();
-    if let Some(path) = meeting {
-        let (driver, at) = (driver.clone(), UpgradeEndpoint { path, successor: heir.clone() });
+    let (arrivals_sender, arrivals) = mpsc::unbounded_channel();
+    let successor = Rc::<SuccessorHandle>::default();
+    if let Some(path) = upgrade_socket {
+        let (driver, endpoint) = (driver.clone(), UpgradeEndpoint { path, successor: successor.clone() });
         match predecessor {
             Some(stream) => drop(tokio::task::spawn_local(async move {
-                upgrade::succeed(driver, stream, &at, arrive).await;
+                upgrade::take_over(driver, stream, &endpoint, arrivals_sender).await;
             })),
-            None => drop(tokio::task::spawn_local(upgrade::offer(driver, at))),
+            None => drop(tokio::task::spawn_local(upgrade::accept_successors(driver, endpoint))),
         }
     }
     tokio::task::spawn_local(reload::on_hangup(driver.clone(), hangup));
     let stopping = stop.clone();
     let signalled = async move {
-        let why = tokio::select! {
+        let signal_name = tokio::select! {
             _ = term.recv() => "SIGTERM",
             _ = int.recv() => "SIGINT",
         };
         let _ = stopping.send(true);
-        why
+        signal_name
     };
     clients::serve(
         &driver,
         listener,
-        Handover { arrivals, successor: heir.clone(), own_listener },
+        Handover { arrivals, successor: successor.clone(), own_listener },
         signalled,
     )
     .await;
     if let Some(proxies) = proxies {
         let _ = proxies.await;
     }
-    heir.finish().await;
+    successor.finish().await;
     info!(event = "stopped", "stops");
     Ok(())
 }
--- a/marldeal/src/transient.rs
+++ b/marldeal/src/transient.rs
@@ -32,7 +32,7 @@
     is_resource_exhaustion(error) || is_one_of(error, &OTHER_TRANSIENT)
 }
 
-/// Retries a call that fails with a transient error, for up to [`RETRY_TIMEOUT`].
+/// Retries a call that fails with a transient error, for up to 5 s.
 ///
 /// # Errors
 /// The error of the last call.
--- a/marldeal/src/upgrade/frame.rs
+++ b/marldeal/src/upgrade/frame.rs
@@ -1,5 +1,5 @@
-//! What two processes of one limiter write to each other, as bytes; without I/O. A frame is its kind, its length and its
-//! body; a connection's frame comes with one descriptor beside it.
+//! The frames that two processes of one limiter exchange during an upgrade. No I/O. A frame consists of its
+//! kind, the length of its body and the body. A connection's frame is accompanied by one file descriptor.
 
 use std::fmt;
 
@@ -9,29 +9,29 @@
 /// The version of this protocol.
 pub const VERSION: u8 = 1;
 /// Kind and length.
-const HEAD: usize = 5;
-/// Longest body: a snapshot, or what was read of one request.
-const MOST_BODY: usize = MAX_BYTES;
+const HEADER_BYTES: usize = 5;
+/// Longest body: a snapshot, or the bytes read of one request.
+const MAX_BODY_BYTES: usize = MAX_BYTES;
 
-/// One thing said.
+/// A message between the two processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frame {
-    /// The new process: here it is, speaking this version.
+    /// From the new process: its protocol version.
     Hello(u8),
-    /// The old one: what it knows.
+    /// From the old process: a snapshot of its state.
     Snapshot(Bytes),
-    /// The old one: a client's connection.
+    /// From the old process: a client's connection.
     Connection {
-        /// The request that has begun on it has waited so long, in milliseconds; none has begun.
+        /// How long ago the incomplete request on the connection began, in milliseconds, if there is one.
         request_age_ms: Option<u32>,
-        /// What has been read of it.
+        /// Bytes that were read from the connection but not consumed.
         read_ahead: Bytes,
     },
-    /// The old one: another new process is here already.
+    /// From the old process: another new process is connected already.
     Busy,
 }
 
-/// What was said, without its bytes: they are clients'.
+/// Describes a frame for the log, without its bytes, which belong to clients.
 impl fmt::Display for Frame {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -44,7 +44,7 @@
 }
 
 impl Frame {
-    /// As bytes.
+    /// Encodes the frame.
     pub fn to_bytes(&self) -> Bytes {
         let mut body = BytesMut::new();
         let kind = match self {
@@ -63,30 +63,30 @@
             }
             Frame::Busy => 4,
         };
-        let mut frame = BytesMut::with_capacity(HEAD + body.len());
+        let mut frame = BytesMut::with_capacity(HEADER_BYTES + body.len());
         frame.put_u8(kind);
         frame.put_u32(body.len() as u32);
         frame.extend_from_slice(&body);
         frame.freeze()
     }
 
-    /// Takes one frame off the front; nothing until it is whole.
+    /// Removes the first frame from `bytes`. Returns nothing until it is complete.
     ///
     /// # Errors
-    /// What is no frame.
-    pub fn take(bytes: &mut BytesMut) -> Result<Option<Frame>, &'static str> {
-        if bytes.len() < HEAD {
+    /// The bytes are not a valid frame.
+    pub fn decode(bytes: &mut BytesMut) -> Result<Option<Frame>, &'static str> {
+        if bytes.len() < HEADER_BYTES {
             return Ok(None);
         }
         let (kind, length) =
             (bytes[0], u32::from_be_bytes([bytes[1], bytes[2], bytes[3], bytes[4]]) as usize);
-        if length > MOST_BODY {
+        if length > MAX_BODY_BYTES {
             return Err("a frame is too long");
         }
-        if bytes.len() < HEAD + length {
+        if bytes.len() < HEADER_BYTES + length {
             return Ok(None);
         }
-        bytes.advance(HEAD);
+        bytes.advance(HEADER_BYTES);
         let mut body = bytes.split_to(length).freeze();
         match (kind, length) {
             (1, 1) => Ok(Some(Frame::Hello(body[0]))),
@@ -118,14 +118,14 @@
     }
 
     proptest! {
-        /// However the bytes fall into reads, the frames are those that were written.
+        /// However the bytes are split into reads, the decoded frames are those that were written.
         #[test]
-        fn frames_in_any_pieces(frames in prop::collection::vec(any_frame(), 0..8), piece in 1usize..40) {
+        fn frames_are_decoded_whatever_the_read_sizes(frames in prop::collection::vec(any_frame(), 0..8), piece in 1usize..40) {
             let all: Vec<u8> = frames.iter().flat_map(|f| f.to_bytes()).collect();
             let (mut buffer, mut read) = (BytesMut::new(), Vec::new());
             for part in all.chunks(piece) {
                 buffer.extend_from_slice(part);
-                while let Some(frame) = Frame::take(&mut buffer).expect("frames") {
+                while let Some(frame) = Frame::decode(&mut buffer).expect("frames") {
                     read.push(frame);
                 }
             }
@@ -133,13 +133,13 @@
             prop_assert!(buffer.is_empty());
         }
 
-        /// No bytes make the reader panic, or wait for more than a frame may hold.
+        /// No input makes the decoder panic, or wait for more bytes than a frame may hold.
         #[test]
-        fn any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
+        fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
             let mut buffer = BytesMut::from(&bytes[..]);
-            while let Ok(Some(_)) = Frame::take(&mut buffer) {}
+            while let Ok(Some(_)) = Frame::decode(&mut buffer) {}
             let mut long = BytesMut::from(&[2u8, 0xff, 0xff, 0xff, 0xff][..]);
-            prop_assert!(Frame::take(&mut long).is_err());
+            prop_assert!(Frame::decode(&mut long).is_err());
         }
     }
 }
--- a/marldeal/src/upgrade/inherit.rs
+++ b/marldeal/src/upgrade/inherit.rs
@@ -1,19 +1,19 @@
-//! The clients' listening socket that the platform holds and every process inherits.
+//! The clients' listening socket, which the platform holds open and every process of the limiter inherits.
 
 use std::net::TcpListener;
 
 use listenfd::ListenFd;
 
-/// The variable that names the descriptor.
+/// The environment variable that names the descriptor.
 pub const VARIABLE: &str = "ROUTER_ACCEPT_FD";
 
-/// The inherited listener, if the environment names one. It is never bound or shut down here.
+/// Returns the inherited listener, if the environment names one. It is never bound or shut down here.
 ///
-/// To be called before any thread is started: it sets the variables by which the adopting crate finds the descriptor
-/// (systemd's socket activation, with the first descriptor told).
+/// Must be called before any thread is started: it sets the environment variables by which the `listenfd` crate
+/// finds the descriptor (systemd's socket activation, with an explicit first descriptor).
 ///
 /// # Errors
-/// One plain line: the value is no descriptor, or the descriptor no listening TCP socket.
+/// A one-line message: the value is not a descriptor, or the descriptor is not a listening TCP socket.
 pub fn listener() -> Result<Option<TcpListener>, String> {
     let Some(text) = std::env::var(VARIABLE).ok().filter(|v| !v.is_empty()) else { return Ok(None) };
     let number = text.parse::<u16>().map_err(|_| format!("{VARIABLE}: '{text}' is not a descriptor"))?;
@@ -22,10 +22,10 @@
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
     let taken = ListenFd::from_env().take_tcp_listener(0);
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
-    let wrong = |e: &dyn std::fmt::Display| {
+    let error = |e: &dyn std::fmt::Display| {
         format!("{VARIABLE}: descriptor {number} is no listening TCP socket: {e}")
     };
-    let listener = taken.map_err(|e| wrong(&e))?.ok_or_else(|| wrong(&"nothing there"))?;
-    listener.local_addr().map_err(|e| wrong(&e))?;
+    let listener = taken.map_err(|e| error(&e))?.ok_or_else(|| error(&"nothing there"))?;
+    listener.local_addr().map_err(|e| error(&e))?;
     Ok(Some(listener))
 }
--- a/marldeal/src/upgrade/mod.rs
+++ b/marldeal/src/upgrade/mod.rs
@@ -1,5 +1,6 @@
-//! Two processes of one limiter: the old one hands its place, its knowledge and its clients to the new one over a Unix
-//! socket in `$TMPDIR`. `docs/design/operations.md` says why so.
+//! Upgrades a limiter from one process to the next. The old process hands its role, its state and its clients'
+//! connections to the new one over a Unix socket in `$TMPDIR`. `docs/design/operations.md` gives the reasons
+//! for this design.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice, IoSliceMut};
@@ -30,106 +31,109 @@
 pub mod frame;
 pub mod inherit;
 
-/// A process at the other end that says or takes nothing for so long is not waited for.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// How often an address is tried that the other process still has.
-const AGAIN: Duration = Duration::from_millis(10);
-/// Most descriptors that come with one read.
-const MOST_DESCRIPTORS: usize = 32;
+/// How long the other process may take to send or accept a frame before it is given up.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// The interval at which binding an address is retried while the other process still holds it.
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// Most descriptors accepted with one read.
+const MAX_DESCRIPTORS_PER_READ: usize = 32;
 
-/// A client's connection on its way from one process to the other, with nothing unwritten on it.
+/// A client's connection on its way from one process to the other. No bytes are waiting to be written on it.
 #[derive(Debug)]
 pub struct TransferredConnection {
     /// The connection.
     pub stream: TcpStream,
-    /// The request that has begun on it has waited so long; none has request_age.
+    /// How long ago the incomplete request on the connection began, if there is one.
     pub request_age: Option<Duration>,
-    /// What has been read of it.
+    /// Bytes that were read from the connection but not consumed.
     pub read_ahead: Bytes,
 }
 
-/// Where connections go once another process has taken this one's place.
+/// Passes connections to the process that has taken over.
 #[derive(Debug, Default)]
 pub struct SuccessorHandle {
-    to: RefCell<Option<mpsc::UnboundedSender<TransferredConnection>>>,
-    /// A successor is attended to.
-    attending: Cell<bool>,
-    left: Notify,
+    connections: RefCell<Option<mpsc::UnboundedSender<TransferredConnection>>>,
+    /// A successor is connected.
+    connected: Cell<bool>,
+    disconnected: Notify,
 }
 
 impl SuccessorHandle {
-    /// There is one.
+    /// Whether a successor accepts connections.
     pub fn is_accepting(&self) -> bool {
-        self.to.borrow().is_some()
+        self.connections.borrow().is_some()
     }
 
-    /// Passes a connection on. One that finds nobody any more ends.
-    pub fn hand_over(&self, passed: TransferredConnection) {
-        if let Some(to) = &*self.to.borrow() {
-            let _ = to.send(passed);
+    /// Passes a connection to the successor. It is closed if there is none any more.
+    pub fn hand_over(&self, connection: TransferredConnection) {
+        if let Some(connections) = &*self.connections.borrow() {
+            let _ = connections.send(connection);
         }
     }
 
-    /// No more is passed on: waits until what was has been taken, for a while.
+    /// Stops passing connections, and waits for a limited time until the successor has received those passed
+    /// before.
     pub async fn finish(&self) {
-        drop(self.to.borrow_mut().take());
-        let gone = async {
-            while self.attending.get() {
-                self.left.notified().await;
+        drop(self.connections.borrow_mut().take());
+        let disconnected = async {
+            while self.connected.get() {
+                self.disconnected.notified().await;
             }
         };
-        let _ = timeout(PATIENCE, gone).await;
+        let _ = timeout(RESPONSE_TIMEOUT, disconnected).await;
     }
 }
 
-/// The socket's name: one for each limiter, so that several may share a directory.
-pub fn path(name: &str) -> PathBuf {
-    let plain: String = name.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-').take(32).collect();
-    std::env::temp_dir().join(format!("marldeal-{plain}.upgrade"))
+/// The path of the upgrade socket. Each limiter has its own, so that several can share a directory.
+pub fn socket_path(name: &str) -> PathBuf {
+    let sanitized: String =
+        name.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-').take(32).collect();
+    std::env::temp_dir().join(format!("marldeal-{sanitized}.upgrade"))
 }
 
-/// The process that serves in this place now, if there is one. A name that a dead one left refuses.
-pub async fn predecessor(path: &Path) -> Option<UnixStream> {
-    UnixStream::connect(path).await.ok().filter(ours)
+/// Connects to the process that serves as this limiter now, if there is one. A socket file left behind by a
+/// dead process refuses connections.
+pub async fn connect_to_predecessor(path: &Path) -> Option<UnixStream> {
+    UnixStream::connect(path).await.ok().filter(is_same_user)
 }
 
 /// Whether the process at the other end belongs to the same user.
-fn ours(stream: &UnixStream) -> bool {
-    stream.peer_cred().is_ok_and(|them| them.uid() == rustix::process::getuid().as_raw())
+fn is_same_user(stream: &UnixStream) -> bool {
+    stream.peer_cred().is_ok_and(|peer| peer.uid() == rustix::process::getuid().as_raw())
 }
 
 // ---- The new process ----
 
-/// Warms up beside a predecessor and takes its place when it hands over, ends or stays silent; then takes its clients
-/// in, until it has no more.
-pub async fn succeed(
+/// Warms up beside a predecessor and takes over when that hands over, ends or stays silent. Then receives its
+/// connections until there are no more.
+pub async fn take_over(
     driver: Rc<Driver>,
     stream: UnixStream,
-    at: &UpgradeEndpoint,
+    endpoint: &UpgradeEndpoint,
     arrivals: mpsc::UnboundedSender<TransferredConnection>,
 ) {
-    let mut line = Line::new(stream);
-    let why = loop {
-        let said = match line.send(&Frame::Hello(frame::VERSION), None).await {
-            Ok(()) => warm_up(&driver, &mut line).await,
-            Err(e) => Some(format!("the predecessor cannot be told: {e}")),
+    let mut channel = FrameChannel::new(stream);
+    let reason = loop {
+        let takeover_reason = match channel.send(&Frame::Hello(frame::VERSION), None).await {
+            Ok(()) => warm_up(&driver, &mut channel).await,
+            Err(e) => Some(format!("cannot write to the predecessor: {e}")),
         };
-        if let Some(why) = said {
-            break why;
+        if let Some(reason) = takeover_reason {
+            break reason;
         }
-        // Another one is to take that place: this one comes after it.
-        tokio::time::sleep(PATIENCE / 10).await;
-        match predecessor(&at.path).await {
-            Some(stream) => line = Line::new(stream),
+        // Another process is to take over first. This one comes after it.
+        tokio::time::sleep(RESPONSE_TIMEOUT / 10).await;
+        match connect_to_predecessor(&endpoint.path).await {
+            Some(stream) => channel = FrameChannel::new(stream),
             None => break "the predecessor has gone".to_string(),
         }
     };
-    info!("{why}");
+    info!("{reason}");
     let _ = driver.handle_command(Command::TakeOver);
-    tokio::task::spawn_local(hear_peers(driver.clone()));
-    tokio::task::spawn_local(offer(driver.clone(), at.clone()));
+    tokio::task::spawn_local(receive_peer_messages(driver.clone()));
+    tokio::task::spawn_local(accept_successors(driver.clone(), endpoint.clone()));
     loop {
-        match line.receive().await {
+        match channel.receive().await {
             Ok(Some((Frame::Connection { request_age_ms, read_ahead }, Some(fd)))) => {
                 let stream = TcpStream::from(fd);
                 let request_age = request_age_ms.map(|ms| Duration::from_millis(ms.into()));
@@ -137,7 +141,7 @@
                     let _ = arrivals.send(TransferredConnection { stream, request_age, read_ahead });
                 }
             }
-            Ok(Some((Frame::Snapshot(_), _))) => info!("a snapshot that came too late is not read"),
+            Ok(Some((Frame::Snapshot(_), _))) => info!("ignored a snapshot that arrived too late"),
             Ok(Some((other, _))) => info!("the predecessor {other} out of turn"),
             Ok(None) => break,
             Err(e) => {
@@ -146,53 +150,54 @@
             }
         }
     }
-    driver.set_overlapping(at.successor.attending.get());
+    driver.set_overlapping(endpoint.successor.connected.get());
     info!("the predecessor has gone");
 }
 
-/// Learns from snapshots until the last one; says why the place is to be taken, or nothing if another one is before
-/// this one.
-async fn warm_up(driver: &Rc<Driver>, line: &mut Line) -> Option<String> {
+/// Restores snapshots until the final one. Returns the reason to take over, or nothing if another process is to
+/// do so first.
+async fn warm_up(driver: &Rc<Driver>, channel: &mut FrameChannel) -> Option<String> {
     let mut snapshots = 0;
     loop {
         let received = match snapshots {
-            0 => match timeout(PATIENCE, line.receive()).await {
+            0 => match timeout(RESPONSE_TIMEOUT, channel.receive()).await {
                 Ok(received) => received,
-                Err(_) => return Some("the predecessor is silent: it is not waited for".to_string()),
+                Err(_) => return Some("the predecessor is silent: taking over without it".to_string()),
             },
-            _ => line.receive().await,
+            _ => channel.receive().await,
         };
-        let why = match received {
+        let reason = match received {
             Ok(Some((Frame::Snapshot(bytes), _))) => {
                 snapshots += 1;
-                let said = driver.restore_snapshot(&bytes);
+                let summary = driver.restore_snapshot(&bytes);
                 if snapshots == 1 {
-                    info!("warming up beside a predecessor: {said}");
+                    info!("warming up beside a predecessor: {summary}");
                     continue;
                 }
-                format!("the predecessor hands over: {said}")
+                format!("the predecessor hands over: {summary}")
             }
             Ok(Some((Frame::Busy, _))) => return None,
             Ok(Some((other, _))) => format!("the predecessor {other} out of turn"),
             Ok(None) => "the predecessor ended before it handed over".to_string(),
             Err(e) => format!("the predecessor: {e}"),
         };
-        return Some(why);
+        return Some(reason);
     }
 }
 
-/// Binds the address for peers' datagrams, which another process may still have, and listens there.
-pub async fn hear_peers(driver: Rc<Driver>) {
-    let mut told = false;
+/// Binds the address for peers' datagrams, retrying while another process holds it, and receives messages
+/// there.
+pub async fn receive_peer_messages(driver: Rc<Driver>) {
+    let mut logged = false;
     loop {
         match driver.open_peer_socket().await {
-            Ok(Some(mail)) => return peers::listen(driver.clone(), mail).await,
+            Ok(Some(socket)) => return peers::listen(driver.clone(), socket).await,
             Ok(None) => return,
             Err(e) => {
-                if !std::mem::replace(&mut told, true) {
+                if !std::mem::replace(&mut logged, true) {
                     info!("peer_listen: {e}; tried again until it is free");
                 }
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
         if matches!(driver.phase(), Phase::Stopping | Phase::HandingOver) {
@@ -203,138 +208,147 @@
 
 // ---- The old process ----
 
-/// Where two processes of one limiter meet, and what of this one goes to the other.
+/// The upgrade socket of a limiter, and the link to this process's successor.
 #[derive(Debug, Clone)]
 pub struct UpgradeEndpoint {
-    /// The Unix socket's name.
+    /// The path of the Unix socket.
     pub path: PathBuf,
-    /// To a successor.
+    /// Passes connections to the successor.
     pub successor: Rc<SuccessorHandle>,
 }
 
-/// Waits for successors: gives each a snapshot, and one of them this process's place when that ends.
-pub async fn offer(driver: Rc<Driver>, at: UpgradeEndpoint) {
-    let listener = match bind(&at.path) {
+/// Accepts successors. Sends each a snapshot, and hands over to one of them when this process is told to end.
+pub async fn accept_successors(driver: Rc<Driver>, endpoint: UpgradeEndpoint) {
+    let listener = match bind(&endpoint.path) {
         Ok(listener) => listener,
-        Err(e) => return info!("{}: {e}; upgrades start cautiously", at.path.display()),
+        Err(e) => return info!("{}: {e}; successors will start without a snapshot", endpoint.path.display()),
     };
-    // Once it has handed over, who comes is to find the successor.
+    // Once this process has handed over, new processes have to find its successor.
     while driver.phase() != Phase::HandingOver {
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(_) => {
-                    tokio::time::sleep(AGAIN).await;
+                    tokio::time::sleep(RETRY_INTERVAL).await;
                     continue;
                 }
             },
             () = driver.phase_changed.notified() => continue,
         };
-        if ours(&stream) {
-            tokio::task::spawn_local(meet(driver.clone(), at.successor.clone(), Line::new(stream)));
+        if is_same_user(&stream) {
+            tokio::task::spawn_local(handle_successor(
+                driver.clone(),
+                endpoint.successor.clone(),
+                FrameChannel::new(stream),
+            ));
         }
     }
 }
 
-async fn meet(driver: Rc<Driver>, successor: Rc<SuccessorHandle>, mut line: Line) {
-    if successor.attending.replace(true) {
-        let _ = timeout(PATIENCE, line.send(&Frame::Busy, None)).await;
+async fn handle_successor(driver: Rc<Driver>, successor: Rc<SuccessorHandle>, mut channel: FrameChannel) {
+    if successor.connected.replace(true) {
+        let _ = timeout(RESPONSE_TIMEOUT, channel.send(&Frame::Busy, None)).await;
         return;
     }
     driver.set_overlapping(true);
-    let why = attend(&driver, &mut line, &successor).await;
-    info!("a successor: {why}");
-    drop(successor.to.borrow_mut().take());
-    successor.attending.set(false);
-    successor.left.notify_waiters();
+    let reason = serve_successor(&driver, &mut channel, &successor).await;
+    info!("a successor: {reason}");
+    drop(successor.connections.borrow_mut().take());
+    successor.connected.set(false);
+    successor.disconnected.notify_waiters();
     driver.set_overlapping(false);
 }
 
-/// A new name is put in the place of the old one in one step: whoever comes finds one of both.
+/// Replaces the old socket file atomically, so that a connecting process always finds one of the two.
 fn bind(path: &Path) -> io::Result<UnixListener> {
-    let fresh = path.with_extension(std::process::id().to_string());
-    let _ = std::fs::remove_file(&fresh);
-    let listener = UnixListener::bind(&fresh)?;
-    std::fs::rename(&fresh, path)?;
+    let temporary = path.with_extension(std::process::id().to_string());
+    let _ = std::fs::remove_file(&temporary);
+    let listener = UnixListener::bind(&temporary)?;
+    std::fs::rename(&temporary, path)?;
     Ok(listener)
 }
 
-/// One successor, until it has all or is gone; says which.
-async fn attend(driver: &Rc<Driver>, line: &mut Line, successor: &Rc<SuccessorHandle>) -> String {
-    match timeout(PATIENCE, line.receive()).await {
+/// Serves one successor until it has received everything or has disconnected. Returns a description of the
+/// outcome.
+async fn serve_successor(
+    driver: &Rc<Driver>,
+    channel: &mut FrameChannel,
+    successor: &Rc<SuccessorHandle>,
+) -> String {
+    match timeout(RESPONSE_TIMEOUT, channel.receive()).await {
         Ok(Ok(Some((Frame::Hello(frame::VERSION), _)))) => {}
-        Ok(Ok(Some((Frame::Hello(version), _)))) => return format!("it speaks version {version}"),
-        _ => return "it says nothing that is expected".to_string(),
+        Ok(Ok(Some((Frame::Hello(version), _)))) => return format!("it speaks protocol version {version}"),
+        _ => return "it did not send a valid hello".to_string(),
     }
-    let warm = Frame::Snapshot(driver.snapshot(SnapshotKind::Running).into());
-    if !matches!(timeout(PATIENCE, line.send(&warm, None)).await, Ok(Ok(()))) {
-        return "it does not take the snapshot in".to_string();
+    let running_snapshot = Frame::Snapshot(driver.snapshot(SnapshotKind::Running).into());
+    if !matches!(timeout(RESPONSE_TIMEOUT, channel.send(&running_snapshot, None)).await, Ok(Ok(()))) {
+        return "it did not accept the snapshot".to_string();
     }
     info!("a successor warms up");
     // Until this process is told to end.
     while !matches!(driver.phase(), Phase::Stopping | Phase::HandingOver) {
         tokio::select! {
             () = driver.phase_changed.notified() => {}
-            // It has nothing to say: a read tells that it is gone.
-            _ = line.receive() => return "it has gone; this process serves on".to_string(),
+            // A successor sends nothing at this stage, so a completed read means that it has disconnected.
+            _ = channel.receive() => return "it has gone; this process serves on".to_string(),
         }
     }
     let _ = driver.handle_command(Command::HandOver);
     driver.close_peer_socket();
     driver.close_idle_connections();
-    let last = Frame::Snapshot(driver.snapshot(SnapshotKind::Final).into());
-    if !matches!(timeout(PATIENCE, line.send(&last, None)).await, Ok(Ok(()))) {
-        return "it does not take the last snapshot in; connections are closed here".to_string();
+    let final_snapshot = Frame::Snapshot(driver.snapshot(SnapshotKind::Final).into());
+    if !matches!(timeout(RESPONSE_TIMEOUT, channel.send(&final_snapshot, None)).await, Ok(Ok(()))) {
+        return "it did not accept the final snapshot; this process closes the connections".to_string();
     }
-    let (pass, mut passed) = mpsc::unbounded_channel();
-    *successor.to.borrow_mut() = Some(pass);
+    let (sender, mut receiver) = mpsc::unbounded_channel();
+    *successor.connections.borrow_mut() = Some(sender);
     driver.phase_changed.notify_waiters();
     let mut count = 0;
-    while let Some(TransferredConnection { stream, request_age, read_ahead }) = passed.recv().await {
+    while let Some(TransferredConnection { stream, request_age, read_ahead }) = receiver.recv().await {
         let request_age_ms = request_age.map(|d| u32::try_from(d.as_millis()).unwrap_or(u32::MAX - 1));
         let frame = Frame::Connection { request_age_ms, read_ahead };
-        if !matches!(timeout(PATIENCE, line.send(&frame, Some(&stream))).await, Ok(Ok(()))) {
-            return format!("it takes no more connections after {count}");
+        if !matches!(timeout(RESPONSE_TIMEOUT, channel.send(&frame, Some(&stream))).await, Ok(Ok(()))) {
+            return format!("it stopped accepting connections after {count}");
         }
         count += 1;
     }
-    format!("it took {count} connections")
+    format!("it accepted {count} connections")
 }
 
 // ---- Frames and descriptors ----
 
-/// Frames over a Unix socket, and the descriptors beside them.
-struct Line {
+/// Exchanges frames over a Unix socket, with the descriptors that accompany them.
+struct FrameChannel {
     stream: UnixStream,
     buffer: BytesMut,
     descriptors: std::collections::VecDeque<OwnedFd>,
 }
 
-impl Line {
-    fn new(stream: UnixStream) -> Line {
-        Line { stream, buffer: BytesMut::new(), descriptors: Default::default() }
+impl FrameChannel {
+    fn new(stream: UnixStream) -> FrameChannel {
+        FrameChannel { stream, buffer: BytesMut::new(), descriptors: Default::default() }
     }
 
-    async fn send(&mut self, frame: &Frame, with: Option<&TcpStream>) -> io::Result<()> {
+    async fn send(&mut self, frame: &Frame, descriptor: Option<&TcpStream>) -> io::Result<()> {
         let bytes = frame.to_bytes();
-        let (mut sent, mut with) = (0, with.map(AsFd::as_fd));
+        let (mut sent, mut descriptor) = (0, descriptor.map(AsFd::as_fd));
         while sent < bytes.len() {
             self.stream.writable().await?;
-            let piece = [IoSlice::new(&bytes[sent..])];
-            let fds: Vec<_> = with.into_iter().collect();
+            let slices = [IoSlice::new(&bytes[sent..])];
+            let fds: Vec<_> = descriptor.into_iter().collect();
             let written = self.stream.try_io(Interest::WRITABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
                 let mut control = SendAncillaryBuffer::new(&mut space);
                 if !fds.is_empty() {
                     control.push(SendAncillaryMessage::ScmRights(&fds));
                 }
-                Ok(sendmsg(&self.stream, &piece, &mut control, SendFlags::NOSIGNAL)?)
+                Ok(sendmsg(&self.stream, &slices, &mut control, SendFlags::NOSIGNAL)?)
             });
             match written {
                 Ok(count) => {
                     sent += count;
-                    // It goes with the first bytes.
-                    with = None;
+                    // The descriptor is sent with the first bytes.
+                    descriptor = None;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(e) => return Err(e),
@@ -343,22 +357,24 @@
         Ok(())
     }
 
-    /// The next frame, with its descriptor; nothing at the end. May be dropped between two reads: nothing is lost.
+    /// Returns the next frame with its descriptor, or nothing at the end of the stream. Cancel-safe: no bytes
+    /// are lost if the future is dropped between two reads.
     async fn receive(&mut self) -> io::Result<Option<(Frame, Option<OwnedFd>)>> {
         loop {
-            if let Some(frame) = Frame::take(&mut self.buffer).map_err(io::Error::other)? {
-                let connection = matches!(frame, Frame::Connection { .. });
-                let fd = if connection { self.descriptors.pop_front() } else { None };
+            if let Some(frame) = Frame::decode(&mut self.buffer).map_err(io::Error::other)? {
+                let has_descriptor = matches!(frame, Frame::Connection { .. });
+                let fd = if has_descriptor { self.descriptors.pop_front() } else { None };
                 return Ok(Some((frame, fd)));
             }
             self.stream.readable().await?;
-            let mut piece = [0; 16 << 10];
-            let Line { stream, descriptors, .. } = self;
+            let mut chunk = [0; 16 << 10];
+            let FrameChannel { stream, descriptors, .. } = self;
             let read = stream.try_io(Interest::READABLE, || {
-                let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_DESCRIPTORS))];
+                let mut space =
+                    [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_READ))];
                 let mut control = RecvAncillaryBuffer::new(&mut space);
-                let mut into = [IoSliceMut::new(&mut piece)];
-                let read = recvmsg(&*stream, &mut into, &mut control, RecvFlags::CMSG_CLOEXEC)?;
+                let mut slices = [IoSliceMut::new(&mut chunk)];
+                let read = recvmsg(&*stream, &mut slices, &mut control, RecvFlags::CMSG_CLOEXEC)?;
                 for message in control.drain() {
                     if let RecvAncillaryMessage::ScmRights(fds) = message {
                         descriptors.extend(fds);
@@ -368,7 +384,7 @@
             });
             match read {
                 Ok(0) => return Ok(None),
-                Ok(count) => self.buffer.extend_from_slice(&piece[..count]),
+                Ok(count) => self.buffer.extend_from_slice(&chunk[..count]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 Err(e) => return Err(e),
             }
--- a/marldeal/src/upstream/discovery.rs
+++ b/marldeal/src/upstream/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on the list of servers: carries out what [`WatchController`] decides.
+//! The watch on the list of servers. Carries out what [`WatchController`] decides.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,28 +21,27 @@
 use crate::upstream::registry_backoff::RegistryBackoff;
 use crate::upstream::watch_controller::{CallId, Millis, Step, WatchController, WatchSource};
 
-/// One source and how far its versions are known: those of another source say nothing here.
+/// A source of the list and the last version known from it. Versions of different sources are not comparable.
 struct Source {
     addr: SocketAddr,
     number: u32,
     version: Option<u64>,
 }
 
-/// Watches for ever where the configuration says. After a reload the old watch goes on beside the new one
-/// until that has told its list: what the old place tells meanwhile is not lost, and what it tells later is
-/// not heard.
+/// Watches the configured source for ever. After a reload the old watch continues beside the new one until that
+/// has received its list. Changes that the old source sends until then are applied, later ones are ignored.
 pub async fn watch(driver: Rc<Driver>) {
     let mut version = driver.config.known_servers.as_ref().map(|known| known.version);
     loop {
         let sources = &driver.sources;
         let source =
             Source { addr: sources.addr.get(), number: sources.current.get(), version: version.take() };
-        tokio::task::spawn_local(keep(driver.clone(), source));
+        tokio::task::spawn_local(watch_source(driver.clone(), source));
         sources.changed.notified().await;
     }
 }
 
-/// How a source is asked, and how long the first call waits.
+/// How a source is watched, and the wait before the first call.
 fn watch_controller(driver: &Driver, source: &Source) -> WatchController {
     let settings = &driver.config.settings;
     if !settings.must_subscribe {
@@ -50,8 +49,8 @@
     }
     let seed = driver.config.seed ^ u64::from(source.number).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mut backoff = RegistryBackoff::new(settings.limiters, seed);
-    // What was known last serves until this limiter's turn comes; with nothing known there is nothing to wait with. A
-    // new place is asked by all soon.
+    // The last known list is used until this limiter's turn comes. Without a known list there is no reason to
+    // wait. A new address is called by all limiters soon.
     let wait = match (source.version, source.number) {
         (Some(_), 0) => backoff.initial_wait(),
         (None, 0) => Duration::ZERO,
@@ -60,42 +59,41 @@
     WatchController::new(WatchSource::Registry(backoff), 0.0, wait.as_secs_f64() * 1000.0)
 }
 
-/// Ends a connection's task when it is dropped.
-struct Abort(AbortHandle);
+/// Aborts a connection's task when dropped.
+struct AbortOnDrop(AbortHandle);
 
-impl Drop for Abort {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// An answered call.
+/// A call that was answered and has become the watch.
 struct Watch {
     call: CallId,
     body: Incoming,
     decoder: WatchDecoder,
-    _connection: Abort,
+    _connection: AbortOnDrop,
 }
 
-/// A call that was answered.
-struct Answered {
-    connection: Abort,
+/// The response to a call.
+struct CallResponse {
+    connection: AbortOnDrop,
     body: Incoming,
     socket: SharedSocket,
 }
 
-/// Keeps one source watched from the last version on. The one that serves no more is left when its watch ends, or when a
-/// newer one has told its list.
-async fn keep(driver: Rc<Driver>, mut source: Source) {
-    let began = Instant::now();
-    let now = || began.elapsed().as_secs_f64() * 1000.0;
+/// Watches one source, starting from its last known version. Ends when a newer source has delivered its list.
+async fn watch_source(driver: Rc<Driver>, mut source: Source) {
+    let started = Instant::now();
+    let now = || started.elapsed().as_secs_f64() * 1000.0;
     let mut controller = watch_controller(&driver, &source);
-    let mut wishes = driver.list_refresh.subscribe();
-    let mut whole = *wishes.borrow();
+    let mut refreshes = driver.list_refresh.subscribe();
+    let mut full_refreshes = *refreshes.borrow();
     let mut calls = JoinSet::new();
-    let mut waiting: HashMap<CallId, AbortHandle> = HashMap::new();
+    let mut pending: HashMap<CallId, AbortHandle> = HashMap::new();
     let mut watch: Option<Watch> = None;
-    let mut said = String::new();
+    let mut last_error = String::new();
     loop {
         if watch.is_none() {
             driver.set_watch_socket(source.number, None);
@@ -103,55 +101,56 @@
         while let Some(step) = controller.step(now()) {
             match step {
                 Step::Begin(call) => {
-                    let asks = ask(source.addr, source.version);
-                    waiting.insert(call, calls.spawn_local(async move { (call, asks.await) }));
+                    let opening = open_watch(source.addr, source.version);
+                    pending.insert(call, calls.spawn_local(async move { (call, opening.await) }));
                 }
-                Step::Close(call, why) => {
-                    waiting.remove(&call).inspect(AbortHandle::abort);
+                Step::Close(call, reason) => {
+                    pending.remove(&call).inspect(AbortHandle::abort);
                     if watch.take_if(|w| w.call == call).is_some() {
-                        info!("discovery: {why}; watching again");
+                        info!("discovery: {reason}; watching again");
                     }
                 }
             }
         }
-        let due = began + Duration::from_secs_f64(controller.next_due().clamp(0.0, 1e9) / 1000.0);
-        // What has come goes before what is due: after a pause, what waited here must not be taken for silence.
-        let why = tokio::select! {
+        let due = started + Duration::from_secs_f64(controller.next_due().clamp(0.0, 1e9) / 1000.0);
+        // Received bytes are handled before timers. After a stall, bytes that waited here must not be taken for
+        // silence.
+        let reason = tokio::select! {
             biased;
-            frame = frame(&mut watch) => match frame {
+            received = next_bytes(&mut watch) => match received {
                 _ if driver.sources.last_received.get() > source.number => None,
-                Ok(bytes) => hear(&driver, &mut source, &mut watch, &mut controller, &bytes, now()).err(),
-                Err(why) => Some(why),
+                Ok(bytes) => process_bytes(&driver, &mut source, &mut watch, &mut controller, &bytes, now()).err(),
+                Err(reason) => Some(reason),
             },
             Some(done) = calls.join_next(), if !calls.is_empty() => {
-                // One that was called off is out of the controller already.
-                let Ok((call, answer)) = done else { continue };
-                waiting.remove(&call);
-                match answer {
-                    Ok(Answered { connection, body, socket }) => {
+                // A call that was cancelled has been removed from the controller already.
+                let Ok((call, response)) = done else { continue };
+                pending.remove(&call);
+                match response {
+                    Ok(CallResponse { connection, body, socket }) => {
                         if controller.answered(now(), call) {
-                            said.clear();
+                            last_error.clear();
                             driver.set_watch_socket(source.number, Some(socket));
                             watch = Some(Watch { call, body, decoder: WatchDecoder::default(), _connection: connection });
                         }
                     }
-                    Err(why) => {
+                    Err(reason) => {
                         controller.ended(now(), call);
-                        if why != said {
-                            info!("discovery: {why}; tried again");
+                        if reason != last_error {
+                            info!("discovery: {reason}; retrying");
                         }
-                        said = why;
+                        last_error = reason;
                     }
                 }
                 None
             }
-            Ok(()) = wishes.changed() => {
-                let wanted = *wishes.borrow_and_update();
-                if std::mem::replace(&mut whole, wanted) != wanted {
+            Ok(()) = refreshes.changed() => {
+                let requested = *refreshes.borrow_and_update();
+                if std::mem::replace(&mut full_refreshes, requested) != requested {
                     source.version = None;
                 }
                 watch = None;
-                controller.restart(now()).iter().for_each(|call| drop(waiting.remove(call).inspect(AbortHandle::abort)));
+                controller.restart(now()).iter().for_each(|call| drop(pending.remove(call).inspect(AbortHandle::abort)));
                 None
             }
             () = tokio::time::sleep_until(due.into()) => None,
@@ -160,15 +159,15 @@
             driver.set_watch_socket(source.number, None);
             return info!("discovery: another source speaks; {} is watched no more", source.addr);
         }
-        if let Some(why) = why {
-            info!("discovery: {why}; watching again");
+        if let Some(reason) = reason {
+            info!("discovery: {reason}; watching again");
             watch.take().into_iter().for_each(|w| controller.ended(now(), w.call));
         }
     }
 }
 
-/// What comes next on the watch; nothing ever while there is none.
-async fn frame(watch: &mut Option<Watch>) -> Result<Bytes, String> {
+/// The next bytes of the watch. Never completes while there is no watch.
+async fn next_bytes(watch: &mut Option<Watch>) -> Result<Bytes, String> {
     let Some(watch) = watch else { return std::future::pending().await };
     match watch.body.frame().await {
         None => Err("ended".to_string()),
@@ -177,8 +176,8 @@
     }
 }
 
-/// Takes in what has come on the watch.
-fn hear(
+/// Decodes received bytes and applies the messages in them.
+fn process_bytes(
     driver: &Rc<Driver>,
     source: &mut Source,
     watch: &mut Option<Watch>,
@@ -191,36 +190,36 @@
     while let Some(message) = watch.decoder.next_message()? {
         controller.message_received(now, message != WatchMessage::Heartbeat);
         let WatchMessage::List(bytes) = message else { continue };
-        // What a bad one held is missing from now on: the watch begins anew where it was still whole.
+        // The changes of an invalid list are lost, so the watch is reopened from the last valid version.
         let list = serde_json::from_slice::<ServerList>(&bytes).map_err(|e| format!("bad line: {e}"))?;
         source.version = Some(list.version);
         driver.sources.last_received.set(source.number);
-        let (news, notes) = server_update(list, &driver.config.names);
+        let (update, notes) = server_update(list, &driver.config.names);
         notes.iter().for_each(|note| info!("{note}"));
-        driver.update_servers(news);
+        driver.update_servers(update);
     }
     Ok(())
 }
 
-/// One call, until its answer begins.
-async fn ask(addr: SocketAddr, after: Option<u64>) -> Result<Answered, String> {
+/// Makes one call. Returns once the response's head has been received.
+async fn open_watch(addr: SocketAddr, after: Option<u64>) -> Result<CallResponse, String> {
     let stream = TcpStream::connect(addr).await.map_err(|e| e.to_string())?;
     let socket = SharedSocket::new(stream);
-    let wire = TokioIo::new(socket.clone());
-    let (mut sender, connection) = http1::handshake(wire).await.map_err(|e| e.to_string())?;
+    let io = TokioIo::new(socket.clone());
+    let (mut sender, connection) = http1::handshake(io).await.map_err(|e| e.to_string())?;
     let task = tokio::task::spawn_local(async move { drop(connection.await) });
-    let connection = Abort(task.abort_handle());
+    let connection = AbortOnDrop(task.abort_handle());
     let path = match after {
-        Some(v) => format!("/api/targets?watch=1&after={v}"),
+        Some(version) => format!("/api/targets?watch=1&after={version}"),
         None => "/api/targets?watch=1".to_string(),
     };
     let request = hyper::Request::get(path)
         .header("host", addr.to_string())
         .body(Empty::<Bytes>::new())
         .map_err(|e| e.to_string())?;
-    let answer = sender.send_request(request).await.map_err(|e| e.to_string())?;
-    if answer.status() != hyper::StatusCode::OK {
-        return Err(format!("answered {}", answer.status()));
+    let response = sender.send_request(request).await.map_err(|e| e.to_string())?;
+    if response.status() != hyper::StatusCode::OK {
+        return Err(format!("the source answered with status {}", response.status()));
     }
-    Ok(Answered { connection, body: answer.into_body(), socket })
+    Ok(CallResponse { connection, body: response.into_body(), socket })
 }
--- a/marldeal/src/upstream/framing.rs
+++ b/marldeal/src/upstream/framing.rs
@@ -78,10 +78,10 @@
         "{\"version\":3,\r\n\"servers\":[]\r\n}",
     ];
 
-    fn decode_lists(pieces: &[&[u8]]) -> Vec<String> {
+    fn decode_lists(chunks: &[&[u8]]) -> Vec<String> {
         let (mut decoder, mut found) = (WatchDecoder::default(), Vec::new());
-        for piece in pieces {
-            decoder.push(piece);
+        for chunk in chunks {
+            decoder.push(chunk);
             while let Some(message) = decoder.next_message().expect("valid messages") {
                 if let WatchMessage::List(list) = message {
                     found.push(String::from_utf8(list.to_vec()).expect("UTF-8").trim_start().to_string());
--- a/marldeal/src/upstream/registry_backoff.rs
+++ b/marldeal/src/upstream/registry_backoff.rs
@@ -47,7 +47,7 @@
         wait(self.spread_ms().min(MAX_URGENT_WAIT_MS) * self.rng.f64())
     }
 
-    /// The wait after a call or a watch has ended. `received` says whether it brought a message. The wait is
+    /// The wait after a call or a watch has ended. `received` says whether it brought a list. The wait is
     /// drawn uniformly between 0.5 and 1.5 times the base time, so that limiters that failed together do not
     /// call again together.
     pub fn next_wait(&mut self, received: bool) -> Duration {
--- a/marldeal/src/upstream/servers.rs
+++ b/marldeal/src/upstream/servers.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers and the pool of their connections.
+//! Attempts at servers, and the pool of connections to them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -33,98 +33,101 @@
 
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 
-/// Most bytes read from a server at once: with one piece on its way, what a streamed answer takes.
-const MOST_READ: usize = 32 << 10;
-/// An answer of unknown length is held for so long to be read whole, so that a broken one can be tried again.
-const MOST_HOLD: Duration = Duration::from_millis(500);
-
-/// A connection is used again only after this rest: what a server writes right behind an answer has come by
-/// then, and shows that it is of no further use.
-const SETTLE: Duration = Duration::from_millis(10);
-
-type Written = Box<dyn Fn(RequestId, u32)>;
-
-/// How far the request on a connection has been written.
-struct Writing {
-    /// Is told that a request's last byte has been written.
-    written: Written,
-    /// Which one is on its way, and not written whole yet.
-    what: Cell<Option<(RequestId, u32)>>,
-    /// The connection has taken its last byte in.
-    taken: Cell<bool>,
-    /// Bytes of it have gone out.
-    wrote: Cell<bool>,
+/// Largest read from a server. With one chunk queued for the client, this bounds the memory of a streamed
+/// response.
+const MAX_READ_BYTES: usize = 32 << 10;
+/// How long a response of unknown length is buffered before it is streamed. Until then a response that breaks
+/// off can be retried.
+const MAX_BUFFERING_TIME: Duration = Duration::from_millis(500);
+
+/// A connection is reused only after it has been idle for this long. Anything that the server writes right
+/// behind a response has arrived by then and shows that the connection is unusable.
+const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
+
+type WrittenCallback = Box<dyn Fn(RequestId, u32)>;
+
+/// Tracks how far the request on a connection has been written.
+struct WriteTracker {
+    /// Called when the last byte of a request has been written.
+    notify_written: WrittenCallback,
+    /// The request and attempt that are being written. Empty once they have been written in full.
+    current: Cell<Option<(RequestId, u32)>>,
+    /// The connection has taken the last byte of the request.
+    body_consumed: Cell<bool>,
+    /// Bytes of the request have been written to the socket.
+    bytes_written: Cell<bool>,
 }
 
-impl Writing {
+impl WriteTracker {
     fn begin(&self, job: &AttemptJob) {
-        self.what.set(Some((job.id, job.attempt)));
-        self.taken.set(false);
-        self.wrote.set(false);
+        self.current.set(Some((job.id, job.attempt)));
+        self.body_consumed.set(false);
+        self.bytes_written.set(false);
     }
 }
 
-impl Progress for Writing {
+impl Progress for WriteTracker {
     fn body_consumed(&self) {
-        self.taken.set(true);
+        self.body_consumed.set(true);
     }
 }
 
-impl IoObserver for Rc<Writing> {
+impl IoObserver for Rc<WriteTracker> {
     fn on_written(&mut self, bytes: usize) {
         if bytes > 0 {
-            Cell::set(&self.wrote, true);
+            Cell::set(&self.bytes_written, true);
         }
     }
     fn on_flushed(&mut self) {
-        if self.taken.get() && self.wrote.get() {
-            if let Some((id, attempt)) = self.what.take() {
-                (self.written)(id, attempt);
+        if self.body_consumed.get() && self.bytes_written.get() {
+            if let Some((id, attempt)) = self.current.take() {
+                (self.notify_written)(id, attempt);
             }
         }
     }
 }
 
-type Sent = TrackedBody<OutgoingBody, Writing>;
-type Wire = TokioIo<ObservedStream<Rc<Writing>, SharedSocket>>;
+type RequestBody = TrackedBody<OutgoingBody, WriteTracker>;
+type ServerIo = TokioIo<ObservedStream<Rc<WriteTracker>, SharedSocket>>;
 
-/// A connection and what drives it. Nothing else does: dropping it closes the socket.
-struct Link {
-    sender: SendRequest<Sent>,
-    connection: Connection<Wire, Sent>,
-    writing: Rc<Writing>,
+/// A connection and the future that drives it. Nothing else polls that future, so dropping this closes the
+/// socket.
+struct ServerConnection {
+    sender: SendRequest<RequestBody>,
+    connection: Connection<ServerIo, RequestBody>,
+    tracker: Rc<WriteTracker>,
     socket: SharedSocket,
-    _room: Room,
+    _slot: OpenSlot,
 }
 
-/// A place among the connections that may be open; free again when it is dropped.
-struct Room(Rc<Cell<usize>>);
+/// A slot for an open connection. Dropping it frees the slot.
+struct OpenSlot(Rc<Cell<usize>>);
 
-impl Drop for Room {
+impl Drop for OpenSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-struct Idle {
-    link: Link,
+struct IdleConnection {
+    connection: ServerConnection,
     since: Instant,
 }
 
-/// Idle connections by server, and a bound on all that are open. Not by address: a new server at the address
-/// of one that has gone must not be sent requests on that one's connections.
-struct Pool {
-    idle: HashMap<ServerId, Vec<Idle>>,
-    idle_for: Duration,
-    /// All open ones, idle or not.
+/// Idle connections by server, and a bound on all open ones. The key is not the address: a new server at the
+/// address of a removed one must not receive requests over the removed server's connections.
+struct ConnectionPool {
+    idle: HashMap<ServerId, Vec<IdleConnection>>,
+    idle_timeout: Duration,
+    /// The number of open connections, idle or not.
     open: Rc<Cell<usize>>,
 }
 
-impl Pool {
-    /// Drops what has been idle for `idle_ms`.
-    fn new(idle_ms: f64) -> Pool {
-        let idle_for = Duration::from_secs_f64(idle_ms / 1000.0);
-        Pool { idle: HashMap::new(), idle_for, open: Rc::default() }
+impl ConnectionPool {
+    /// Connections are closed after they have been idle for `idle_ms`.
+    fn new(idle_ms: f64) -> ConnectionPool {
+        let idle_timeout = Duration::from_secs_f64(idle_ms / 1000.0);
+        ConnectionPool { idle: HashMap::new(), idle_timeout, open: Rc::default() }
     }
 
     /// Closes the idle connections to a server.
@@ -132,40 +135,41 @@
         self.idle.remove(server);
     }
 
-    /// Closes what has been idle for long.
+    /// Closes connections that have been idle for too long.
     fn sweep(&mut self) {
-        let idle_for = self.idle_for;
-        self.idle.retain(|_, links| {
-            links.retain(|l| l.since.elapsed() < idle_for);
-            !links.is_empty()
+        let idle_timeout = self.idle_timeout;
+        self.idle.retain(|_, connections| {
+            connections.retain(|l| l.since.elapsed() < idle_timeout);
+            !connections.is_empty()
         });
     }
 
-    /// The connection used last that is still good. One that the server has closed, or has written to
-    /// unasked, is dropped here, before use: a request written to it would end as a reset, or be given what
-    /// the server wrote as its answer.
-    /// The event loop may not have been told yet of what has come: the kernel is asked as well.
-    fn take(&mut self, server: &ServerId) -> Option<Link> {
-        let links = self.idle.get_mut(server)?;
-        while let Some(at) = links.iter().rposition(|l| l.since.elapsed() >= SETTLE) {
-            let Idle { mut link, since } = links.remove(at);
-            if since.elapsed() < self.idle_for && link.alive() && link.quiet() {
-                return Some(link);
+    /// Returns the most recently used connection that is still usable. A connection that the server has closed,
+    /// or has written to without a request, is closed here: a request written to it would end in a reset, or
+    /// would be given those bytes as its response. The event loop may not have seen the event yet, so the
+    /// kernel is asked as well.
+    fn checkout(&mut self, server: &ServerId) -> Option<ServerConnection> {
+        let connections = self.idle.get_mut(server)?;
+        while let Some(at) = connections.iter().rposition(|l| l.since.elapsed() >= MIN_IDLE_BEFORE_REUSE) {
+            let IdleConnection { mut connection, since } = connections.remove(at);
+            if since.elapsed() < self.idle_timeout && connection.is_alive() && connection.is_quiet() {
+                return Some(connection);
             }
         }
         None
     }
 
-    /// Room for one more connection; the one idle for longest makes way.
-    fn reserve(&mut self, most: usize) -> Option<Room> {
-        if self.open.get() >= most {
+    /// Reserves a slot for one more connection. If all are taken, the connection that has been idle for longest
+    /// is closed.
+    fn reserve(&mut self, max_open: usize) -> Option<OpenSlot> {
+        if self.open.get() >= max_open {
             self.drop_oldest()?;
         }
         self.open.set(self.open.get() + 1);
-        Some(Room(self.open.clone()))
+        Some(OpenSlot(self.open.clone()))
     }
 
-    /// Closes the connection idle for longest; nothing if none is idle.
+    /// Closes the connection that has been idle for longest. Returns nothing if none is idle.
     fn drop_oldest(&mut self) -> Option<()> {
         let oldest = self.idle.iter().filter(|(_, l)| !l.is_empty()).min_by_key(|(_, l)| l[0].since);
         let server = oldest.map(|(server, _)| server.clone())?;
@@ -173,42 +177,45 @@
         Some(())
     }
 
-    /// Closes idle ones until no more than so many are open.
-    fn trim(&mut self, most: usize) {
-        while self.open.get() > most && self.drop_oldest().is_some() {}
+    /// Closes idle connections until at most `max_open` connections are open.
+    fn trim(&mut self, max_open: usize) {
+        while self.open.get() > max_open && self.drop_oldest().is_some() {}
     }
 
-    fn put(&mut self, server: &ServerId, link: Link) {
-        self.idle.entry(server.clone()).or_default().push(Idle { link, since: Instant::now() });
+    fn return_idle(&mut self, server: &ServerId, connection: ServerConnection) {
+        self.idle
+            .entry(server.clone())
+            .or_default()
+            .push(IdleConnection { connection, since: Instant::now() });
     }
 }
 
-impl Link {
-    /// Nothing lies in its socket: neither a close nor bytes, which the next request would get as its answer.
-    fn quiet(&self) -> bool {
+impl ServerConnection {
+    /// Whether the socket holds neither a close nor bytes, which the next request would get as its response.
+    fn is_quiet(&self) -> bool {
         self.socket.unread() == Unread::Nothing
     }
 
-    /// Looks at the connection without waiting.
-    fn alive(&mut self) -> bool {
+    /// Polls the connection once, without waiting, and returns whether it is still open.
+    fn is_alive(&mut self) -> bool {
         let mut context = std::task::Context::from_waker(std::task::Waker::noop());
         let ended = Pin::new(&mut self.connection).poll(&mut context).is_ready();
         !ended && self.sender.is_ready()
     }
 }
 
-/// Carries attempts to servers over HTTP/1.1.
-pub struct Servers {
-    pool: RefCell<Pool>,
+/// Makes attempts at servers over HTTP/1.1.
+pub struct HttpUpstream {
+    pool: RefCell<ConnectionPool>,
 }
 
-impl Servers {
-    /// With the bounds that the configuration sets.
-    pub fn new(config: &Config) -> Rc<Servers> {
-        Rc::new(Servers { pool: RefCell::new(Pool::new(config.server_idle_ms)) })
+impl HttpUpstream {
+    /// Creates an upstream with the configured bounds.
+    pub fn new(config: &Config) -> Rc<HttpUpstream> {
+        Rc::new(HttpUpstream { pool: RefCell::new(ConnectionPool::new(config.server_idle_ms)) })
     }
 
-    /// Drops idle connections in time, for ever.
+    /// Closes idle connections periodically. Never returns.
     pub async fn sweep(&self) {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
@@ -217,46 +224,50 @@
     }
 }
 
-impl Upstream for Rc<Servers> {
+impl Upstream for Rc<HttpUpstream> {
     fn start(&self, driver: Rc<Driver>, job: AttemptJob, stopped: oneshot::Receiver<Outcome>) {
         tokio::task::spawn_local(attempt(self.clone(), driver, job, stopped));
     }
     fn close_idle(&self, server: &ServerId) {
         self.pool.borrow_mut().drop_idle(server);
     }
-    fn trim(&self, most: usize) {
-        self.pool.borrow_mut().trim(most);
+    fn trim(&self, max_open: usize) {
+        self.pool.borrow_mut().trim(max_open);
     }
 }
 
-/// Makes one attempt and reports its end. What is stopped closes its connection first: the `select` has
-/// dropped it when the module hears of the end, so that a request never has two attempts out.
+/// Makes one attempt and reports how it ended. A cancelled attempt closes its connection first: the `select`
+/// has dropped it before the driver learns of the end, so a request never has two attempts outstanding.
 async fn attempt(
-    servers: Rc<Servers>,
+    upstream: Rc<HttpUpstream>,
     driver: Rc<Driver>,
     job: AttemptJob,
     stopped: oneshot::Receiver<Outcome>,
 ) {
     let (outcome, body) = tokio::select! {
         biased;
-        Ok(how) = stopped => (how, None),
-        end = exchange(&servers, &driver, &job) => end,
+        Ok(outcome) = stopped => (outcome, None),
+        result = exchange(&upstream, &driver, &job) => result,
     };
     driver.attempt_ended(&job, outcome, body);
 }
 
-async fn exchange(servers: &Servers, driver: &Rc<Driver>, job: &AttemptJob) -> (Outcome, Option<Bytes>) {
+async fn exchange(
+    upstream: &HttpUpstream,
+    driver: &Rc<Driver>,
+    job: &AttemptJob,
+) -> (Outcome, Option<Bytes>) {
     if driver.check_permission(job).await.is_err() {
         return (Outcome::NotSent, None);
     }
     let Some(addr) = driver.server_address(&job.server) else { return (Outcome::NotSent, None) };
-    let pooled = servers.pool.borrow_mut().take(&job.server);
-    let mut link = match pooled {
-        Some(link) => link,
-        None => match connect(servers, driver, addr).await {
-            // The wait for a connection may have outlived whatever allowed the attempt.
+    let pooled = upstream.pool.borrow_mut().checkout(&job.server);
+    let mut conn = match pooled {
+        Some(pooled) => pooled,
+        None => match connect(upstream, driver, addr).await {
+            // The permission may have lapsed while the connection was opened.
             Ok(_) if driver.check_permission(job).await.is_err() => return (Outcome::NotSent, None),
-            Ok(link) => link,
+            Ok(connected) => connected,
             Err(outcome) => return (outcome, None),
         },
     };
@@ -268,69 +279,70 @@
     let (id, attempt) = (job.id, job.attempt);
     debug!(event = "sent", request = id, attempt, server = %job.server, "request {id}: attempt {attempt} to {}", job.server);
     let left_ms = (job.deadline - now).min(job.content.budget_ms);
-    link.writing.begin(job);
-    let Ok(request) = request(job, addr, left_ms, &link.writing) else { return (Outcome::NotSent, None) };
-    let Link { sender, connection, writing, .. } = &mut link;
-    let answer = async {
-        let answer = match sender.try_send_request(request).await {
-            Ok(answer) => answer,
-            // One that is given back, or whose last byte was not written, never ran; of any other it is not known.
-            Err(mut e) => match e.take_message().is_some() || writing.what.get().is_some() {
+    conn.tracker.begin(job);
+    let Ok(request) = request(job, addr, left_ms, &conn.tracker) else { return (Outcome::NotSent, None) };
+    let ServerConnection { sender, connection, tracker, .. } = &mut conn;
+    let response = async {
+        let response = match sender.try_send_request(request).await {
+            Ok(response) => response,
+            // If the request is given back or its last byte was not written, the server did not run it.
+            // Otherwise that is unknown.
+            Err(mut e) => match e.take_message().is_some() || tracker.current.get().is_some() {
                 true => return (Outcome::NoConnection, None),
                 false => return (Outcome::Severed, None),
             },
         };
-        let (head, body) = answer.into_parts();
+        let (head, body) = response.into_parts();
         let unprocessed = head.headers.get(UNPROCESSED).is_some_and(|v| v == "1");
         let outcome = outcomes::from_response(head.status.as_u16(), unprocessed);
-        take_answer(driver, job, outcome, body).await
+        receive_response(driver, job, outcome, body).await
     };
-    let (outcome, body, mut ended) = drive(answer, connection).await;
-    // Only a connection whose answer was read to its end may serve again.
+    let (outcome, body, mut ended) = run_connection(response, connection).await;
+    // A connection is reused only if its response was read to the end.
     ended |= !matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
-    // Nor one of a server that takes nothing new by now: nobody would close it.
-    if !ended && driver.server_address(&job.server) == Some(addr) && link.alive() {
-        servers.pool.borrow_mut().put(&job.server, link);
+    // Nor is it reused if the server no longer accepts requests, since nothing would close it.
+    if !ended && driver.server_address(&job.server) == Some(addr) && conn.is_alive() {
+        upstream.pool.borrow_mut().return_idle(&job.server, conn);
     }
     (outcome, body)
 }
 
-/// Takes an answer's body in: a short one whole, a longer one piece by piece to its client.
-async fn take_answer(
+/// Receives a response's body. A short one is returned whole, a longer one is streamed to the client.
+async fn receive_response(
     driver: &Rc<Driver>,
     job: &AttemptJob,
     outcome: Outcome,
     mut body: Incoming,
 ) -> (Outcome, Option<Bytes>) {
-    let told = body.size_hint().exact();
-    let mut whole = BytesMut::new();
-    let mut longer = told.is_some_and(|told| told > MAX_BUFFERED_RESPONSE_BYTES as u64);
-    let hold = tokio::time::Instant::now() + MOST_HOLD;
-    while !longer {
-        let frame = match told {
+    let length = body.size_hint().exact();
+    let mut buffered = BytesMut::new();
+    let mut too_long = length.is_some_and(|bytes| bytes > MAX_BUFFERED_RESPONSE_BYTES as u64);
+    let buffering_deadline = tokio::time::Instant::now() + MAX_BUFFERING_TIME;
+    while !too_long {
+        let frame = match length {
             Some(_) => body.frame().await,
-            // One that comes slowly may be a long one.
-            None => match timeout_at(hold, body.frame()).await {
+            // A body that arrives slowly may be long.
+            None => match timeout_at(buffering_deadline, body.frame()).await {
                 Ok(frame) => frame,
                 Err(_) => break,
             },
         };
         match frame {
-            None => return (outcome, (outcome == Outcome::Ok).then(|| whole.freeze())),
+            None => return (outcome, (outcome == Outcome::Ok).then(|| buffered.freeze())),
             Some(Err(_)) => return (Outcome::Severed, None),
-            Some(Ok(frame)) => whole.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
+            Some(Ok(frame)) => buffered.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
         }
-        longer = whole.len() > MAX_BUFFERED_RESPONSE_BYTES;
+        too_long = buffered.len() > MAX_BUFFERED_RESPONSE_BYTES;
     }
-    // What an error has to say at such length nobody hears.
+    // The body of a long error response is not used.
     if outcome != Outcome::Ok {
         return (outcome, None);
     }
-    let Some(pieces) = driver.begin_streaming(job, told) else { return (Outcome::Cancelled, None) };
-    let mut next = whole.freeze();
+    let Some(chunks) = driver.begin_streaming(job, length) else { return (Outcome::Cancelled, None) };
+    let mut next = buffered.freeze();
     loop {
         if !next.is_empty()
-            && !matches!(timeout(TRANSFER_IDLE_TIMEOUT, pieces.send(Chunk::Data(next))).await, Ok(Ok(())))
+            && !matches!(timeout(TRANSFER_IDLE_TIMEOUT, chunks.send(Chunk::Data(next))).await, Ok(Ok(())))
         {
             driver.reader_disconnected(job.id);
             return (Outcome::Cancelled, None);
@@ -338,69 +350,83 @@
         next = match timeout(TRANSFER_IDLE_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             Ok(None) => {
-                let _ = pieces.send(Chunk::End).await;
+                let _ = chunks.send(Chunk::End).await;
                 return (Outcome::Ok, None);
             }
-            // The client can tell: its answer ends in the middle.
+            // The client can tell, since its response ends early.
             Ok(Some(Err(_))) | Err(_) => return (Outcome::Severed, None),
         };
     }
 }
 
-/// Waits for the answer while the connection works; tells also whether that has ended.
-async fn drive(
-    answer: impl Future<Output = (Outcome, Option<Bytes>)>,
-    connection: &mut Connection<Wire, Sent>,
+/// Waits for the response while driving the connection. Also returns whether the connection has ended.
+async fn run_connection(
+    response: impl Future<Output = (Outcome, Option<Bytes>)>,
+    connection: &mut Connection<ServerIo, RequestBody>,
 ) -> (Outcome, Option<Bytes>, bool) {
-    tokio::pin!(answer);
+    tokio::pin!(response);
     let mut ended = false;
     loop {
         tokio::select! {
             biased;
-            (outcome, body) = &mut answer => return (outcome, body, ended),
+            (outcome, body) = &mut response => return (outcome, body, ended),
             _ = &mut *connection, if !ended => ended = true,
         }
     }
 }
 
-async fn connect(servers: &Servers, driver: &Rc<Driver>, addr: SocketAddr) -> Result<Link, Outcome> {
-    let most = driver.share_of(driver.config.max_server_connections);
-    let room = servers.pool.borrow_mut().reserve(most).ok_or(Outcome::NotSent)?;
-    let limit = Duration::from_secs_f64(driver.config.settings.connect_timeout_ms.max(1.0) / 1000.0);
-    let stream = match timeout(limit, TcpStream::connect(addr)).await {
+async fn connect(
+    upstream: &HttpUpstream,
+    driver: &Rc<Driver>,
+    addr: SocketAddr,
+) -> Result<ServerConnection, Outcome> {
+    let max_open = driver.share_of(driver.config.max_server_connections);
+    let slot = upstream.pool.borrow_mut().reserve(max_open).ok_or(Outcome::NotSent)?;
+    let connect_timeout =
+        Duration::from_secs_f64(driver.config.settings.connect_timeout_ms.max(1.0) / 1000.0);
+    let stream = match timeout(connect_timeout, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
-        // Want of descriptors or ports here says nothing about the server: it must not count as silent.
+        // A lack of descriptors or ports on this host says nothing about the server, which must not count as
+        // unreachable.
         Ok(Err(e)) if transient::is_transient(&e) => {
-            info!("connect: {e}");
+            info!("cannot open a connection to a server: {e}");
             return Err(Outcome::NotSent);
         }
         Ok(Err(_)) | Err(_) => return Err(Outcome::NoConnection),
     };
     let driver = driver.clone();
-    link(stream, Box::new(move |id, attempt| driver.attempt_written(id, attempt)), room).await
+    handshake(stream, Box::new(move |id, attempt| driver.attempt_written(id, attempt)), slot).await
 }
 
-async fn link(stream: TcpStream, written: Written, room: Room) -> Result<Link, Outcome> {
+async fn handshake(
+    stream: TcpStream,
+    notify_written: WrittenCallback,
+    slot: OpenSlot,
+) -> Result<ServerConnection, Outcome> {
     let _ = stream.set_nodelay(true);
-    let writing =
-        Rc::new(Writing { written, what: Cell::new(None), taken: Cell::new(false), wrote: Cell::new(false) });
+    let tracker = Rc::new(WriteTracker {
+        notify_written,
+        current: Cell::new(None),
+        body_consumed: Cell::new(false),
+        bytes_written: Cell::new(false),
+    });
     let socket = SharedSocket::new(stream);
-    let wire = TokioIo::new(ObservedStream {
+    let io = TokioIo::new(ObservedStream {
         stream: socket.clone(),
-        observer: writing.clone(),
+        observer: tracker.clone(),
         prefix: Bytes::new(),
     });
-    let made = http1::Builder::new().max_buf_size(MOST_READ).handshake(wire).await;
-    let (sender, connection) = made.map_err(|_| Outcome::NoConnection)?;
-    Ok(Link { sender, connection, writing, socket, _room: room })
+    let handshaken = http1::Builder::new().max_buf_size(MAX_READ_BYTES).handshake(io).await;
+    let (sender, connection) = handshaken.map_err(|_| Outcome::NoConnection)?;
+    Ok(ServerConnection { sender, connection, tracker, socket, _slot: slot })
 }
 
 fn request(
     job: &AttemptJob,
     addr: SocketAddr,
     left_ms: f64,
-    writing: &Rc<Writing>,
-) -> hyper::http::Result<Request<Sent>> {
+    tracker: &Rc<WriteTracker>,
+) -> hyper::http::Result<Request<RequestBody>> {
     let content = &job.content;
     let mut request = Request::builder()
         .method(content.method.clone())
@@ -411,7 +437,7 @@
     if let Some(key) = &content.idempotency_key {
         request = request.header(IDEMPOTENCY_KEY, key.clone());
     }
-    request.body(TrackedBody::new(OutgoingBody::new(&content.body), writing.clone()))
+    request.body(TrackedBody::new(OutgoingBody::new(&content.body), tracker.clone()))
 }
 
 #[cfg(test)]
@@ -419,42 +445,52 @@
     use super::*;
     use std::io::Write;
 
-    /// A server closes an idle connection, or writes to it unasked, and the event loop has not been told when the next
-    /// request is to go out on it: the loop does not run between the two, since the test blocks its only thread. Guards
-    /// against a booking that is written there and ends as one that may have run.
+    /// A server closes an idle connection, or writes to it without a request, and the event loop has not seen
+    /// that yet when the next request is to be sent on it. The test forces this by blocking its only thread.
+    /// Guards against a request that is written there and ends as one that may have run.
     #[test]
-    fn what_the_event_loop_has_not_been_told_of_an_idle_connection_is_asked_of_the_kernel() {
+    fn idle_connections_with_events_pending_in_the_kernel_are_not_reused() {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let server: ServerId = "s-1".into();
         for unasked in [false, true] {
             runtime.block_on(async {
                 let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
                 let addr = listener.local_addr().expect("an address");
-                let mut pool = Pool::new(10_000.0);
-                let (mut far, mut kept) = (Vec::new(), Vec::new());
+                let mut pool = ConnectionPool::new(10_000.0);
+                let (mut server_sides, mut closing) = (Vec::new(), Vec::new());
                 for _ in 0..3 {
-                    let room = pool.reserve(9).expect("room");
+                    let slot = pool.reserve(9).expect("slot");
                     let stream = TcpStream::connect(addr).await.expect("connect");
-                    far.push(listener.accept().expect("accept").0);
-                    let link = link(stream, Box::new(|_, _| {}), room).await.map_err(drop).expect("a link");
-                    pool.put(&server, link);
+                    server_sides.push(listener.accept().expect("accept").0);
+                    let connection = handshake(stream, Box::new(|_, _| {}), slot)
+                        .await
+                        .map_err(drop)
+                        .expect("a connection");
+                    pool.return_idle(&server, connection);
                 }
-                std::thread::sleep(SETTLE * 2);
-                // The first stays open; the one used last comes first.
-                let open = far.remove(0);
-                for mut stream in far {
+                std::thread::sleep(MIN_IDLE_BEFORE_REUSE * 2);
+                // The first connection stays open. The most recently used one is tried first.
+                let open = server_sides.remove(0);
+                for mut stream in server_sides {
                     match unasked {
                         true => stream.write_all(b"HTTP/1.1 408 Late\r\n\r\n").expect("write"),
                         false => stream.shutdown(std::net::Shutdown::Write).expect("close"),
                     }
-                    kept.push(stream);
+                    closing.push(stream);
                 }
-                let last = pool.idle.get_mut(&server).and_then(|links| links.last_mut()).expect("idle ones");
-                assert!(last.link.alive() && !last.link.quiet(), "the crossing was forced");
-                let sure = pool.take(&server).expect("the one that is open");
-                assert!(sure.quiet());
-                assert_eq!(pool.open.get(), 1, "the dead ones were closed");
-                drop((sure, open, kept));
+                let last = pool
+                    .idle
+                    .get_mut(&server)
+                    .and_then(|connections| connections.last_mut())
+                    .expect("idle connections");
+                assert!(
+                    last.connection.is_alive() && !last.connection.is_quiet(),
+                    "the event loop has not seen the close or the bytes"
+                );
+                let usable = pool.checkout(&server).expect("the open connection");
+                assert!(usable.is_quiet());
+                assert_eq!(pool.open.get(), 1, "unusable connections are closed");
+                drop((usable, open, closing));
                 assert_eq!(pool.open.get(), 0);
             });
         }
--- a/marldeal/src/upstream/watch_controller.rs
+++ b/marldeal/src/upstream/watch_controller.rs
@@ -115,12 +115,12 @@
                 if late && self.watch.is_none() && matches!(self.source, WatchSource::Registry(_)) {
                     self.schedule_call(now, false, false);
                 }
-                return Some(Step::Close(call, "no answer"));
+                return Some(Step::Close(call, "not answered in time"));
             }
         }
         if self.calls.len() > MAX_PENDING_CALLS {
             let (call, _) = self.calls.remove(1)?;
-            return Some(Step::Close(call, "no answer"));
+            return Some(Step::Close(call, "not answered in time"));
         }
         self.next_call.filter(|at| now >= *at)?;
         self.last_call += 1;
@@ -176,8 +176,8 @@
         closed
     }
 
-    /// The watch has ended or fallen silent. A watch that has received messages counts as a success even
-    /// without a list: an agent is called again at once.
+    /// The watch has ended or fallen silent. An agent is called again soon, whether or not the watch has
+    /// brought a list.
     fn watch_lost(&mut self, now: Millis, silent: bool) {
         let has_list = self.watch.take().is_some_and(|(.., has_list)| has_list);
         self.schedule_call(now, has_list, silent);
