--- a/marldeal/src/command/capacity.rs
+++ b/marldeal/src/command/capacity.rs
@@ -1,4 +1,4 @@
-//! `marldeal capacity`: what a size needs, from measured slopes, against its bounds.
+//! `marldeal capacity`: computes from measured slopes what a planned size needs, and compares it with its bounds.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -12,46 +12,48 @@
 
 use super::scenarios::print;
 
-/// What to hold against what.
+/// Options of `marldeal capacity`.
 #[derive(Args)]
 pub struct Capacity {
-    /// The size that is planned for, with its bounds (TOML; `deploy/size/` has examples).
+    /// The planned size with its bounds (TOML; `deploy/size/` has examples).
     #[arg(long, value_name = "FILE")]
     size: PathBuf,
-    /// Files of slopes that commands wrote (`marldeal-bench slopes`, `marldeal rehearse scale --slopes`).
+    /// Slope files, as written by `marldeal-bench slopes` and `marldeal rehearse scale --slopes`.
     #[arg(long, value_name = "FILE", required = true, num_args = 1..)]
     slopes: Vec<PathBuf>,
-    /// The limiters hold units of quotas ahead of need.
+    /// Assumes that the limiters prefetch quota units.
     #[arg(long)]
     prefetch: bool,
-    /// Writes one self-contained HTML page: each resource against the number of limiters, with its bound.
+    /// Writes a self-contained HTML page that plots each resource and its bound against the number of limiters.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
 }
 
-fn text(path: &Path) -> Result<String, String> {
+/// Reads a file.
+fn read(path: &Path) -> Result<String, String> {
     std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn named(path: &Path, wrong: &[InputError]) -> String {
-    wrong.iter().map(|w| format!("{}: {w}", path.display())).collect::<Vec<_>>().join("\n")
+/// Formats errors with the path of their file, one per line.
+fn describe(path: &Path, errors: &[InputError]) -> String {
+    errors.iter().map(|e| format!("{}: {e}", path.display())).collect::<Vec<_>>().join("\n")
 }
 
 /// Prints the table.
 ///
 /// # Errors
-/// A line a mistake in the files, or the slope that is missing.
-pub fn run(what: &Capacity) -> Result<(), String> {
-    let size = Size::parse(&text(&what.size)?).map_err(|wrong| named(&what.size, &wrong))?;
+/// Describes each error in the files on its own line, or names the missing slope.
+pub fn run(options: &Capacity) -> Result<(), String> {
+    let size = Size::parse(&read(&options.size)?).map_err(|errors| describe(&options.size, &errors))?;
     let mut slopes = Slopes::default();
-    for path in &what.slopes {
-        let more = Slopes::parse(&text(path)?).map_err(|wrong| named(path, &wrong))?;
-        slopes.merge(more).map_err(|wrong| named(path, &[wrong]))?;
+    for path in &options.slopes {
+        let parsed = Slopes::parse(&read(path)?).map_err(|errors| describe(path, &errors))?;
+        slopes.merge(parsed).map_err(|error| describe(path, &[error]))?;
     }
-    let rows = table(&size, &slopes, what.prefetch).map_err(|wrong| wrong.to_string())?;
-    print([shown(&rows), runs(&slopes)]);
-    if let Some(path) = &what.report {
-        let curves = curves(&size, &slopes).map_err(|wrong| wrong.to_string())?;
+    let rows = table(&size, &slopes, options.prefetch).map_err(|error| error.to_string())?;
+    print([markdown_table(&rows), measured_by(&slopes)]);
+    if let Some(path) = &options.report {
+        let curves = curves(&size, &slopes).map_err(|error| error.to_string())?;
         let curves: Vec<_> = curves.into_iter().map(|c| (c.name, c.points, c.bound)).collect();
         let page = report::bounds("Resources against the number of limiters", &curves)?;
         std::fs::write(path, page).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -59,8 +61,8 @@
     Ok(())
 }
 
-/// The table as Markdown, so that a page can hold it as it is.
-fn shown(rows: &[Row]) -> String {
+/// Formats the table as Markdown, so that a page can include it unchanged.
+fn markdown_table(rows: &[Row]) -> String {
     let figure = |value: Option<f64>| match value {
         None => "-".to_string(),
         Some(v) if v >= 1000.0 => format!("{v:.0}"),
@@ -69,9 +71,9 @@
     let mut out = String::from("| role | what | need | bound | | verdict | carried by | rests on |\n");
     out.push_str("| --- | --- | ---: | ---: | --- | --- | --- | --- |\n");
     for r in rows {
-        let mut rests = r.sources.join("; ");
+        let mut sources = r.sources.join("; ");
         if let Some(largest) = r.extrapolated_from {
-            rests.push_str(&format!(" **extrapolated beyond {largest}**"));
+            sources.push_str(&format!(" **extrapolated beyond {largest}**"));
         }
         out.push_str(&format!(
             "| {} | {} | {} | {} | {} | {} | {} | {} |\n",
@@ -82,15 +84,15 @@
             r.unit,
             r.verdict,
             r.basis,
-            rests
+            sources
         ));
     }
     out
 }
 
-/// The commands that gave the slopes.
-fn runs(slopes: &Slopes) -> String {
-    let all: BTreeSet<&str> = slopes.series.iter().map(|s| s.run.as_str()).collect();
-    let lines: Vec<String> = all.iter().map(|run| format!("- `{run}`\n")).collect();
+/// Lists the commands that measured the slopes.
+fn measured_by(slopes: &Slopes) -> String {
+    let commands: BTreeSet<&str> = slopes.series.iter().map(|s| s.run.as_str()).collect();
+    let lines: Vec<String> = commands.iter().map(|run| format!("- `{run}`\n")).collect();
     format!("\nMeasured by:\n{}", lines.concat())
 }
--- a/marldeal/src/command/mod.rs
+++ b/marldeal/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The sub-commands of the program, one file each.
+//! The subcommands of the program, one module each.
 
 pub mod capacity;
 pub mod demo;
--- a/marldeal/src/lib.rs
+++ b/marldeal/src/lib.rs
@@ -1,12 +1,12 @@
-//! The limiter as a library: fronts and I/O round `marldeal-engine`. It composes; what is decided, is decided in
-//! `fawnhill` and in crates without I/O.
+//! The limiter as a library: listeners, connections and other I/O around `marldeal-engine`. This crate makes no decisions
+//! of its own; `fawnhill` and other crates without I/O make them.
 //!
 //! ```
-//! // A file that switches something on is read whole, and each mistake is named.
+//! // All errors in an extension file are reported, each with its key.
 //! let path = std::env::temp_dir().join("marldeal-doc-example.toml");
 //! std::fs::write(&path, "[external_processor]\nlisten = \"127.0.0.1:0\"\nmax_conections = 4\n")?;
-//! let found = marldeal::settings::extensions::Extensions::from_file(&path).unwrap_err();
-//! assert_eq!(found[0].key, "external_processor.max_conections");
+//! let errors = marldeal::settings::extensions::Extensions::from_file(&path).unwrap_err();
+//! assert_eq!(errors[0].key, "external_processor.max_conections");
 //! # std::fs::remove_file(path)?;
 //! # Ok::<(), std::io::Error>(())
 //! ```
--- a/marldeal/src/logging.rs
+++ b/marldeal/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log on standard error: plain lines for people, or one JSON object a line for programs.
+//! Logging to standard error, as plain lines for people or as one JSON object per line for programs.
 //!
-//! What happens is told with `tracing` events. Those that a program may act on carry `event` (what happened) and further
-//! fields, whose names stay the same from version to version; the plain form shows the message alone.
+//! Log lines are `tracing` events. Events that a program may act on have an `event` field and further fields, whose names
+//! are stable between versions. The plain format shows only the message.
 
 use std::fmt;
 
@@ -10,29 +10,29 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How log lines are written.
+/// Format of the log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Format {
-    /// The limiter's name and the message.
+    /// The name of the limiter and the message.
     #[default]
     Plain,
-    /// One JSON object a line with all fields.
+    /// One JSON object per line with all fields.
     Json,
 }
 
-/// What is logged, and how.
+/// What is logged, and in which format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Options {
-    /// How lines are written.
+    /// Format of the lines.
     pub form: Format,
-    /// Also the life of each request and connection: taken, sent, ended, answered, closed, with the reason. Several lines a
-    /// request: for a hunt, not for every day.
+    /// Also logs the life cycle of each request and connection (accepted, sent, ended, answered, closed) with reasons.
+    /// This takes several lines per request and is meant for debugging, not for normal operation.
     pub requests: bool,
 }
 
-/// Name and message, as operators have always read them.
+/// Formats events as the name of the limiter and the message.
 struct Plain {
     name: String,
 }
@@ -49,9 +49,9 @@
     }
 }
 
-/// Starts the log of this process; the first call counts.
+/// Initializes logging for this process. Only the first call has an effect.
 pub fn init(name: &str, options: Options) {
-    // A log that nobody reads any more must not end the limiter: errors of writing are passed over.
+    // Write errors are ignored: the limiter must not end because nobody reads its log any more.
     let level = if options.requests { Level::DEBUG } else { Level::INFO };
     let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).log_internal_errors(false);
     let lines = lines.with_max_level(level);
--- a/marldeal/src/main.rs
+++ b/marldeal/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line. Without arguments: one limiter, as the environment configures it.
+//! The command line. Without a command, the program runs one limiter, configured by the environment.
 #![forbid(unsafe_code)]
 
 use std::path::{Path, PathBuf};
@@ -12,11 +12,11 @@
 use marldeal::settings::errors::ConfigError;
 use marldeal::settings::extensions::Extensions;
 
-/// A quota-keeping limiter. Without a command it serves, configured by ROUTER_CONFIG.
+/// A rate limiter and load balancer. Without a command it serves, configured by ROUTER_CONFIG.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// Switches on what stands in this TOML file.
+    /// Enables the extensions in this TOML file.
     #[arg(long, value_name = "FILE")]
     extensions: Option<PathBuf>,
     #[command(subcommand)]
@@ -25,76 +25,82 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reads configuration (.json) and extension files (.toml) and names each mistake.
+    /// Checks configuration files (.json) and extension files (.toml) and prints all errors.
     Check {
-        /// The files.
+        /// The files to check.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Runs nodes, discovery, two limiters and some firms' traffic on loopback, and drains a node half way.
+    /// Runs servers, discovery, two limiters and traffic of some customers on loopback, and drains a server half way.
     Demo {
-        /// How long the traffic lasts.
+        /// Duration of the traffic, in seconds.
         #[arg(long, default_value_t = 20.0, value_parser = seconds)]
         seconds: f64,
     },
-    /// Plays an incident with the real limiters in a virtual world, the same every time.
+    /// Simulates an incident with the real limiter code in virtual time; every run gives the same result.
     Rehearse(Box<Rehearse>),
-    /// Holds a size against its bounds, from measured slopes.
+    /// Compares the resources that a planned size needs with its bounds, from measured slopes.
     Capacity(Capacity),
-    /// Plays a plan with limiters as real processes on loopback and faults thrown between them.
+    /// Runs a plan with limiters as real processes on loopback and injects faults between them.
     Faults(Faults),
 }
 
 fn seconds(text: &str) -> Result<f64, String> {
     let number = text.parse::<f64>().ok().filter(|s| (1.0..=600.0).contains(s));
-    number.ok_or_else(|| "a number of seconds from 1 to 600 is expected".to_string())
+    number.ok_or_else(|| "expected a number of seconds from 1 to 600".to_string())
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let done = match arguments.command {
+    let result = match arguments.command {
         None => marldeal::run::run(arguments.extensions.as_deref()),
         Some(Command::Check { files }) => check(&files),
         Some(Command::Demo { seconds }) => marldeal::command::demo::run(seconds),
-        Some(Command::Rehearse(what)) => rehearse::run(*what),
-        Some(Command::Capacity(what)) => capacity::run(&what),
-        Some(Command::Faults(what)) => faults::run(what),
+        Some(Command::Rehearse(options)) => rehearse::run(*options),
+        Some(Command::Capacity(options)) => capacity::run(&options),
+        Some(Command::Faults(options)) => faults::run(options),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("marldeal: {why}");
+        Err(error) => {
+            eprintln!("marldeal: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
+/// Prints all errors in the files.
 fn check(files: &[PathBuf]) -> Result<(), String> {
-    let mut wrong = 0;
+    let mut count = 0;
     for file in files {
-        let found = mistakes(file);
-        for mistake in &found {
-            println!("{mistake}");
+        let errors = errors(file);
+        for error in &errors {
+            println!("{error}");
         }
-        if found.is_empty() {
+        if errors.is_empty() {
             println!("{}: good", file.display());
         }
-        wrong += found.len();
+        count += errors.len();
     }
-    match wrong {
+    match count {
         0 => Ok(()),
-        1 => Err("1 mistake".to_string()),
-        n => Err(format!("{n} mistakes")),
+        1 => Err("1 error".to_string()),
+        n => Err(format!("{n} errors")),
     }
 }
 
-fn mistakes(file: &Path) -> Vec<ConfigError> {
+/// Returns the errors in a file, whose extension gives its kind.
+fn errors(file: &Path) -> Vec<ConfigError> {
     let name = file.display().to_string();
     match file.extension().and_then(|e| e.to_str()) {
         Some("json") => Config::from_file(&name, |_| None).err().unwrap_or_default(),
         Some("toml") => Extensions::from_file(file).err().unwrap_or_default(),
         _ => {
-            vec![ConfigError::new(&name, "", "a configuration (.json) or extension file (.toml) is expected")]
+            vec![ConfigError::new(
+                &name,
+                "",
+                "expected a configuration file (.json) or an extension file (.toml)",
+            )]
         }
     }
 }
--- a/marldeal/src/settings/config.rs
+++ b/marldeal/src/settings/config.rs
@@ -1,4 +1,4 @@
-//! What the limiter is told at its start: the JSON file of `ROUTER_CONFIG`, with the single variables above it.
+//! The start configuration: the JSON file that `ROUTER_CONFIG` names, with single environment variables overriding it.
 
 use std::net::SocketAddr;
 
@@ -11,9 +11,9 @@
 use crate::settings::server_list::ServerList;
 use crate::transient;
 
-/// The configuration as the platform writes it.
+/// The configuration file as the platform writes it.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -29,7 +29,8 @@
     settings: Setup,
 }
 
-/// The platform's limits that bear on what is kept open. Memory follows from them: buffers are bounded.
+/// Resource limits that the platform sets. They bound the open connections; buffers are bounded per connection, so
+/// memory follows.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(default)]
 struct Limits {
@@ -43,128 +44,147 @@
     }
 }
 
-/// The configuration in the program's terms.
+/// The validated configuration, with defaults applied and limits computed.
 pub struct Config {
-    /// This limiter's name.
+    /// Name of this limiter.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Most client connections held.
+    /// Maximum number of open client connections.
     pub max_client_connections: usize,
-    /// Most bytes of requests' bodies held.
+    /// Maximum number of bytes of request bodies held in memory.
     pub max_body_bytes: usize,
-    /// Most connections to servers held.
+    /// Maximum number of open connections to servers.
     pub max_server_connections: usize,
-    /// Where operators call; nowhere if not told.
+    /// Address of the management listener; `None` disables it.
     pub management: Option<SocketAddr>,
-    /// Where peers' datagrams arrive.
+    /// Address on which datagrams from peers are received.
     pub peer_listen: Option<SocketAddr>,
-    /// Peers by their position, this limiter among them.
+    /// Addresses of all limiters by position, including this one.
     pub peers: Vec<SocketAddr>,
-    /// Reaches every peer.
+    /// Address that reaches every peer.
     pub peers_all: Option<SocketAddr>,
-    /// The list of servers as it was last known; may be old.
+    /// The last known server list, used until discovery answers. It may be outdated.
     pub known_servers: Option<ServerList>,
-    /// Milliseconds after which an idle connection to a server is dropped.
+    /// Idle time after which a connection to a server is closed, in milliseconds.
     pub server_idle_ms: f64,
-    /// Nothing new goes to a server for longer after the agent has been told that it drains, in milliseconds.
+    /// Longest time during which a draining server still receives new requests after the discovery agent was notified of
+    /// the drain, in milliseconds.
     pub drain_grace_ms: f64,
-    /// How long the steps of a drain and of an end last.
+    /// Durations of the drain and stop phases.
     pub timings: Timings,
-    /// Most units that one request may ask for.
+    /// Maximum number of units that one request may ask for.
     pub max_units: f64,
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The classes' names in their order.
+    /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Names of classes, plans and zones.
     pub names: Names,
 }
 
-/// Share of a server's idle time after which this side drops a connection: a request written to one that the
-/// server closes at that moment would be lost as a reset.
-const IDLE_PART: f64 = 0.5;
-/// A server's idle time where the settings name none.
-const IDLE_MS: f64 = 10_000.0;
-/// The grace for drains where the settings name none.
-const DRAIN_GRACE_MS: f64 = 1000.0;
-/// Most units of a request where the settings name none.
-const MOST_UNITS: f64 = 1000.0;
-/// Memory that a client's connection may hold at most (a head, an answer's piece) and a server's (a read buffer, a piece),
-/// and the shares of the memory for each.
-const CLIENT_MB: f64 = 0.05;
-const SERVER_MB: f64 = 0.1;
-const CLIENTS_PART: f64 = 0.25;
-const SERVERS_PART: f64 = 0.25;
-/// Share of the descriptors for servers' connections, and descriptors that neither these nor clients get: operators,
-/// discovery, peers, another process of this limiter; for a large limit a part of it, which proxies use.
-const SERVERS_DESCRIPTORS: f64 = 0.25;
-const RESERVE: usize = 34;
-const RESERVE_PART: usize = 8;
-/// Share of the memory for what is remembered of customers.
-const FIRMS_PART: f64 = 0.125;
-/// Share of the memory for requests' bodies that are held whole.
-const BODIES_PART: f64 = 0.2;
-/// Fewest connections and customers that serving makes sense with, and the program's own memory.
-const LEAST_CONNECTIONS: usize = 64;
-const LEAST_FIRMS: u32 = 1000;
-const PROGRAM_MB: f64 = 8.0;
+/// Fraction of a server's idle time after which this side closes a connection. A request written while the server
+/// closes the connection would be lost to a reset.
+const SERVER_IDLE_FRACTION: f64 = 0.5;
+/// Idle time of servers if the settings do not specify it.
+const DEFAULT_SERVER_IDLE_MS: f64 = 10_000.0;
+/// Grace period for drains if the settings do not specify it.
+const DEFAULT_DRAIN_GRACE_MS: f64 = 1000.0;
+/// Maximum units of a request if the settings do not specify it.
+const DEFAULT_MAX_UNITS: f64 = 1000.0;
+/// Maximum memory of a client connection: a request head and a chunk of a response.
+const CLIENT_CONNECTION_MB: f64 = 0.05;
+/// Maximum memory of a server connection: a read buffer and a chunk.
+const SERVER_CONNECTION_MB: f64 = 0.1;
+/// Fraction of the memory for client connections.
+const CLIENT_MEMORY_FRACTION: f64 = 0.25;
+/// Fraction of the memory for server connections.
+const SERVER_MEMORY_FRACTION: f64 = 0.25;
+/// Fraction of the descriptors for server connections.
+const SERVER_DESCRIPTOR_FRACTION: f64 = 0.25;
+/// Descriptors that neither clients nor servers get. They serve the management listener, discovery, peers and another
+/// process of this limiter during an upgrade.
+const MIN_RESERVED_DESCRIPTORS: usize = 34;
+/// With a large limit, `1 / RESERVED_DESCRIPTOR_DIVISOR` of the descriptors is reserved instead, for proxies.
+const RESERVED_DESCRIPTOR_DIVISOR: usize = 8;
+/// Fraction of the memory for the state of customers.
+const CUSTOMER_MEMORY_FRACTION: f64 = 0.125;
+/// Fraction of the memory for request bodies that are buffered in full.
+const BODY_MEMORY_FRACTION: f64 = 0.2;
+/// Minimum number of connections with which a limiter can serve.
+const MIN_CONNECTIONS: usize = 64;
+/// Minimum number of customers whose state fits.
+const MIN_CUSTOMERS: u32 = 1000;
+/// Memory of the process itself, without connections and customers.
+const PROCESS_MB: f64 = 8.0;
 
-/// Customers that so much memory has room for.
-fn firms(memory_mb: f64) -> u32 {
-    (memory_mb * FIRMS_PART * f64::from(1 << 20) / Settings::BYTES_PER_CUSTOMER as f64).clamp(0.0, 1e9) as u32
+/// Returns the number of customers whose state fits in the given memory.
+fn max_customers(memory_mb: f64) -> u32 {
+    (memory_mb * CUSTOMER_MEMORY_FRACTION * f64::from(1 << 20) / Settings::BYTES_PER_CUSTOMER as f64)
+        .clamp(0.0, 1e9) as u32
 }
 
-/// The least memory that serves: for the connections and customers, and for the program beside them.
-fn least_mb() -> f64 {
-    let connections = LEAST_CONNECTIONS as f64 * (CLIENT_MB + SERVER_MB);
-    let firms = f64::from(LEAST_FIRMS) * Settings::BYTES_PER_CUSTOMER as f64 / f64::from(1 << 20);
-    (connections + firms + PROGRAM_MB).ceil()
+/// Returns the minimum memory with which a limiter can serve: connections, customers and the process itself.
+fn min_memory_mb() -> f64 {
+    let connections = MIN_CONNECTIONS as f64 * (CLIENT_CONNECTION_MB + SERVER_CONNECTION_MB);
+    let customers = f64::from(MIN_CUSTOMERS) * Settings::BYTES_PER_CUSTOMER as f64 / f64::from(1 << 20);
+    (connections + customers + PROCESS_MB).ceil()
 }
 
-/// SIGKILL comes no sooner than the longest deadline, or this if that is less, and a while more after SIGTERM.
-const MOST_DEADLINE_MS: f64 = 3000.0;
+/// SIGKILL follows SIGTERM no earlier than the longest deadline of a class, of which this much counts at most, plus
+/// `KILL_AFTER_MS`.
+const MAX_DEADLINE_MS: f64 = 3000.0;
 const KILL_AFTER_MS: f64 = 700.0;
-/// Kept between the last answer and SIGKILL.
-const DRAIN_SPARE_MS: f64 = 300.0;
-const ANSWER_SPARE_MS: f64 = 100.0;
-/// New connections come for 0.4 s after SIGTERM: requests are taken for so long at least.
-const LEAST_DRAIN_MS: f64 = 600.0;
+/// Margin between the last answer and SIGKILL when the drain time is computed.
+const DRAIN_MARGIN_MS: f64 = 300.0;
+/// Time to write an answer before SIGKILL.
+const ANSWER_MARGIN_MS: f64 = 100.0;
+/// Minimum time after SIGTERM during which requests are accepted: new connections arrive for 0.4 s.
+const MIN_DRAIN_MS: f64 = 600.0;
 
-/// Takes requests for as long after SIGTERM as each can still be answered before SIGKILL. The module ends one at
-/// its aim where a later answer is worth nothing.
+/// Returns how long requests are accepted after SIGTERM, so that each can still be answered before SIGKILL. The module
+/// ends a request at its aim if a later answer earns nothing.
 fn drain_ms(settings: &Setup) -> f64 {
-    let deadline = |c: &wire::Class| c.deadline_ms.unwrap_or(0.0).min(MOST_DEADLINE_MS);
-    let ends = |c: &wire::Class| if c.late_worth > 0.0 { MOST_DEADLINE_MS } else { c.aim_ms };
-    let longest = settings.classes.iter().map(deadline).fold(0.0, f64::max);
-    let answered = settings.classes.iter().map(ends).fold(0.0, f64::max);
-    (longest + KILL_AFTER_MS - answered - DRAIN_SPARE_MS).max(LEAST_DRAIN_MS)
+    let deadline = |c: &wire::Class| c.deadline_ms.unwrap_or(0.0).min(MAX_DEADLINE_MS);
+    let end = |c: &wire::Class| if c.late_worth > 0.0 { MAX_DEADLINE_MS } else { c.aim_ms };
+    let longest_deadline = settings.classes.iter().map(deadline).fold(0.0, f64::max);
+    let last_answer = settings.classes.iter().map(end).fold(0.0, f64::max);
+    (longest_deadline + KILL_AFTER_MS - last_answer - DRAIN_MARGIN_MS).max(MIN_DRAIN_MS)
 }
 
-/// When SIGKILL may come after SIGTERM, less what an answer needs to be written: nothing is left to be answered then.
-fn killed_ms(settings: &Setup) -> f64 {
-    let longest = settings.classes.iter().filter_map(|c| c.deadline_ms).fold(0.0, f64::max);
-    match longest > 0.0 {
-        true => longest.min(MOST_DEADLINE_MS) + KILL_AFTER_MS - ANSWER_SPARE_MS,
+/// Returns the earliest time of SIGKILL after SIGTERM, less the time to write an answer. Every request must have been
+/// answered by then. Infinite if no class has a deadline.
+fn kill_after_ms(settings: &Setup) -> f64 {
+    let longest_deadline = settings.classes.iter().filter_map(|c| c.deadline_ms).fold(0.0, f64::max);
+    match longest_deadline > 0.0 {
+        true => longest_deadline.min(MAX_DEADLINE_MS) + KILL_AFTER_MS - ANSWER_MARGIN_MS,
         false => f64::INFINITY,
     }
 }
 
+/// Returns the value of an environment variable, `None` if it is unset or empty.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|v| !v.is_empty())
 }
 
 impl Config {
-    /// Reads the environment at a start. The error is one plain line.
+    /// Reads the configuration that `ROUTER_CONFIG` names, with the environment variables.
+    ///
+    /// # Errors
+    /// Describes the first error, in one line.
     pub fn from_environment() -> Result<Config, String> {
         Config::read(variable, |path| transient::retry_blocking(|| std::fs::read_to_string(path)))
     }
 
-    /// Reads the file again. `ROUTER_DISCOVERY` tells of the start: only the file can name another address.
+    /// Reads the configuration again while serving. Ignores `ROUTER_DISCOVERY`, which holds the value of the start: only
+    /// the file can name another address.
+    ///
+    /// # Errors
+    /// Describes the first error, in one line.
     pub fn reload() -> Result<Config, String> {
         let var = |name: &str| if name == "ROUTER_DISCOVERY" { None } else { variable(name) };
         Config::read(var, |path| std::fs::read_to_string(path))
@@ -176,10 +196,13 @@
     ) -> Result<Config, String> {
         let path = var("ROUTER_CONFIG").ok_or("ROUTER_CONFIG is not set")?;
         let text = open(&path).map_err(|e| errors::summary(&[ConfigError::new(&path, "", e.to_string())]))?;
-        Config::from_text(&path, &text, var).map_err(|mistakes| errors::summary(&mistakes))
+        Config::from_text(&path, &text, var).map_err(|errors| errors::summary(&errors))
     }
 
-    /// Reads one file, with `var` above what it says of name, addresses. All mistakes at once.
+    /// Reads one file, with the values of `var` overriding its name and addresses.
+    ///
+    /// # Errors
+    /// Returns all errors that were found.
     pub fn from_file(path: &str, var: impl Fn(&str) -> Option<String>) -> Result<Config, Vec<ConfigError>> {
         let text =
             std::fs::read_to_string(path).map_err(|e| vec![ConfigError::new(path, "", e.to_string())])?;
@@ -191,24 +214,24 @@
         text: &str,
         var: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, Vec<ConfigError>> {
-        let wrong = |key: &str, what: String| ConfigError::new(path, key, what);
-        let value = serde_json::from_str(text).map_err(|e| vec![wrong("", e.to_string())])?;
-        let file: File = errors::deserialize(path, value)?;
-        let mut found = Vec::new();
-        let mut pick = |own: Option<String>, name: &str, key: &str| {
-            let text = var(name).or(own);
+        let error = |key: &str, message: String| ConfigError::new(path, key, message);
+        let value = serde_json::from_str(text).map_err(|e| vec![error("", e.to_string())])?;
+        let file: ConfigFile = errors::deserialize(path, value)?;
+        let mut errors_found = Vec::new();
+        let mut required = |from_file: Option<String>, name: &str, key: &str| {
+            let text = var(name).or(from_file);
             if text.is_none() {
-                found.push(wrong(key, format!("missing, and {name} does not tell it either")));
+                errors_found.push(error(key, format!("missing, and {name} is not set")));
             }
             text.unwrap_or_default()
         };
-        let name = pick(file.name, "ROUTER_NAME", "name");
-        let listen = pick(file.listen, "ROUTER_LISTEN", "listen");
-        let discovery = pick(file.discovery, "ROUTER_DISCOVERY", "discovery");
+        let name = required(file.name, "ROUTER_NAME", "name");
+        let listen = required(file.listen, "ROUTER_LISTEN", "listen");
+        let discovery = required(file.discovery, "ROUTER_DISCOVERY", "discovery");
         let mut address = |text: &str, key: &str| {
             text.parse::<SocketAddr>().unwrap_or_else(|_| {
                 if !text.is_empty() {
-                    found.push(wrong(key, format!("'{text}' is not an address and port")));
+                    errors_found.push(error(key, format!("'{text}' is not an IP address with a port")));
                 }
                 SocketAddr::from(([127, 0, 0, 1], 0))
             })
@@ -221,50 +244,64 @@
         };
         let seed = match &file.seed {
             Some(hex) => u64::from_str_radix(hex, 16).unwrap_or_else(|_| {
-                found.push(wrong("seed", format!("'{hex}' is not a hex number of 64 bits")));
+                errors_found.push(error("seed", format!("'{hex}' is not a 64-bit hexadecimal number")));
                 0
             }),
             None => u64::from(std::process::id()),
         };
-        let server_idle = file.settings.bounds.idle_close_ms.unwrap_or(IDLE_MS);
-        if !server_idle.is_finite() || server_idle < 0.0 {
-            found.push(wrong("settings.Bounds.IdleCloseMs", format!("{server_idle} is not a time")));
+        let server_idle_time_ms = file.settings.bounds.idle_close_ms.unwrap_or(DEFAULT_SERVER_IDLE_MS);
+        if !server_idle_time_ms.is_finite() || server_idle_time_ms < 0.0 {
+            errors_found.push(error(
+                "settings.Bounds.IdleCloseMs",
+                format!("{server_idle_time_ms} is not a duration in milliseconds"),
+            ));
         }
-        let drain_grace_ms = file.settings.obligations.drain_grace_ms.unwrap_or(DRAIN_GRACE_MS);
+        let drain_grace_ms = file.settings.obligations.drain_grace_ms.unwrap_or(DEFAULT_DRAIN_GRACE_MS);
         if !drain_grace_ms.is_finite() || drain_grace_ms < 0.0 {
-            found.push(wrong("settings.Obligations.DrainGraceMs", format!("{drain_grace_ms} is not a time")));
+            errors_found.push(error(
+                "settings.Obligations.DrainGraceMs",
+                format!("{drain_grace_ms} is not a duration in milliseconds"),
+            ));
         }
         let timings = Timings {
             drain_ms: drain_ms(&file.settings),
-            kill_after_ms: killed_ms(&file.settings),
+            kill_after_ms: kill_after_ms(&file.settings),
             ..Timings::default()
         };
-        let max_units = file.settings.domain.units_top.unwrap_or(MOST_UNITS);
+        let max_units = file.settings.domain.units_top.unwrap_or(DEFAULT_MAX_UNITS);
         let (memory_mb, sockets) = (file.limits.memory_mb, file.limits.sockets);
-        let by_memory = |part: f64, each: f64| (memory_mb * part / each).max(0.0) as usize;
-        let for_servers = (sockets as f64 * SERVERS_DESCRIPTORS) as usize;
-        let max_server_connections = for_servers.min(by_memory(SERVERS_PART, SERVER_MB));
-        let others = RESERVE.max(sockets / RESERVE_PART) + for_servers;
-        let max_client_connections = sockets.saturating_sub(others).min(by_memory(CLIENTS_PART, CLIENT_MB));
-        if file.limits.sockets < LEAST_CONNECTIONS {
-            let what = format!("{} is too few, {LEAST_CONNECTIONS} at least are needed", file.limits.sockets);
-            found.push(wrong("limits.sockets", what));
+        let fit_in_memory = |fraction: f64, each_mb: f64| (memory_mb * fraction / each_mb).max(0.0) as usize;
+        let server_descriptors = (sockets as f64 * SERVER_DESCRIPTOR_FRACTION) as usize;
+        let max_server_connections =
+            server_descriptors.min(fit_in_memory(SERVER_MEMORY_FRACTION, SERVER_CONNECTION_MB));
+        let unavailable =
+            MIN_RESERVED_DESCRIPTORS.max(sockets / RESERVED_DESCRIPTOR_DIVISOR) + server_descriptors;
+        let max_client_connections = sockets
+            .saturating_sub(unavailable)
+            .min(fit_in_memory(CLIENT_MEMORY_FRACTION, CLIENT_CONNECTION_MB));
+        if file.limits.sockets < MIN_CONNECTIONS {
+            let message =
+                format!("{} is too few, {MIN_CONNECTIONS} are required at least", file.limits.sockets);
+            errors_found.push(error("limits.sockets", message));
         }
-        if !(memory_mb.is_finite() && memory_mb >= least_mb()) {
-            let what = format!("{memory_mb} MB is too small, {} MB at least are needed", least_mb());
-            found.push(wrong("limits.memory_mb", what));
+        if !(memory_mb.is_finite() && memory_mb >= min_memory_mb()) {
+            let message =
+                format!("{memory_mb} MB is too small, {} MB are required at least", min_memory_mb());
+            errors_found.push(error("limits.memory_mb", message));
         }
         let (mut settings, names) = match wire::settings(file.settings) {
-            Ok(both) => both,
+            Ok(converted) => converted,
             Err(e) => {
-                found.push(wrong("settings", e));
-                return Err(found);
+                errors_found.push(error("settings", e));
+                return Err(errors_found);
             }
         };
-        settings.firms = firms(memory_mb).max(LEAST_FIRMS);
-        found.extend(fawnhill::validation_errors(&settings).into_iter().map(|what| wrong("settings", what)));
-        if !found.is_empty() {
-            return Err(found);
+        settings.firms = max_customers(memory_mb).max(MIN_CUSTOMERS);
+        errors_found.extend(
+            fawnhill::validation_errors(&settings).into_iter().map(|message| error("settings", message)),
+        );
+        if !errors_found.is_empty() {
+            return Err(errors_found);
         }
         Ok(Config {
             name,
@@ -273,13 +310,13 @@
             seed,
             max_client_connections,
             max_server_connections,
-            max_body_bytes: (memory_mb * BODIES_PART * f64::from(1 << 20)) as usize,
+            max_body_bytes: (memory_mb * BODY_MEMORY_FRACTION * f64::from(1 << 20)) as usize,
             management,
             peer_listen: file.peer_listen,
             peers: file.peers,
             peers_all: file.peers_all,
             known_servers: file.known,
-            server_idle_ms: server_idle * IDLE_PART,
+            server_idle_ms: server_idle_time_ms * SERVER_IDLE_FRACTION,
             drain_grace_ms,
             timings,
             max_units,
--- a/marldeal/src/settings/errors.rs
+++ b/marldeal/src/settings/errors.rs
@@ -1,56 +1,57 @@
-//! What is wrong in a file: which file, which key, and what was expected. All of it, not only the first.
+//! Errors in settings files: which file, which key, and what was expected. All errors of a file are reported at once.
 
 use std::fmt;
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// One thing that is wrong in a file.
+/// An error in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Path of the file, as it was given.
+    /// Path of the file, as given by the caller.
     pub file: String,
-    /// The key, with dots between tables; empty for the file as a whole.
+    /// The key, with dots between tables; empty if the error concerns the file as a whole.
     pub key: String,
-    /// What is wrong with it, or what was expected.
-    pub what: String,
+    /// What is wrong, or what was expected.
+    pub message: String,
 }
 
 impl ConfigError {
-    /// A mistake at a key.
-    pub fn new(file: &str, key: &str, what: impl Into<String>) -> ConfigError {
-        ConfigError { file: file.to_string(), key: key.to_string(), what: what.into() }
+    /// Creates an error for a key.
+    pub fn new(file: &str, key: &str, message: impl Into<String>) -> ConfigError {
+        ConfigError { file: file.to_string(), key: key.to_string(), message: message.into() }
     }
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.key.as_str() {
-            "" => write!(f, "{}: {}", self.file, self.what),
-            key => write!(f, "{}: {key}: {}", self.file, self.what),
+            "" => write!(f, "{}: {}", self.file, self.message),
+            key => write!(f, "{}: {key}: {}", self.file, self.message),
         }
     }
 }
 
-/// The first mistake in one plain line, and how many there are beside it.
-pub fn summary(mistakes: &[ConfigError]) -> String {
-    let more = match mistakes.len() {
+/// Returns the first error on one line, with the number of further errors.
+pub fn summary(errors: &[ConfigError]) -> String {
+    let more = match errors.len() {
         0 | 1 => String::new(),
-        n => format!(" (and {} more; `marldeal check` shows them)", n - 1),
+        n => format!(" (and {} more; `marldeal check` lists them)", n - 1),
     };
-    let first = mistakes.first().map(ToString::to_string).unwrap_or_default();
+    let first = errors.first().map(ToString::to_string).unwrap_or_default();
     format!("{first}{more}").replace('\n', " ")
 }
 
-/// Most mistakes that one file is searched for.
-const MOST: usize = 50;
+/// Maximum number of errors reported for one file.
+const MAX_ERRORS: usize = 50;
 
-/// Reads a value whole. What does not fit is noted, taken out, and the rest is read again, so that each mistake shows.
+/// Deserializes a value and reports all errors. A part that does not fit is recorded and removed or replaced, and the
+/// value is deserialized again, so that later errors are found as well.
 pub fn deserialize<T: DeserializeOwned>(file: &str, mut value: Value) -> Result<T, Vec<ConfigError>> {
-    let mut found: Vec<ConfigError> = Vec::new();
-    while found.len() < MOST {
+    let mut errors: Vec<ConfigError> = Vec::new();
+    while errors.len() < MAX_ERRORS {
         let error = match serde_path_to_error::deserialize::<_, T>(value.clone()) {
-            Ok(read) if found.is_empty() => return Ok(read),
+            Ok(read) if errors.is_empty() => return Ok(read),
             Ok(_) => break,
             Err(error) => error,
         };
@@ -59,9 +60,9 @@
         let quoted = |lead: &str| text.strip_prefix(lead)?.split('`').next();
         if let Some(field) = quoted("missing field `") {
             let key = joined(&path, Some(field));
-            // Taken out above, for it did not fit: said already.
-            if !found.iter().any(|m| m.key == key) {
-                found.push(ConfigError::new(file, &key, "missing"));
+            // A field that was removed above because it did not fit has already been reported.
+            if !errors.iter().any(|e| e.key == key) {
+                errors.push(ConfigError::new(file, &key, "missing"));
             }
             break;
         }
@@ -72,15 +73,16 @@
                 path.push(field.clone());
             }
         }
-        found.push(ConfigError::new(file, &joined(&path, None), text));
-        let filled = unknown.is_none() && fill::<T>(&mut value, &path);
-        if !filled && !remove(&mut value, &path) {
+        errors.push(ConfigError::new(file, &joined(&path, None), text));
+        let replaced = unknown.is_none() && replace::<T>(&mut value, &path);
+        if !replaced && !remove(&mut value, &path) {
             break;
         }
     }
-    Err(found)
+    Err(errors)
 }
 
+/// Formats a path as a key such as `a.b[0].c`.
 fn joined(path: &[String], last: Option<&str>) -> String {
     let mut text = String::new();
     for part in path.iter().map(String::as_str).chain(last) {
@@ -92,26 +94,26 @@
     text
 }
 
-/// Puts something of another type where a value does not fit, so that what must be there still is; false if none of
-/// the types fits either.
-fn fill<T: DeserializeOwned>(value: &mut Value, path: &[String]) -> bool {
-    for stand_in in ["0", "\"\"", "false", "[]", "{}"] {
-        let mut tried = value.clone();
-        let Some(place) = at(&mut tried, path) else { return false };
-        *place = serde_json::from_str(stand_in).unwrap_or_default();
-        let error = serde_path_to_error::deserialize::<_, T>(tried.clone()).err();
-        let same = |e: serde_path_to_error::Error<serde_json::Error>| {
+/// Replaces the value at a path by an empty value of a type that fits, so that a required field stays present. Returns
+/// false if no type fits.
+fn replace<T: DeserializeOwned>(value: &mut Value, path: &[String]) -> bool {
+    for placeholder in ["0", "\"\"", "false", "[]", "{}"] {
+        let mut candidate = value.clone();
+        let Some(place) = at(&mut candidate, path) else { return false };
+        *place = serde_json::from_str(placeholder).unwrap_or_default();
+        let error = serde_path_to_error::deserialize::<_, T>(candidate.clone()).err();
+        let same_path = |e: serde_path_to_error::Error<serde_json::Error>| {
             e.path().iter().map(ToString::to_string).eq(path.iter().cloned())
         };
-        if !error.is_some_and(same) {
-            *value = tried;
+        if !error.is_some_and(same_path) {
+            *value = candidate;
             return true;
         }
     }
     false
 }
 
-/// What stands at a path.
+/// Returns the value at a path.
 fn at<'a>(value: &'a mut Value, path: &[String]) -> Option<&'a mut Value> {
     path.iter().try_fold(value, |at, part| match part.strip_prefix('[').and_then(|p| p.strip_suffix(']')) {
         Some(index) => index.parse::<usize>().ok().and_then(|i| at.get_mut(i)),
@@ -119,7 +121,8 @@
     })
 }
 
-/// Takes out what stands at a path; false if nothing does, or if it is an element whose place others count on.
+/// Removes the value at a path. Returns false if there is none, or if it is an array element, whose removal would shift
+/// the indices of later elements.
 fn remove(value: &mut Value, path: &[String]) -> bool {
     let Some((last, parents)) = path.split_last() else { return false };
     let table = at(value, parents).and_then(Value::as_object_mut);
@@ -149,13 +152,17 @@
     }
 
     #[test]
-    fn each_mistake_is_named_with_its_key() {
+    fn every_error_is_reported_with_its_key() {
         let text = r#"{"inner":{"number":"x","flagg":true,"flag":3},"all":[{},{"number":-1}]}"#;
         let value = serde_json::from_str(text).expect("JSON");
-        let found = deserialize::<Outer>("f.json", value).expect_err("mistakes");
-        let keys: Vec<&str> = found.iter().map(|m| m.key.as_str()).collect();
-        assert_eq!(keys, ["all[1].number", "inner.flag", "inner.flagg", "inner.number", "name"], "{found:?}");
-        assert!(found[2].what.contains("expected"), "{}", found[2]);
-        assert!(found[4].to_string().starts_with("f.json: name: missing"));
+        let errors = deserialize::<Outer>("f.json", value).expect_err("several errors");
+        let keys: Vec<&str> = errors.iter().map(|e| e.key.as_str()).collect();
+        assert_eq!(
+            keys,
+            ["all[1].number", "inner.flag", "inner.flagg", "inner.number", "name"],
+            "{errors:?}"
+        );
+        assert!(errors[2].message.contains("expected"), "{}", errors[2]);
+        assert!(errors[4].to_string().starts_with("f.json: name: missing"));
     }
 }
--- a/marldeal/src/settings/extensions.rs
+++ b/marldeal/src/settings/extensions.rs
@@ -1,4 +1,5 @@
-//! What the platform does not give, switched on by a file of its own: TOML, unknown keys refused.
+//! Extensions, which the platform's configuration does not cover. They are enabled by a TOML file of their own, in which
+//! unknown keys are errors.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,17 +12,17 @@
 use crate::logging;
 use crate::settings::errors::{self, ConfigError};
 
-/// The file as it is written.
+/// The extension file.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
-struct File {
+struct ExtensionFile {
     external_processor: Option<Processor>,
     final_answers: Option<FinalAnswers>,
     prefetch: Option<Prefetch>,
     log: logging::Options,
 }
 
-/// What is kept of final answers by idempotency key.
+/// Limits of the final answers kept by idempotency key.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct FinalAnswers {
@@ -36,7 +37,7 @@
     }
 }
 
-/// Units of quotas that are held ahead of need.
+/// Prefetching of quota units.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Prefetch {
@@ -49,11 +50,12 @@
     }
 }
 
+/// The external processor.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Processor {
     listen: Option<SocketAddr>,
-    retries: HowRetries,
+    retries: RetrySetting,
     push_final_answers: bool,
     override_message_timeout: bool,
     clear_route_cache: bool,
@@ -73,14 +75,19 @@
     defaults: Defaults,
 }
 
+/// How a retry reaches the limiter.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
-enum HowRetries {
+enum RetrySetting {
+    /// The proxy presents a retry on a new stream.
     Presented,
+    /// The proxy sends a retry on the stream of the first attempt.
     Looped,
+    /// The proxy does not retry.
     None,
 }
 
+/// Names of the headers that carry the properties of a request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Headers {
@@ -93,6 +100,7 @@
     customer: Option<String>,
 }
 
+/// Values for requests without the corresponding header.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 struct Defaults {
@@ -103,14 +111,14 @@
 
 impl Default for Headers {
     fn default() -> Headers {
-        let own = |name: &HeaderName| name.as_str().to_string();
+        let text = |name: &HeaderName| name.as_str().to_string();
         let layout = HeaderLayout::default();
         Headers {
-            correlation: own(&layout.correlation),
-            plan: own(&layout.plan),
-            time_left: own(&layout.time_left),
-            weight: own(&layout.weight),
-            key: own(&layout.key),
+            correlation: text(&layout.correlation),
+            plan: text(&layout.plan),
+            time_left: text(&layout.time_left),
+            weight: text(&layout.weight),
+            key: text(&layout.key),
             class: None,
             customer: None,
         }
@@ -122,7 +130,7 @@
         let config = ProcessorConfig::default();
         Processor {
             listen: None,
-            retries: HowRetries::Presented,
+            retries: RetrySetting::Presented,
             push_final_answers: config.push_final_answers,
             override_message_timeout: true,
             clear_route_cache: true,
@@ -144,98 +152,102 @@
     }
 }
 
-/// The external processor, as it is to serve.
+/// Validated settings of the external processor.
 #[derive(Debug, Clone)]
 pub struct ExternalProcessor {
-    /// Where proxies connect.
+    /// Address on which proxies connect.
     pub listen: SocketAddr,
-    /// What the state machine holds.
+    /// Settings of the state machine.
     pub config: ProcessorConfig,
-    /// Which header tells what.
+    /// Headers that carry the properties of a request.
     pub layout: HeaderLayout,
-    /// Connections held at most; further ones are closed at once.
+    /// Maximum number of open connections. Further connections are closed at once.
     pub max_connections: usize,
-    /// Streams open at once on one connection (RFC 9113, SETTINGS_MAX_CONCURRENT_STREAMS).
+    /// Maximum number of concurrent streams per connection (RFC 9113, SETTINGS_MAX_CONCURRENT_STREAMS).
     pub max_concurrent_streams: u32,
-    /// Longest message taken in, in bytes.
+    /// Maximum size of a received message, in bytes.
     pub max_message_bytes: usize,
-    /// A stream that has not presented a request within so many milliseconds is ended.
+    /// Time within which a new stream must present a request, in milliseconds. Otherwise the stream is ended.
     pub first_message_ms: f64,
-    /// No stream lives longer, in milliseconds.
+    /// Maximum lifetime of a stream, in milliseconds.
     pub stream_ms: f64,
-    /// A connection whose proxy answers no PING (RFC 9113, section 6.7) within this time is closed, in milliseconds.
+    /// Time within which a proxy must answer a PING (RFC 9113, section 6.7), in milliseconds. Otherwise its connection is
+    /// closed.
     pub keepalive_ms: f64,
-    /// Proxies are asked for more time while the module holds a request.
+    /// Asks proxies to extend their message timeout while the module holds a request.
     pub override_message_timeout: bool,
-    /// Proxies are told to choose their route anew.
+    /// Asks proxies to clear their route cache and select the route again.
     pub clear_route_cache: bool,
-    /// An answer with a body counts as served when its trailers or its stream's end have come.
+    /// Counts an answer with a body as served only when its trailers or the end of its stream have arrived.
     pub response_trailers: bool,
 }
 
-/// What is switched on.
+/// The enabled extensions.
 #[derive(Debug, Clone, Default)]
 pub struct Extensions {
-    /// The external processor.
+    /// The external processor, if enabled.
     pub external_processor: Option<ExternalProcessor>,
-    /// Final answers that are kept by idempotency key.
+    /// Limits of the final answers kept by idempotency key; `None` keeps none.
     pub final_answers: Option<marldeal_outcomes::Limits>,
-    /// Customers for which units of quotas are held ahead of need at most; nothing where none are.
+    /// Maximum number of customers for which quota units are prefetched; `None` disables prefetching.
     pub prefetch: Option<usize>,
-    /// What is logged, and how.
+    /// What is logged, and in which format.
     pub log: logging::Options,
 }
 
 impl Extensions {
-    /// Reads a file. All mistakes at once.
+    /// Reads and validates a file.
+    ///
+    /// # Errors
+    /// Returns all errors that were found.
     pub fn from_file(path: &Path) -> Result<Extensions, Vec<ConfigError>> {
         let name = path.display().to_string();
-        let whole = |e: String| vec![ConfigError::new(&name, "", e.trim_end())];
-        let text = std::fs::read_to_string(path).map_err(|e| whole(e.to_string()))?;
-        let table: toml::Table = text.parse().map_err(|e: toml::de::Error| whole(e.to_string()))?;
-        let value = serde_json::to_value(table).map_err(|e| whole(e.to_string()))?;
-        let file: File = errors::deserialize(&name, value)?;
-        let mut found = Vec::new();
-        let external_processor = file.external_processor.map(|p| p.checked(&name, &mut found));
-        let final_answers = file.final_answers.map(|f| f.checked(&name, &mut found));
+        let file_error = |e: String| vec![ConfigError::new(&name, "", e.trim_end())];
+        let text = std::fs::read_to_string(path).map_err(|e| file_error(e.to_string()))?;
+        let table: toml::Table = text.parse().map_err(|e: toml::de::Error| file_error(e.to_string()))?;
+        let value = serde_json::to_value(table).map_err(|e| file_error(e.to_string()))?;
+        let file: ExtensionFile = errors::deserialize(&name, value)?;
+        let mut errors_found = Vec::new();
+        let external_processor = file.external_processor.map(|p| p.validate(&name, &mut errors_found));
+        let final_answers = file.final_answers.map(|f| f.validate(&name, &mut errors_found));
         let prefetch = file.prefetch.map(|p| p.max_customers);
-        if let Some(most) = prefetch.filter(|most| !(1..=1_000_000).contains(most)) {
-            let what = format!("{most} is not between 1 and 1000000");
-            found.push(ConfigError::new(&name, "prefetch.max_customers", what));
+        if let Some(customers) = prefetch.filter(|customers| !(1..=1_000_000).contains(customers)) {
+            let message = format!("{customers} is not between 1 and 1000000");
+            errors_found.push(ConfigError::new(&name, "prefetch.max_customers", message));
         }
-        if found.is_empty() {
+        if errors_found.is_empty() {
             Ok(Extensions { external_processor, final_answers, prefetch, log: file.log })
         } else {
-            Err(found)
+            Err(errors_found)
         }
     }
 }
 
 impl FinalAnswers {
-    fn checked(self, file: &str, found: &mut Vec<ConfigError>) -> marldeal_outcomes::Limits {
-        let mut figure = |key: &str, value: f64, least: f64, most: f64| {
-            if !(least..=most).contains(&value) {
-                let what = format!("{value} is not between {least} and {most}");
-                found.push(ConfigError::new(file, &format!("final_answers.{key}"), what));
+    fn validate(self, file: &str, errors_found: &mut Vec<ConfigError>) -> marldeal_outcomes::Limits {
+        let mut check_range = |key: &str, value: f64, min: f64, max: f64| {
+            if !(min..=max).contains(&value) {
+                let message = format!("{value} is not between {min} and {max}");
+                errors_found.push(ConfigError::new(file, &format!("final_answers.{key}"), message));
             }
         };
-        figure("max_answers", self.max_answers as f64, 1.0, 1e7);
-        figure("max_mb", self.max_mb, 0.01, 4096.0);
+        check_range("max_answers", self.max_answers as f64, 1.0, 1e7);
+        check_range("max_mb", self.max_mb, 0.01, 4096.0);
         let max_bytes = (self.max_mb * f64::from(1 << 20)) as usize;
         marldeal_outcomes::Limits { max_answers: self.max_answers, max_bytes }
     }
 }
 
 impl Processor {
-    fn checked(self, file: &str, found: &mut Vec<ConfigError>) -> ExternalProcessor {
-        let mut wrong = |key: &str, what: String| {
-            found.push(ConfigError::new(file, &format!("external_processor.{key}"), what));
+    fn validate(self, file: &str, errors_found: &mut Vec<ConfigError>) -> ExternalProcessor {
+        let mut error = |key: &str, message: String| {
+            errors_found.push(ConfigError::new(file, &format!("external_processor.{key}"), message));
         };
         let listen = self.listen.unwrap_or_else(|| {
-            wrong("listen", "missing, an address and port is expected".to_string());
+            error("listen", "missing, expected an IP address with a port".to_string());
             SocketAddr::from(([127, 0, 0, 1], 0))
         });
-        let figures = [
+        let ranges = [
             ("max_connections", self.max_connections as f64, 1.0, 65_536.0),
             ("max_concurrent_streams", f64::from(self.max_concurrent_streams), 1.0, 65_536.0),
             ("max_open_requests", self.max_open_requests as f64, 1.0, 1e6),
@@ -248,32 +260,32 @@
             ("stream_ms", self.stream_ms, 100.0, 3_600_000.0),
             ("keepalive_ms", self.keepalive_ms, 100.0, 600_000.0),
         ];
-        for (key, value, least, most) in figures {
-            if !(least..=most).contains(&value) {
-                wrong(key, format!("{value} is not between {least} and {most}"));
+        for (key, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                error(key, format!("{value} is not between {min} and {max}"));
             }
         }
-        let mut name = |key: &str, text: &str| {
+        let mut header_name = |key: &str, text: &str| {
             text.to_ascii_lowercase().parse::<HeaderName>().unwrap_or_else(|_| {
-                wrong(&format!("headers.{key}"), format!("'{text}' is not a header name"));
+                error(&format!("headers.{key}"), format!("'{text}' is not a header name"));
                 HeaderName::from_static("x-unnamed")
             })
         };
         let headers = &self.headers;
         let layout = HeaderLayout {
-            correlation: name("correlation", &headers.correlation),
-            plan: name("plan", &headers.plan),
-            time_left: name("time_left", &headers.time_left),
-            weight: name("weight", &headers.weight),
-            key: name("key", &headers.key),
-            class: headers.class.as_deref().map(|text| name("class", text)),
-            customer: headers.customer.as_deref().map(|text| name("customer", text)),
+            correlation: header_name("correlation", &headers.correlation),
+            plan: header_name("plan", &headers.plan),
+            time_left: header_name("time_left", &headers.time_left),
+            weight: header_name("weight", &headers.weight),
+            key: header_name("key", &headers.key),
+            class: headers.class.as_deref().map(|text| header_name("class", text)),
+            customer: headers.customer.as_deref().map(|text| header_name("customer", text)),
             default_plan: self.defaults.plan,
             default_time_left_s: self.defaults.time_left_s,
             default_weight: self.defaults.weight,
         };
         if layout.default_time_left_s.is_some_and(|s| !(0.0..=3600.0).contains(&s)) {
-            wrong("defaults.time_left_s", "a number of seconds from 0 to 3600 is expected".to_string());
+            error("defaults.time_left_s", "expected a number of seconds from 0 to 3600".to_string());
         }
         ExternalProcessor {
             listen,
@@ -284,9 +296,9 @@
                 handover_timeout_ms: self.handover_ms,
                 unreported_attempt_ms: self.assumed_ms,
                 retry_mode: match self.retries {
-                    HowRetries::Presented => RetryMode::NewStream,
-                    HowRetries::Looped => RetryMode::SameStream,
-                    HowRetries::None => RetryMode::None,
+                    RetrySetting::Presented => RetryMode::NewStream,
+                    RetrySetting::Looped => RetryMode::SameStream,
+                    RetrySetting::None => RetryMode::None,
                 },
                 push_final_answers: self.push_final_answers,
             },
--- a/marldeal/src/settings/mod.rs
+++ b/marldeal/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What the limiter is told: configuration, extensions, the list of servers, and what is wrong in them.
+//! Settings: the configuration, extensions, the server list, and errors in them.
 
 pub mod config;
 pub mod errors;
--- a/marldeal/src/settings/server_list.rs
+++ b/marldeal/src/settings/server_list.rs
@@ -1,4 +1,4 @@
-//! The list of servers as discovery words it, and where discovery is.
+//! The server list in the format of the discovery service, and the address of that service.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use serde::Deserialize;
 use tokio::sync::Notify;
 
-/// A list of servers or of changes to it.
+/// A server list, or changes to one, as the discovery service sends it.
 #[derive(Deserialize, Clone)]
 pub struct ServerList {
-    /// Its number.
+    /// Version number of the list.
     pub version: u64,
     #[serde(default)]
     full: bool,
@@ -19,19 +19,20 @@
 }
 
 impl ServerList {
-    /// Counts as the whole list, as what a start finds does.
+    /// Marks the list as complete, as the list that is known at the start is.
     pub fn set_full(&mut self) {
         self.full = true;
     }
 }
 
-/// Most servers kept, and longest name of one: what a discovery gone wrong may cost.
+/// Maximum number of servers kept. Bounds the memory that a faulty discovery service can take.
 pub const MAX_SERVERS: usize = 10_000;
-const MOST_ID: usize = 256;
-/// Entries of one list that are spoken of in the log one by one.
-const MOST_NOTES: usize = 8;
+/// Maximum length of a server's id in bytes; the same bound for the same reason.
+const MAX_ID_LEN: usize = 256;
+/// Maximum number of invalid entries of one list that are logged one by one.
+const MAX_NOTES: usize = 8;
 
-/// One server of a list.
+/// One entry of a server list.
 #[derive(Deserialize, Clone)]
 struct Line {
     id: String,
@@ -46,41 +47,41 @@
     started_ms: f64,
 }
 
-/// A list in the module's terms, with the servers' addresses.
+/// A server list converted to the types of the decision module, with the addresses of the servers.
 pub struct ServerUpdate {
-    /// All servers, not only changes.
+    /// True if the entries are all servers, false if they are changes to the previous list.
     pub full: bool,
-    /// The servers and where they listen.
+    /// The servers and the addresses on which they listen.
     pub entries: Vec<(ServerEntry, SocketAddr)>,
 }
 
-/// A list in the module's terms, and a note on each entry that makes no sense. The module's clock counts Unix time,
-/// so that starts need no conversion.
+/// Converts a server list, and returns a log line for each invalid entry, which is skipped. The clock of the decision
+/// module counts Unix time, so start times need no conversion.
 pub fn server_update(list: ServerList, names: &Names) -> (ServerUpdate, Vec<String>) {
     let mut notes = Vec::new();
-    let mut passed_over = 0;
-    let mut pass_over = |why: String| {
-        passed_over += 1;
-        if passed_over <= MOST_NOTES {
-            notes.push(format!("discovery: an entry was passed over: {why}"));
+    let mut skipped = 0;
+    let mut skip = |reason: String| {
+        skipped += 1;
+        if skipped <= MAX_NOTES {
+            notes.push(format!("discovery: skipped an invalid entry: {reason}"));
         }
     };
     let entry = |value: serde_json::Value| {
-        // One entry that makes no sense must not cost the others.
+        // An invalid entry must not invalidate the others.
         let line: Line = match serde_json::from_value(value) {
             Ok(line) => line,
             Err(e) => {
-                pass_over(e.to_string());
+                skip(e.to_string());
                 return None;
             }
         };
-        if line.id.len() > MOST_ID {
-            pass_over(format!("its id has {} bytes, {MOST_ID} at most", line.id.len()));
+        if line.id.len() > MAX_ID_LEN {
+            skip(format!("its id has {} bytes, the maximum is {MAX_ID_LEN}", line.id.len()));
             return None;
         }
         let entry = ServerEntry {
             server: line.id.into(),
-            // A zone that the settings do not name is no limiter's own.
+            // A zone that the settings do not name is not the zone of any limiter.
             zone: names.zone(&line.zone).unwrap_or(u32::MAX),
             cell: line.cell,
             condition: match line.state.as_str() {
@@ -94,26 +95,26 @@
         Some((entry, line.addr))
     };
     let entries = list.servers.into_iter().filter_map(entry).collect();
-    if passed_over > MOST_NOTES {
-        notes.push(format!("discovery: {} more entries were passed over", passed_over - MOST_NOTES));
+    if skipped > MAX_NOTES {
+        notes.push(format!("discovery: skipped {} more invalid entries", skipped - MAX_NOTES));
     }
     (ServerUpdate { full: list.full, entries }, notes)
 }
 
-/// Where discovery is. A reload may name another place; each place is a source with a number of its own.
+/// The address of the discovery service. A reload can change it; every address is a source with its own number.
 pub struct DiscoverySource {
-    /// Where the newest source is.
+    /// Address of the current source.
     pub addr: Cell<SocketAddr>,
-    /// Its number.
+    /// Number of the current source.
     pub current: Cell<u32>,
-    /// The newest that has told a list.
+    /// Number of the newest source that has sent a list.
     pub last_received: Cell<u32>,
-    /// There is a newer source.
+    /// Notified when the source changes.
     pub changed: Notify,
 }
 
 impl DiscoverySource {
-    /// One source, that has told nothing.
+    /// Creates the first source, from which no list has been received yet.
     pub fn new(addr: SocketAddr) -> DiscoverySource {
         DiscoverySource {
             addr: Cell::new(addr),
@@ -123,13 +124,13 @@
         }
     }
 
-    /// Watches there from now on; false if that is so already.
+    /// Switches to another address. Returns false if it is the current one already.
     pub fn switch_to(&self, addr: SocketAddr) -> bool {
-        let other = self.addr.replace(addr) != addr;
-        if other {
+        let differs = self.addr.replace(addr) != addr;
+        if differs {
             self.current.set(self.current.get() + 1);
             self.changed.notify_one();
         }
-        other
+        differs
     }
 }
