--- a/marldeal/src/command/faults.rs
+++ b/marldeal/src/command/faults.rs
@@ -1,4 +1,4 @@
-//! `marldeal faults`: plans played with limiters as real processes, and faults between them.
+//! `marldeal faults`: runs plans with limiters as real processes and injects faults between them.
 
 use std::path::PathBuf;
 
@@ -14,7 +14,7 @@
 
 use super::scenarios::{bar, print, read};
 
-/// What to do with plans.
+/// Options of `marldeal faults`.
 #[derive(Args)]
 pub struct Faults {
     #[command(subcommand)]
@@ -23,40 +23,41 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a plan; exit code 1 if a rule or an invariant is broken.
-    Run(Box<Play>),
-    /// Names the plans that come with the program.
+    /// Runs a plan. The exit code is 1 if a rule or an invariant is violated.
+    Run(Box<RunOptions>),
+    /// Lists the built-in plans.
     List,
-    /// Shows a plan as a file, to be changed.
+    /// Prints a plan as a TOML file, with all keys.
     Show {
-        /// A name of `faults list` or of `rehearse list`.
+        /// A name from `faults list` or `rehearse list`.
         plan: String,
     },
-    /// Reads plans and names each mistake, also what processes cannot play.
+    /// Checks plans and prints all errors, including what cannot be run with processes.
     Check {
-        /// TOML files, or names.
+        /// TOML files, or names from `faults list` or `rehearse list`.
         #[arg(required = true)]
         plans: Vec<String>,
     },
 }
 
 #[derive(Args)]
-struct Play {
-    /// A name of `faults list` or of `rehearse list`, or a TOML file.
+struct RunOptions {
+    /// A name from `faults list` or `rehearse list`, or a TOML file.
     plan: String,
-    /// So many limiters, with as many nodes and as much load for each as the plan has.
+    /// Number of limiters. Servers and load are scaled, so that each limiter has as many servers and as much load as in the
+    /// plan.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=300))]
     limiters: Option<u32>,
-    /// One seed, or the first and the last with two dots between them.
+    /// One seed, or the first and last seed as FIRST..LAST.
     #[arg(long, default_value = "1", value_parser = seeds)]
     seeds: Seeds,
-    /// The same seeds in the virtual world beside it, as far as that can play the plan.
+    /// Also simulates the plan with the same seeds in the virtual world, if that can run it.
     #[arg(long)]
     beside: bool,
-    /// Counts a server that is idle for over 2 s while others queue as broken.
+    /// Counts a server that is idle for more than 2 s while others queue as a violation.
     #[arg(long)]
     none_idle: bool,
-    /// Writes one self-contained HTML page of the first seed, or the first that breaks something.
+    /// Writes a self-contained HTML page of the first seed with a violation, or else of the first seed.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
     /// Writes the figures of all seeds as JSON.
@@ -64,159 +65,166 @@
     json: Option<PathBuf>,
 }
 
+/// The first and the last seed.
 #[derive(Debug, Clone, Copy)]
 struct Seeds(u64, u64);
 
 fn seeds(text: &str) -> Result<Seeds, String> {
-    let number = |t: &str| t.trim().parse::<u64>().map_err(|_| format!("{t:?} is not a seed"));
+    let seed = |t: &str| t.trim().parse::<u64>().map_err(|_| format!("{t:?} is not a seed"));
     let (first, last) = match text.split_once("..") {
-        Some((a, b)) => (number(a)?, number(b)?),
-        None => (number(text)?, number(text)?),
+        Some((a, b)) => (seed(a)?, seed(b)?),
+        None => (seed(text)?, seed(text)?),
     };
     match last.checked_sub(first) {
         Some(0..=9999) => Ok(Seeds(first, last)),
-        _ => Err("the first seed and a later last one, 10,000 at most, are expected".to_string()),
+        _ => Err("expected FIRST..LAST with LAST not below FIRST, at most 10,000 seeds".to_string()),
     }
 }
 
-/// How long a server may stand idle while others queue, where that is judged.
-const IDLE_MS: f64 = 2000.0;
+/// Maximum time for which a server may be idle while others queue, with `--none-idle`.
+const MAX_IDLE_MS: f64 = 2000.0;
 
-/// Does what is asked.
+/// Runs the command.
 ///
 /// # Errors
-/// One plain line, or a line a mistake.
-pub fn run(what: Faults) -> Result<(), String> {
-    match what.command {
+/// Describes the failure in one line, or each error of a plan on its own line.
+pub fn run(options: Faults) -> Result<(), String> {
+    match options.command {
         Command::List => {
             let about = |text: &str| Scenario::read(text).map(|s| s.about).unwrap_or_default();
             print(plans::ALL.iter().map(|(name, text)| format!("{name:<24}{}\n", about(text))));
             Ok(())
         }
         Command::Show { plan } => {
-            print([plan_of(&plan)?.write()]);
+            print([load_plan(&plan)?.write()]);
             Ok(())
         }
         Command::Check { plans } => check(&plans),
-        Command::Run(play_it) => play(&play_it),
+        Command::Run(options) => run_plan(&options),
     }
 }
 
-fn plan_of(name: &str) -> Result<Scenario, String> {
+/// Returns a built-in plan, or reads one from a file.
+fn load_plan(name: &str) -> Result<Scenario, String> {
     read(name, "faults", plans::find)
 }
 
+/// Prints all errors in the plans.
 fn check(names: &[String]) -> Result<(), String> {
-    let mut wrong = 0;
+    let mut invalid = 0;
     for name in names {
-        match plan_of(name) {
+        match load_plan(name) {
             Ok(plan) => {
-                let cannot = environment::unsupported(&plan);
-                for line in &cannot {
-                    println!("{name}: {line}");
+                let errors = environment::unsupported(&plan);
+                for error in &errors {
+                    println!("{name}: {error}");
                 }
-                wrong += usize::from(!cannot.is_empty());
-                if cannot.is_empty() {
+                invalid += usize::from(!errors.is_empty());
+                if errors.is_empty() {
                     let also = if plan.not_virtual().is_empty() { ", in the virtual world too" } else { "" };
                     println!("{name}: good{also}");
                 }
             }
             Err(lines) => {
                 println!("{lines}");
-                wrong += 1;
+                invalid += 1;
             }
         }
     }
-    if wrong == 0 {
+    if invalid == 0 {
         Ok(())
     } else {
-        Err(format!("{wrong} of {} plans cannot be played", names.len()))
+        Err(format!("{invalid} of {} plans cannot be run", names.len()))
     }
 }
 
-fn play(what: &Play) -> Result<(), String> {
-    let mut plan = plan_of(&what.plan)?;
-    if let Some(limiters) = what.limiters {
+/// Runs a plan with each seed and prints the results.
+fn run_plan(options: &RunOptions) -> Result<(), String> {
+    let mut plan = load_plan(&options.plan)?;
+    if let Some(limiters) = options.limiters {
         plan = plans::sized(&plan, limiters);
-        if let Some(wrong) = plan.mistakes().first() {
-            return Err(format!("with {limiters} limiters: {wrong}"));
+        if let Some(error) = plan.mistakes().first() {
+            return Err(format!("with {limiters} limiters: {error}"));
         }
     }
     let program = Program::current()?;
-    let mut all: Vec<Run> = Vec::new();
-    let mut beside: Vec<Figures> = Vec::new();
-    println!("{}", HEAD);
-    for seed in what.seeds.0..=what.seeds.1 {
+    let mut runs: Vec<Run> = Vec::new();
+    let mut simulated: Vec<Figures> = Vec::new();
+    println!("{}", HEADER);
+    for seed in options.seeds.0..=options.seeds.1 {
         let bar = bar(plan.seconds.ceil() as u64);
         bar.set_message(format!("seed {seed}"));
-        let watched = bar.clone();
-        let mut judges: Vec<Box<dyn Invariant>> = Vec::new();
-        if what.none_idle {
-            judges.push(Box::new(NoneIdle::new(IDLE_MS)));
+        let progress_bar = bar.clone();
+        let mut invariants: Vec<Box<dyn Invariant>> = Vec::new();
+        if options.none_idle {
+            invariants.push(Box::new(NoneIdle::new(MAX_IDLE_MS)));
         }
-        let run = environment::run_scenario(&plan, seed, &program, judges, move |s| {
-            watched.set_position(s as u64)
+        let run = environment::run_scenario(&plan, seed, &program, invariants, move |s| {
+            progress_bar.set_position(s as u64)
         })?;
         bar.finish_and_clear();
-        println!("{}", row(&plan, seed, &run));
-        if what.beside && plan.not_virtual().is_empty() {
+        println!("{}", table_row(&plan, seed, &run));
+        if options.beside && plan.not_virtual().is_empty() {
             let figures = World::new(&plan, seed)?.play(|_| {}).figures;
-            println!("{}", virtual_row(&plan, &figures));
-            beside.push(figures);
+            println!("{}", simulated_row(&plan, &figures));
+            simulated.push(figures);
         }
-        all.push(run);
+        runs.push(run);
     }
-    let shown = all.iter().find(|r| r.violation_count() > 0).or(all.first());
+    let shown = runs.iter().find(|r| r.violation_count() > 0).or(runs.first());
     let Some(shown) = shown else { return Ok(()) };
-    for (title, rows) in tables(&plan, shown) {
+    for (title, rows) in detail_tables(&plan, shown) {
         println!("\n{title} (seed {})", shown.figures.seed);
         rows.iter().for_each(|(name, value)| println!("  {name:<68}{value}"));
     }
-    if let Some(path) = &what.report {
+    if let Some(path) = &options.report {
         let drawn = plan.drawn(shown.figures.seed);
-        let note = note(shown);
-        let page = report::page_with(&drawn, &shown.figures, &shown.seconds, &note, &tables(&plan, shown))?;
+        let note = lateness_note(shown);
+        let page =
+            report::page_with(&drawn, &shown.figures, &shown.seconds, &note, &detail_tables(&plan, shown))?;
         std::fs::write(path, page).map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    if let Some(path) = &what.json {
-        let of = |r: &Run| serde_json::json!({"service": r.figures, "fleet": r.fleet});
-        let text =
-            serde_json::json!({"processes": all.iter().map(of).collect::<Vec<_>>(), "virtual": beside});
+    if let Some(path) = &options.json {
+        let to_json = |r: &Run| serde_json::json!({"service": r.figures, "fleet": r.fleet});
+        let text = serde_json::json!({"processes": runs.iter().map(to_json).collect::<Vec<_>>(), "virtual": simulated});
         std::fs::write(path, text.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    let broken: Vec<u64> = all.iter().filter(|r| r.violation_count() > 0).map(|r| r.figures.seed).collect();
+    let violating_seeds: Vec<u64> =
+        runs.iter().filter(|r| r.violation_count() > 0).map(|r| r.figures.seed).collect();
     match shown.first_violation() {
         None => Ok(()),
         Some(first) => Err(format!(
-            "broken under {} of {} seeds ({broken:?}); seed {}: {first}\nagain: marldeal faults run {} --limiters {} --seeds {}",
-            broken.len(),
-            all.len(),
+            "violations with {} of {} seeds ({violating_seeds:?}); seed {}: {first}\nto repeat: marldeal faults run {} --limiters {} --seeds {}",
+            violating_seeds.len(),
+            runs.len(),
             shown.figures.seed,
-            what.plan,
+            options.plan,
             plan.limiters.count,
             shown.figures.seed
         )),
     }
 }
 
-fn note(run: &Run) -> String {
-    let late = &run.fleet.lateness;
-    let own = format!(
-        "The ground itself woke up {:.1} ms late in 99 of 100 cases, {:.0} ms at most.",
-        late.p99_ms, late.most_ms
+/// Returns the note on how late the test environment's timers were.
+fn lateness_note(run: &Run) -> String {
+    let lateness = &run.fleet.lateness;
+    let text = format!(
+        "Timers of the test environment fired {:.1} ms late at the 99th percentile, {:.0} ms at most.",
+        lateness.p99_ms, lateness.most_ms
     );
-    if late.distorts_times() {
-        format!("{own} Times below are the ground's own as much as the limiters': this machine is too small for this run.")
+    if lateness.distorts_times() {
+        format!("{text} The times below include this lateness as well as the limiters': this machine is too small for this run.")
     } else {
-        own
+        text
     }
 }
 
-const HEAD: &str = "seed        service  refused  load of a server over its part     a request          words    cpu    broken\n\
-                    \x20                    inside   largest (chance)  p99   least   attempts  handsh.  sent  ms";
+/// Header of the table of runs.
+const HEADER: &str = "seed        service  refused load of a server over its share         per request             violations\n\
+                    \x20                     inside       max (chance)   p99    min   attempts  handsh.  msgs CPU ms";
 
-/// Shares of one whole.
-fn over(part: f64, whole: f64) -> f64 {
+/// Returns `part / whole`, or 0 if `whole` is 0.
+fn ratio(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         part / whole
     } else {
@@ -224,29 +232,31 @@
     }
 }
 
-fn row(plan: &Scenario, seed: u64, run: &Run) -> String {
+/// Formats the row of a run with processes.
+fn table_row(plan: &Scenario, seed: u64, run: &Run) -> String {
     let (f, fleet) = (&run.figures, &run.fleet);
-    let asked = f.ends.asked.max(1) as f64;
+    let requests = f.ends.asked.max(1) as f64;
     let load = &fleet.load;
     format!(
         "{seed:<10}{:>9.4}{:>9.4}{:>10.2} {:>8}{:>6.2}{:>7.2}{:>11.3}{:>9.3}{:>6.2}{:>6.2}{:>8}  {}",
         f.whole,
-        over(fleet.outcomes.refused_inside, fleet.outcomes.inside),
+        ratio(fleet.outcomes.refused_inside, fleet.outcomes.inside),
         load.mean_largest[0],
         format!("({:.2})", load.mean_largest[1]),
         load.seen[1],
         load.seen[2],
-        f.attempts as f64 / asked,
-        f.connections as f64 / asked,
-        f.messages[0] as f64 / asked,
-        fleet.cpu_ms.iter().sum::<f64>() / asked,
+        f.attempts as f64 / requests,
+        f.connections as f64 / requests,
+        f.messages[0] as f64 / requests,
+        fleet.cpu_ms.iter().sum::<f64>() / requests,
         run.violation_count(),
-        if fleet.lateness.distorts_times() { "the ground was late" } else { "" },
+        if fleet.lateness.distorts_times() { "the test environment was late" } else { "" },
     ) + &format!("  {} limiters", plan.limiters.count)
 }
 
-fn virtual_row(plan: &Scenario, f: &Figures) -> String {
-    let asked = f.ends.asked.max(1) as f64;
+/// Formats the row of a simulated run.
+fn simulated_row(plan: &Scenario, f: &Figures) -> String {
+    let requests = f.ends.asked.max(1) as f64;
     format!(
         " virtual  {:>9.4}{:>9}{:>10} {:>8}{:>6}{:>7}{:>11.3}{:>9.3}{:>6.2}{:>6}{:>8}    {} limiters",
         f.whole,
@@ -255,99 +265,110 @@
         "",
         "",
         "",
-        f.attempts as f64 / asked,
-        f.connections as f64 / asked,
-        f.messages[0] as f64 / asked,
+        f.attempts as f64 / requests,
+        f.connections as f64 / requests,
+        f.messages[0] as f64 / requests,
         "",
         f.broken_count,
         plan.limiters.count
     )
 }
 
-/// What is said of a run beside its service.
-fn tables(plan: &Scenario, run: &Run) -> Vec<Extra> {
+/// Returns the tables of details of a run.
+fn detail_tables(plan: &Scenario, run: &Run) -> Vec<Extra> {
     let (f, fleet) = (&run.figures, &run.fleet);
-    let asked = f.ends.asked.max(1) as f64;
-    let sorted = |all: &[f64]| {
-        let mut all = all.to_vec();
-        all.sort_by(f64::total_cmp);
-        all
+    let requests = f.ends.asked.max(1) as f64;
+    let sorted = |values: &[f64]| {
+        let mut values = values.to_vec();
+        values.sort_by(f64::total_cmp);
+        values
     };
-    let most = |all: &[f64]| all.iter().copied().fold(0.0, f64::max);
-    let middle = |all: &[f64]| sorted(all).get(all.len() / 2).copied().unwrap_or(0.0);
-    let heard: Vec<f64> = fleet.words.received.iter().map(|n| *n as f64 / plan.seconds).collect();
+    let max = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
+    let median = |values: &[f64]| sorted(values).get(values.len() / 2).copied().unwrap_or(0.0);
+    let received_per_s: Vec<f64> = fleet.words.received.iter().map(|n| *n as f64 / plan.seconds).collect();
     let line = |name: &str, value: String| (name.to_string(), value);
     let load = &fleet.load;
-    let three = |[a, b, c]: [f64; 3]| format!("{a:.2}, {b:.2}, {c:.2}");
-    let o = &fleet.outcomes;
-    let whole = vec![
-        line("limiters, nodes, requests a second and limiter", {
-            let each = asked / plan.seconds / f64::from(plan.limiters.count);
-            format!("{}, {}, {each:.1}", plan.limiters.count, plan.nodes.count)
+    let format_three = |[a, b, c]: [f64; 3]| format!("{a:.2}, {b:.2}, {c:.2}");
+    let outcomes = &fleet.outcomes;
+    let fleet_rows = vec![
+        line("limiters, servers, requests per second and limiter", {
+            let per_limiter_s = requests / plan.seconds / f64::from(plan.limiters.count);
+            format!("{}, {}, {per_limiter_s:.1}", plan.limiters.count, plan.nodes.count)
         }),
-        line("worth refused inside the quotas", format!("{:.4}", over(o.refused_inside, o.inside))),
-        line("units sent on beyond the quotas", format!("{:.4}", over(o.units[1], o.units[0]))),
-        line("load of a server over its part in 1 s: largest, 99th, least", three(load.seen)),
-        line("the same by chance alone", three(load.by_chance)),
         line(
-            "largest in a window, mean over the windows (by chance)",
+            "worth refused within the quotas",
+            format!("{:.4}", ratio(outcomes.refused_inside, outcomes.inside)),
+        ),
+        line(
+            "units admitted beyond the quotas",
+            format!("{:.4}", ratio(outcomes.units[1], outcomes.units[0])),
+        ),
+        line("load of a server over its share in 1 s: max, 99th percentile, min", format_three(load.seen)),
+        line("the same by chance alone", format_three(load.by_chance)),
+        line(
+            "max in a window, mean over the windows (by chance)",
             format!("{:.2} ({:.2})", load.mean_largest[0], load.mean_largest[1]),
         ),
         line(
-            "attempts, connections a request",
-            format!("{:.3}, {:.3}", f.attempts as f64 / asked, f.connections as f64 / asked),
+            "attempts, connections per request",
+            format!("{:.3}, {:.3}", f.attempts as f64 / requests, f.connections as f64 / requests),
         ),
         line(
-            "words sent a request, share lost; heard a second, most by one",
+            "messages sent per request, share lost; max received per second",
             format!(
                 "{:.2}, {:.3}; {:.1}",
-                f.messages[0] as f64 / asked,
-                over(f.messages[1] as f64, f.messages[0] as f64),
-                most(&heard)
+                f.messages[0] as f64 / requests,
+                ratio(f.messages[1] as f64, f.messages[0] as f64),
+                max(&received_per_s)
             ),
         ),
         line(
-            "CPU a request, ms; of a limiter: median, most",
+            "CPU per request, ms; per limiter: median, max",
             format!(
                 "{:.2}; {:.0}, {:.0}",
-                fleet.cpu_ms.iter().sum::<f64>() / asked,
-                middle(&fleet.cpu_ms),
-                most(&fleet.cpu_ms)
+                fleet.cpu_ms.iter().sum::<f64>() / requests,
+                median(&fleet.cpu_ms),
+                max(&fleet.cpu_ms)
             ),
         ),
         line(
-            "memory of a limiter, MB: median, most",
-            format!("{:.1}, {:.1}", middle(&fleet.memory_mb), most(&fleet.memory_mb)),
+            "memory of a limiter, MB: median, max",
+            format!("{:.1}, {:.1}", median(&fleet.memory_mb), max(&fleet.memory_mb)),
         ),
-        line("most descriptors of the ground", fleet.descriptors.to_string()),
+        line("max descriptors of the test environment", fleet.descriptors.to_string()),
         line(
-            "the ground's own lateness, ms: median, 99th, most",
+            "timer lateness of the test environment, ms: median, 99th, max",
             format!(
                 "{:.1}, {:.1}, {:.1}",
                 fleet.lateness.p50_ms, fleet.lateness.p99_ms, fleet.lateness.most_ms
             ),
         ),
     ];
-    let rules = vec![
-        line("rules of the brief, and further invariants, broken", {
+    let rule_rows = vec![
+        line("violations of rules, of further invariants", {
             format!("{}, {}", f.broken_count, fleet.breach_count)
         }),
-        line("tries lost; late within 2 s; excused", format!("{}; {}; {}", o.lost, o.late, o.excused)),
-        line("limiters crashed; killed after SIGTERM", format!("{}; {}", o.crashes, o.hung)),
         line(
-            "killed holding a request that was not sent on; that was",
-            format!("{}; {}", o.killed_taken, o.killed_sent),
+            "requests lost; late within 2 s; excused",
+            format!("{}; {}; {}", outcomes.lost, outcomes.late, outcomes.excused),
+        ),
+        line("limiters crashed; killed after SIGTERM", format!("{}; {}", outcomes.crashes, outcomes.hung)),
+        line(
+            "limiters killed with a request not yet sent; already sent",
+            format!("{}; {}", outcomes.killed_taken, outcomes.killed_sent),
         ),
-        line("words too long", fleet.words.too_long.to_string()),
-        line("nodes pushed over", f.falls.to_string()),
+        line("messages too long", fleet.words.too_long.to_string()),
+        line("servers failed by overload", f.falls.to_string()),
     ];
-    let mut tables = vec![("The fleet".to_string(), whole), ("Judged from outside".to_string(), rules)];
-    let said = f.broken.iter().take(10).map(|b| (format!("{:?} at {:.3} s", b.rule, b.at_s), b.what.clone()));
+    let mut tables =
+        vec![("The fleet".to_string(), fleet_rows), ("Observed from outside".to_string(), rule_rows)];
+    let violations =
+        f.broken.iter().take(10).map(|b| (format!("{:?} at {:.3} s", b.rule, b.at_s), b.what.clone()));
     let breaches = fleet.breaches.iter().take(10).map(|b| (b.invariant.clone(), b.what.clone()));
-    let notes = fleet.notes.iter().take(10).map(|n| ("said outside the log's form".to_string(), n.clone()));
-    let broken: Vec<(String, String)> = said.chain(breaches).chain(notes).collect();
-    if !broken.is_empty() {
-        tables.push(("What was broken".to_string(), broken));
+    let notes = fleet.notes.iter().take(10).map(|n| ("not in the log format".to_string(), n.clone()));
+    let all: Vec<(String, String)> = violations.chain(breaches).chain(notes).collect();
+    if !all.is_empty() {
+        tables.push(("Violations".to_string(), all));
     }
     tables
 }
