--- a/marldeal/src/reload.rs
+++ b/marldeal/src/reload.rs
@@ -19,8 +19,8 @@
     Retry,
 }
 
-/// How long after the signal a failed reload is retried, and at which interval. The
-/// limiter is held to the list at a new discovery address from 4 s after the signal.
+/// How long after the signal a failed reload is retried, and at which interval. The limiter is expected to use
+/// a new discovery address from 4 s after the signal.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
--- a/marldeal/src/upstream/registry_backoff.rs
+++ b/marldeal/src/upstream/registry_backoff.rs
@@ -10,9 +10,10 @@
 /// A failed call shows that the registry's queue is longer than the call's time-out. Each further failure
 /// doubles the time over which the tier spreads its calls, at most this many times.
 const MAX_DOUBLINGS: i32 = 2;
-/// Longest wait. A limiter that has not called for longer is held to changes that it could have known.
+/// Longest wait. A limiter that has not called for longer is expected to know the changes that it could have
+/// fetched.
 const MAX_WAIT_MS: f64 = 20_000.0;
-/// Longest wait when the limiter will soon be held to changes that it misses, as after a watch has fallen
+/// Longest wait when the limiter is soon expected to know changes that it misses, as after a watch has fallen
 /// silent or at a new address. Also the longest usual wait in a tier small enough for the registry to answer
 /// all of it in that time.
 const MAX_URGENT_WAIT_MS: f64 = 2000.0;
@@ -42,14 +43,14 @@
         wait(self.spread_ms().min(MAX_WAIT_MS) * self.rng.f64())
     }
 
-    /// The wait when the limiter will soon be held to changes that it misses.
+    /// The wait when the limiter is soon expected to know changes that it misses.
     pub fn urgent_wait(&mut self) -> Duration {
         wait(self.spread_ms().min(MAX_URGENT_WAIT_MS) * self.rng.f64())
     }
 
-    /// The wait after a call or a watch has ended. `received` says whether it brought a list. The wait is
-    /// drawn uniformly between 0.5 and 1.5 times the base time, so that limiters that failed together do not
-    /// call again together.
+    /// The wait after a call or a watch has ended. `received` says whether it brought a list. The wait is drawn
+    /// uniformly between 0.5 and 1.5 times the base time, so that limiters that failed together do not call
+    /// again together.
     pub fn next_wait(&mut self, received: bool) -> Duration {
         self.failures = if received { 0 } else { self.failures + 1 };
         let doublings = (self.failures - 1).clamp(0, MAX_DOUBLINGS);
--- a/marldeal/src/upstream/watch_controller.rs
+++ b/marldeal/src/upstream/watch_controller.rs
@@ -1,9 +1,10 @@
 //! Decides when a watch on the list of servers is opened, given up and reopened. No I/O and no clock: the time
 //! is an argument of every call, so that tests can try any order of events.
 //!
-//! Two cases must not go wrong. The limiter is held to an agent's list from the moment the agent returns, so it
-//! must not be waiting for a call that was lost while the agent was unreachable. And a watch that has fallen
-//! silent is broken, including one on which bytes still arrive but no message is ever completed.
+//! Two cases must not go wrong. The limiter is expected to know an agent's list from the moment the agent
+//! returns, so it must not be waiting for a call that was lost while the agent was unreachable. And a watch
+//! that has fallen silent is broken, including one on which bytes still arrive but no message is ever
+//! completed.
 
 use std::collections::VecDeque;
 
@@ -14,8 +15,8 @@
 /// Identifies a call and the watch that it becomes.
 pub type CallId = u64;
 
-/// Heartbeats arrive every 2 s, so one that is a full second late has been missed. The limiter is held to
-/// changes from 6 s after the watch fell silent, which leaves 3 s to reopen it.
+/// Heartbeats arrive every 2 s, so one that is a full second late has been missed. The limiter is expected to
+/// know changes from 6 s after the watch fell silent, which leaves 3 s to reopen it.
 pub const WATCH_SILENCE_TIMEOUT_MS: Millis = 3000.0;
 /// Calls to an agent that may be pending at once. The oldest is kept, so that a slow answer is still received.
 /// Those behind it are replaced, so that there is always a recent call that a returning agent has received.
@@ -23,8 +24,8 @@
 /// The interval between calls to an agent, as a fraction of the drain grace, and its bounds in milliseconds.
 const CALL_INTERVAL_FRACTION: f64 = 0.25;
 const CALL_INTERVAL_BOUNDS_MS: (Millis, Millis) = (25.0, 250.0);
-/// How long a call may take to be answered. The limiter is held to a change 6 s after the source could be
-/// reached. A second call to a shared registry would only lengthen its queue.
+/// How long a call may take to be answered. The limiter is expected to know a change 6 s after the source could
+/// be reached. A second call to a shared registry would only lengthen its queue.
 const AGENT_ANSWER_TIMEOUT_MS: Millis = 5000.0;
 const REGISTRY_ANSWER_TIMEOUT_MS: Millis = 3000.0;
 
@@ -259,7 +260,7 @@
     }
 
     /// Guards against a registry that is reachable again but is called only after a wait that grew with its
-    /// failures. The limiter is held to a change 6 s after the registry could be reached.
+    /// failures. The limiter is expected to know a change 6 s after the registry could be reached.
     #[test]
     fn a_small_tier_reaches_a_registry_within_6_s_of_its_return() {
         for seed in 0..40 {
