--- a/crates/faults/src/datagrams.rs
+++ b/crates/faults/src/datagrams.rs
@@ -1,8 +1,9 @@
-//! The relay between limiters: one face for each, a socket whose address its peer_addrs know it by.
+//! Proxy for datagrams between limiters. Each limiter is known to its peers by a socket of the proxy.
 //!
-//! A limiter sends to a peer's face; the face tells by the sender's address which ordered pair it is, asks
-//! [`Post`](marldeal_rehearsal::post::Post) what becomes of the datagram, and the sender's own face forward it on, so that
-//! the receiver sees the address that stands in its `peer_addrs`. One socket a limiter, not one a pair.
+//! A limiter sends to a peer's proxy socket. The proxy identifies the sender by its address, asks
+//! [`Post`](marldeal_rehearsal::post::Post) what becomes of the datagram, and forwards it from the sender's
+//! proxy socket, so that the receiver sees the address that stands in its `peers`. This takes one socket for
+//! each limiter, not one for each pair.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -19,32 +20,32 @@
 use crate::processes::loopback_address;
 use crate::tasks::spawn_local;
 
-/// Longest datagram that the platform lets through.
+/// Longest datagram that the platform delivers.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// Datagrams so far.
+/// Counts of datagrams.
 #[derive(Debug, Clone, Default)]
 pub struct DatagramCounts {
-    /// By sender.
+    /// Datagrams sent, by sender.
     pub sent: Vec<u64>,
-    /// By receiver.
+    /// Datagrams received, by receiver.
     pub received: Vec<u64>,
-    /// That never arrived: lost, cut off, or beyond what the receiver may take in.
+    /// Datagrams that did not arrive: lost, cut off, or above the rate that the receiver may take in.
     pub lost: u64,
-    /// Longer than the platform lets through.
+    /// Datagrams longer than the platform delivers.
     pub too_long: u64,
     /// Bytes sent.
     pub bytes: u64,
 }
 
-/// The relay.
+/// The proxy.
 pub struct DatagramProxy {
     sockets: Vec<UdpSocket>,
     broadcast: UdpSocket,
-    /// Where each limiter really listens.
+    /// Address at which each limiter listens.
     limiter_addrs: Vec<SocketAddr>,
     index_by_addr: HashMap<SocketAddr, usize>,
-    /// What becomes of datagrams now.
+    /// Model that decides what becomes of each datagram.
     pub network: RefCell<Post>,
     rng: RefCell<Stream>,
     counts: RefCell<DatagramCounts>,
@@ -52,26 +53,28 @@
     observer: RefCell<Option<Observer>>,
 }
 
-/// Is notify_observer of each datagram: from whom, to whom, whether it was delivered to its receiver or taken from its sender, its bytes.
+/// Called for each datagram with the sender, the receiver, whether it was delivered (`true`) or sent (`false`),
+/// and its bytes.
 pub type Observer = Box<dyn Fn(usize, usize, bool, &[u8])>;
 
 impl DatagramProxy {
-    /// Faces for all limiters of a scenario, of which `limiter_addrs` says where each listens; `clock` gives the milliseconds.
+    /// Opens sockets for all limiters of a scenario. `limiter_addrs` are the addresses at which they listen,
+    /// `clock` returns the time in milliseconds.
     ///
     /// # Errors
-    /// One plain line.
+    /// Says which socket could not be opened.
     pub async fn open(
         scenario: &Scenario,
         seed: u64,
         limiter_addrs: Vec<SocketAddr>,
         clock: impl Fn() -> Millis + 'static,
     ) -> Result<Rc<DatagramProxy>, String> {
-        let no = |e: std::io::Error| format!("no face for datagrams: {e}");
+        let socket_error = |e: std::io::Error| format!("cannot open a socket for datagrams: {e}");
         let mut sockets = Vec::new();
         for n in 0..limiter_addrs.len() {
-            sockets.push(UdpSocket::bind((loopback_address(13, n), 0)).await.map_err(no)?);
+            sockets.push(UdpSocket::bind((loopback_address(13, n), 0)).await.map_err(socket_error)?);
         }
-        let broadcast = UdpSocket::bind((loopback_address(12, 0), 0)).await.map_err(no)?;
+        let broadcast = UdpSocket::bind((loopback_address(12, 0), 0)).await.map_err(socket_error)?;
         let counts = DatagramCounts {
             sent: vec![0; limiter_addrs.len()],
             received: vec![0; limiter_addrs.len()],
@@ -95,26 +98,26 @@
         Ok(proxy)
     }
 
-    /// The addresses by which limiters know one another.
+    /// Returns the addresses by which limiters know one another.
     ///
     /// # Errors
-    /// One plain line.
+    /// The address of a socket cannot be read.
     pub fn peer_addrs(&self) -> Result<Vec<SocketAddr>, String> {
         let all: Result<Vec<_>, _> = self.sockets.iter().map(UdpSocket::local_addr).collect();
-        all.map_err(|e| format!("no face for datagrams: {e}"))
+        all.map_err(|e| format!("cannot read the address of a datagram socket: {e}"))
     }
 
-    /// The address that reaches all.
+    /// Returns the address that reaches all limiters.
     ///
     /// # Errors
-    /// One plain line.
+    /// The address of the socket cannot be read.
     pub fn broadcast_addr(&self) -> Result<SocketAddr, String> {
-        self.broadcast.local_addr().map_err(|e| format!("no face for datagrams: {e}"))
+        self.broadcast.local_addr().map_err(|e| format!("cannot read the address of a datagram socket: {e}"))
     }
 
-    /// From now on this is notify_observer of all datagrams.
-    pub fn set_observer(&self, by: Observer) {
-        *self.observer.borrow_mut() = Some(by);
+    /// Sets the observer of all datagrams from now on.
+    pub fn set_observer(&self, observer: Observer) {
+        *self.observer.borrow_mut() = Some(observer);
     }
 
     fn notify_observer(&self, from: usize, to: usize, delivered: bool, body: &[u8]) {
@@ -123,19 +126,19 @@
         }
     }
 
-    /// What has gone through.
+    /// Returns the counts so far.
     pub fn counts(&self) -> DatagramCounts {
         self.counts.borrow().clone()
     }
 
-    /// Takes in what is sent to one face, or to that of all.
+    /// Receives what is sent to one limiter's proxy socket, or to the broadcast socket.
     async fn serve(self: Rc<Self>, to: Option<usize>) {
         let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
         let socket = to.map_or(&self.broadcast, |to| &self.sockets[to]);
         loop {
             match socket.recv_from(&mut buffer).await {
                 Ok((length, sender)) => {
-                    // Strangers are passed over, as a limiter does.
+                    // Datagrams from unknown senders are ignored, as a limiter ignores them.
                     let Some(from) = self.index_by_addr.get(&sender).copied() else { continue };
                     if length > MAX_DATAGRAM_BYTES {
                         self.counts.borrow_mut().too_long += 1;
@@ -148,7 +151,7 @@
                             .for_each(|to| self.forward(from, to, &buffer[..length])),
                     }
                 }
-                // A peer that is down shows up as an error of the next receive.
+                // A peer that is down shows as an error of the next receive.
                 Err(_) => tokio::time::sleep(Duration::from_millis(1)).await,
             }
         }
@@ -167,7 +170,8 @@
             spawn_local(async move {
                 tokio::time::sleep(Duration::from_secs_f64(arrival.after_ms / 1000.0)).await;
                 let takes = proxy.network.borrow_mut().takes_in((proxy.clock)(), to);
-                // Told first: its answer may be back before this goes on.
+                // The observer is notified first: the answer to a datagram may arrive before this task runs
+                // again.
                 if takes {
                     proxy.notify_observer(from, to, true, &body);
                 }
--- a/crates/faults/src/environment/clients.rs
+++ b/crates/faults/src/environment/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on loopback_address: the model says who asks when, and what a client does next.
+//! Clients on loopback: the client model says who sends a request when, and what a client does next.
 
 use bytes::Bytes;
 use hyper::{Request, Response};
@@ -47,7 +47,8 @@
                     if now < sent.deadline {
                         sent.task.abort();
                     } else {
-                        // It listens on for a while: late and never are retry_after apart.
+                        // The exchange stays open for the grace period, so that a late answer is told from a
+                        // missing one.
                         spawn_local(report_if_unanswered(environment.clone(), sent));
                     }
                 }
@@ -96,7 +97,7 @@
     }
     let body = if class.repeats == Repeats::Safe { Bytes::new() } else { Bytes::from_static(b"lot=7") };
     let Ok(request) = request.body(body) else {
-        state.failure = Some(format!("class {:?} cannot stand in a path", class.name));
+        state.failure = Some(format!("class {:?} cannot be part of a path", class.name));
         return;
     };
     let (addr, try_id, limiter) = (state.addrs[of.limiter], of.id, of.limiter);
@@ -123,7 +124,7 @@
                     }
                     Got::Nothing => {
                         state.oracle.gone(try_id);
-                        // A limiter that was never reached has taken nothing.
+                        // A limiter that could not be reached has not taken the request.
                         if result.is_err_and(|e| e == ExchangeError::ConnectionLost) {
                             spawn_local(report_lost_connection(
                                 task_environment.clone(),
@@ -135,7 +136,7 @@
                     }
                 }
             } else if matches!(outcome, Got::Answer(_)) {
-                // Its client has given up, and only listens on.
+                // The client has given up; only the exchange is still open.
                 state.outcomes.late += 1;
             }
             state.clients.got(now, try_id, outcome, &mut actions);
@@ -149,7 +150,7 @@
     );
 }
 
-/// A client whose time is over waits for the grace; what has not come then is lost.
+/// Waits for the grace period after a client's deadline; a request that is unanswered by then is lost.
 async fn report_if_unanswered(environment: Rc<Environment>, sent: SentRequest) {
     let until = environment.state.borrow().instant(sent.deadline + GRACE_MS);
     tokio::time::sleep_until(until).await;
@@ -170,7 +171,8 @@
     }
 }
 
-/// A connection has exit_status without the answer. That a process has died shows a moment later.
+/// Records a connection that ended without the answer. The exit of a process becomes visible a moment after the
+/// end of its connections, hence the delay.
 async fn report_lost_connection(environment: Rc<Environment>, limiter: usize, try_id: u64, began: f64) {
     tokio::time::sleep(Duration::from_millis(1500)).await;
     let mut state = environment.state.borrow_mut();
--- a/crates/faults/src/environment/config.rs
+++ b/crates/faults/src/environment/config.rs
@@ -1,4 +1,4 @@
-//! What limiters are told, in the platform's form.
+//! Configurations of the limiters, in the platform's form.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,19 @@
 
 use crate::processes::loopback_address;
 
-/// Where a limiter finds the others, and is found.
+/// Addresses at which a limiter reaches the others and is reached.
 pub(super) struct Addresses {
-    /// Discovery as this limiter sees it.
+    /// Discovery, as this limiter sees it.
     pub discovery: SocketAddr,
-    /// Where its datagrams arrive.
+    /// The limiter's own socket for datagrams.
     pub datagrams: SocketAddr,
-    /// Where it sends its own, by position.
+    /// The address for datagrams to each peer, by position.
     pub peers: Vec<SocketAddr>,
-    /// Where all handle_actions.
+    /// The address for datagrams to all peers.
     pub broadcast: SocketAddr,
 }
 
-/// The configuration of the limiter at a position.
+/// Returns the configuration of the limiter at a position.
 pub(super) fn config(scenario: &Scenario, seed: u64, position: u32, at: &Addresses) -> serde_json::Value {
     let s = scenario.settings(position);
     let class = |(of, c): (&ClassOf, &fawnhill::Class)| {
--- a/crates/faults/src/environment/links.rs
+++ b/crates/faults/src/environment/links.rs
@@ -1,5 +1,7 @@
-//! The links from limiters to nodes and discovery. Limiters that the same troubles befall are one group: a group has a discovery
-//! of its own, and a proxy to each node to which something is ever fault with its way.
+//! Links from limiters to servers and discovery.
+//!
+//! Limiters that the same faults affect form a group. Each group has its own discovery, and a proxy to each
+//! server whose link has a fault at any time of the run.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,18 +18,18 @@
 use crate::processes::loopback_address;
 use crate::streams::{LinkFaults, StreamFault, StreamProxy};
 
-/// A number for apply_cuts of buildings, which no trouble of the timeline has.
+/// Identifies cuts between buildings; no fault of the timeline has this index.
 const CUT_FAULT_ID: usize = usize::MAX;
 
 pub(super) struct Links {
     group_of: Vec<usize>,
-    /// A limiter of each group.
+    /// One limiter of each group.
     representative: Vec<usize>,
     discoveries: Vec<Discovery>,
     proxies: HashMap<(usize, usize), StreamProxy>,
-    /// Before the discovery of a group, where anything is ever fault with the way there.
+    /// Proxies in front of discovery, for the groups whose link to discovery has a fault at any time.
     discovery_proxies: HashMap<usize, StreamProxy>,
-    /// Lines of discovery that limiters have been told through proxies: by group, of one limiter each.
+    /// Lines of discovery that passed a proxy, with the group; such a group has one limiter.
     received: RefCell<Option<mpsc::UnboundedReceiver<(usize, String)>>>,
     buildings: u32,
 }
@@ -37,18 +39,20 @@
 }
 
 fn affects(t: &Trouble, limiter: usize) -> bool {
-    t.limiters.as_ref().is_none_or(|some| some.contains(&(limiter as u32)))
+    t.limiters.as_ref().is_none_or(|listed| listed.contains(&(limiter as u32)))
 }
 
-/// For each limiter its group.
+/// Returns the group of each limiter.
 fn limiter_groups(scenario: &Scenario) -> Vec<usize> {
     let cut = scenario.timeline.iter().any(|t| t.what == What::Cut);
     let mut known: Vec<Vec<u32>> = Vec::new();
     (0..scenario.limiters.count as usize)
         .map(|limiter| {
-            let one = scenario.timeline.iter().filter(|t| is_stream_fault(t) || t.what == What::RosterSilent);
-            let mut signature: Vec<u32> = one.map(|t| u32::from(affects(t, limiter))).collect();
-            // What it was told is seen on its proxy, which is its own.
+            let faults =
+                scenario.timeline.iter().filter(|t| is_stream_fault(t) || t.what == What::RosterSilent);
+            let mut signature: Vec<u32> = faults.map(|t| u32::from(affects(t, limiter))).collect();
+            // The lines that a limiter received are observed on its proxy, so the limiter forms a group of its
+            // own.
             let is_observed = scenario.timeline.iter().any(|t| t.on_discovery() && affects(t, limiter));
             signature.push(if is_observed { 1 + limiter as u32 } else { 0 });
             signature.push(if cut { limiter as u32 % scenario.buildings } else { 0 });
@@ -60,28 +64,28 @@
         .collect()
 }
 
-/// The pairs of group and node that need a proxy.
+/// Returns the pairs of group and server that need a proxy.
 fn proxied_links(scenario: &Scenario, group_of: &[usize]) -> Vec<(usize, usize)> {
     let cut = scenario.timeline.iter().any(|t| t.what == What::Cut);
     let mut pairs = Vec::new();
     for group in 0..group_of.iter().max().map_or(0, |s| s + 1) {
         let representative = group_of.iter().position(|s| *s == group).unwrap_or(0);
-        for node in 0..scenario.nodes.count as usize {
+        for server in 0..scenario.nodes.count as usize {
             let of = |t: &Trouble| {
                 is_stream_fault(t)
                     && !t.on_discovery()
                     && affects(t, representative)
-                    && scenario.nodes_of(t).contains(&node)
+                    && scenario.nodes_of(t).contains(&server)
             };
             if cut || scenario.timeline.iter().any(of) {
-                pairs.push((group, node));
+                pairs.push((group, server));
             }
         }
     }
     pairs
 }
 
-/// The group_count whose discovery needs a proxy.
+/// Returns the groups whose discovery needs a proxy.
 fn proxied_discoveries(scenario: &Scenario, group_of: &[usize]) -> Vec<usize> {
     let count = group_of.iter().max().map_or(0, |s| s + 1);
     let representative = |group: usize| group_of.iter().position(|s| *s == group).unwrap_or(0);
@@ -92,23 +96,24 @@
 }
 
 impl Links {
-    /// How many proxies a scenario needs, who is meant being drawn.
+    /// Returns the number of proxies that a scenario needs; its random choices of limiters and servers must
+    /// have been drawn.
     pub fn proxy_count(scenario: &Scenario) -> usize {
         let group_of = limiter_groups(scenario);
         proxied_links(scenario, &group_of).len() + proxied_discoveries(scenario, &group_of).len()
     }
 
-    pub async fn open(scenario: &Scenario, seed: u64, nodes: &[SocketAddr]) -> Result<Links, String> {
+    pub async fn open(scenario: &Scenario, seed: u64, servers: &[SocketAddr]) -> Result<Links, String> {
         let group_of = limiter_groups(scenario);
         let count = group_of.iter().max().map_or(0, |s| s + 1);
         let representative =
             (0..count).filter_map(|group| group_of.iter().position(|s| *s == group)).collect();
         let mut proxies = HashMap::new();
-        for (group, node) in proxied_links(scenario, &group_of) {
-            let number = group * nodes.len() + node;
+        for (group, server) in proxied_links(scenario, &group_of) {
+            let number = group * servers.len() + server;
             let faults = LinkFaults::new(draws::stream(seed, "gate", number as u64));
             let at = SocketAddr::from((loopback_address(15, number), 0));
-            proxies.insert((group, node), StreamProxy::open(at, nodes[node], faults).await?);
+            proxies.insert((group, server), StreamProxy::open(at, servers[server], faults).await?);
         }
         let discoveries: Vec<Discovery> = (0..count).map(|_| Discovery::shared(String::new())).collect();
         let mut discovery_proxies = HashMap::new();
@@ -155,12 +160,12 @@
         self.discovery_proxies.get(&group).map_or(self.discoveries[group].addr, |proxy| proxy.addr)
     }
 
-    /// What limiters are told is seen on a proxy.
+    /// Whether the lines that a group receives from discovery are observed on a proxy.
     pub fn is_observed(&self, group: usize) -> bool {
         self.discovery_proxies.contains_key(&group)
     }
 
-    /// The lines that are seen there; for the representative who asks.
+    /// Takes the receiver of the observed lines; `None` after the first call.
     pub fn take_received_lines(&self) -> Option<mpsc::UnboundedReceiver<(usize, String)>> {
         self.received.borrow_mut().take()
     }
@@ -169,28 +174,27 @@
         self.discoveries[group].announce(list);
     }
 
-    /// Where a group finds a node, which listens at `addr` itself.
-    pub fn addr(&self, group: usize, node: usize, addr: SocketAddr) -> SocketAddr {
-        self.proxies.get(&(group, node)).map_or(addr, |proxy| proxy.addr)
+    /// Returns the address at which a group reaches a server that listens at `addr` itself.
+    pub fn addr(&self, group: usize, server: usize, addr: SocketAddr) -> SocketAddr {
+        self.proxies.get(&(group, server)).map_or(addr, |proxy| proxy.addr)
     }
 
     fn link_faults<'a>(
         &'a self,
         t: &'a Trouble,
-        nodes: &'a [usize],
+        servers: &'a [usize],
     ) -> impl Iterator<Item = &'a Rc<LinkFaults>> + 'a {
         let affected = move |group: usize| affects(t, self.representative[group]);
-        let to_nodes = self
-            .proxies
-            .iter()
-            .filter(move |((group, node), _)| !t.on_discovery() && affected(*group) && nodes.contains(node));
+        let to_servers = self.proxies.iter().filter(move |((group, server), _)| {
+            !t.on_discovery() && affected(*group) && servers.contains(server)
+        });
         let discovery_proxies =
             self.discovery_proxies.iter().filter(move |(group, _)| t.on_discovery() && affected(**group));
-        to_nodes.map(|(_, proxy)| &proxy.faults).chain(discovery_proxies.map(|(_, proxy)| &proxy.faults))
+        to_servers.map(|(_, proxy)| &proxy.faults).chain(discovery_proxies.map(|(_, proxy)| &proxy.faults))
     }
 
-    /// Something goes fault with streams; other troubles are passed over.
-    pub fn start_fault(&self, id: usize, t: &Trouble, nodes: &[usize]) {
+    /// Starts a fault of streams; other faults are ignored.
+    pub fn start_fault(&self, id: usize, t: &Trouble, servers: &[usize]) {
         let share = t.share.unwrap_or(0.0);
         let fault = match t.what {
             What::Refuse => StreamFault::Refuse,
@@ -200,54 +204,58 @@
             What::Trickle => StreamFault::Trickle(t.per_s.unwrap_or(1.0)),
             _ => return,
         };
-        self.link_faults(t, nodes).for_each(|faults| faults.start(id, fault));
+        self.link_faults(t, servers).for_each(|faults| faults.start(id, fault));
     }
 
-    pub fn end_fault(&self, id: usize, t: &Trouble, nodes: &[usize]) {
+    pub fn end_fault(&self, id: usize, t: &Trouble, servers: &[usize]) {
         if is_stream_fault(t) {
-            self.link_faults(t, nodes).for_each(|faults| faults.end(id));
+            self.link_faults(t, servers).for_each(|faults| faults.end(id));
         }
     }
 
-    /// Buildings are cut off, or no more: streams between them sender nothing meanwhile.
+    /// Applies the present cuts between buildings: streams between cut-off buildings carry nothing meanwhile.
     pub fn apply_cuts(&self, network: &Post) {
-        for ((group, node), proxy) in &self.proxies {
+        for ((group, server), proxy) in &self.proxies {
             let limiter = self.representative[*group] as u32 % self.buildings;
             proxy.faults.end(CUT_FAULT_ID);
-            if !network.reachable(limiter, *node as u32 % self.buildings) {
+            if !network.reachable(limiter, *server as u32 % self.buildings) {
                 proxy.faults.start(CUT_FAULT_ID, StreamFault::Mute);
             }
         }
     }
 
-    /// A node's process has exit_status or started.
-    pub fn set_server_down(&self, node: usize, down: bool) {
+    /// Records that a server's process has ended or started.
+    pub fn set_server_down(&self, server: usize, down: bool) {
         for group in 0..self.group_count() {
-            if let Some(proxy) = self.proxies.get(&(group, node)) {
+            if let Some(proxy) = self.proxies.get(&(group, server)) {
                 proxy.faults.set_target_down(down);
             }
         }
     }
 
-    /// A group's limiters stand in that building, if buildings are ever cut off.
+    /// Returns the building of a group's limiters. It is meaningful only in scenarios that cut off buildings.
     pub fn building(&self, group: usize) -> u32 {
         self.representative[group] as u32 % self.buildings
     }
 }
 
 impl State {
-    /// The list as one group is told it.
+    /// Returns the server list as discovery sends it to a group.
     pub(super) fn server_list(&mut self, links: &Links, group: usize) -> String {
         self.version += 1;
-        let entry = |(n, h): (usize, &super::TestServer)| {
-            let started = h.simulation.started();
+        let entry = |(n, server): (usize, &super::TestServer)| {
+            let started = server.simulation.started();
             let started_ms = if started > 0.0 { self.start_unix_ms + started - super::BEGIN_MS } else { 0.0 };
-            let state = if h.condition == fawnhill::Condition::Serving { "active" } else { "leaving" };
-            serde_json::json!({"id": h.id, "addr": links.addr(group, n, h.addr), "zone": format!("b{}", h.zone),
+            let state = if server.condition == fawnhill::Condition::Serving { "active" } else { "leaving" };
+            serde_json::json!({"id": server.id, "addr": links.addr(group, n, server.addr), "zone": format!("b{}", server.zone),
                 "kind": "m", "cell": 0, "state": state, "weight": 1.0, "started_ms": started_ms})
         };
-        let there = self.servers.iter().enumerate().filter(|(_, h)| h.condition != fawnhill::Condition::Gone);
-        let servers: Vec<_> = there.map(entry).collect();
+        let present = self
+            .servers
+            .iter()
+            .enumerate()
+            .filter(|(_, server)| server.condition != fawnhill::Condition::Gone);
+        let servers: Vec<_> = present.map(entry).collect();
         format!("{}\n", serde_json::json!({"version": self.version, "full": true, "servers": servers}))
     }
 }
--- a/crates/faults/src/environment/mod.rs
+++ b/crates/faults/src/environment/mod.rs
@@ -1,8 +1,9 @@
-//! Clients and nodes of a scenario on loopback_address, in limiter_addrs time, round limiters that are processes of their own, with proxies
-//! between all of them.
+//! Runs a scenario on loopback in real time: clients, servers and discovery in this process, limiters as
+//! processes of their own, and proxies between all of them.
 //!
-//! Clients, nodes, network, figures and the oracle are those of the virtual world (`marldeal_rehearsal`); only what carries
-//! them is different. Nodes burn no CPU: a request is answered when the model says that its work is done.
+//! The models of clients, servers and message loss, the figures and the rules are those of the simulation
+//! (`marldeal_rehearsal`); only the transport differs. Servers use no CPU: a request is answered when the model
+//! says that its work is done.
 
 mod clients;
 mod config;
@@ -39,47 +40,48 @@
 use crate::tasks::{self, spawn_local};
 use links::Links;
 
-/// Time allowed after the last arrival for all to be answered.
+/// Time allowed for final answers after the last arrival.
 const FINAL_ANSWERS_TIMEOUT: Duration = Duration::from_secs(12);
-/// Processes that start at one time.
+/// Limiters that are started at the same time.
 const CONCURRENT_STARTS: usize = 16;
-/// How long a client whose time is over still listens for an answer: what comes then was late, what does not is lost.
+/// Time after its deadline in which a client's exchange stays open. An answer in this time is late, a later one
+/// is lost.
 const GRACE_MS: f64 = 2000.0;
-/// The ground's own lateness from which nothing that a limiter does late is held against it.
+/// Lateness of the test environment itself above which nothing late is held against a limiter.
 const MAX_OWN_LATENESS_MS: f64 = 100.0;
-/// How much later than sent an attempt may be seen: links, the node's queue of accepted connections, a busy machine.
+/// Delay allowed between the sending of an attempt and its observation: links, the server's accept queue, a
+/// busy machine.
 const OBSERVATION_SLACK_MS: f64 = 1000.0;
-/// Lines that are not in the log's form and are kept of a run.
+/// Log lines in no known form that are kept of a run.
 const MAX_NOTES: usize = 40;
-/// Most that limiter_addrs processes play: what one machine of 8 cores and 24 GiB was seen to bear.
+/// Largest scenario that a machine of 8 cores and 24 GiB runs with real processes.
 const MAX_LIMITERS: u32 = 300;
 const MAX_SERVERS: u32 = 400;
 const MAX_REQUESTS_PER_S: f64 = 4000.0;
 
-/// What of a scenario limiter_addrs processes cannot play, and why; nothing if all can.
+/// Returns what real processes cannot run of a scenario, and why; empty if they can run all of it.
 pub fn unsupported(scenario: &Scenario) -> Vec<String> {
-    let no = |t: &Trouble| {
+    let unsupported_fault = |t: &Trouble| {
         let why = match t.what {
-            What::Part => "the ground has no regions",
+            What::Part => "the test environment has no regions",
             What::Vanish => "a loopback_address address cannot fall discovery_silences without privileges",
             _ => return None,
         };
-        Some(format!("\"{}\" is played in the virtual world only: {why}", name_of(t.what)))
+        Some(format!("\"{}\" runs in the simulation only: {why}", name_of(t.what)))
     };
-    let mut found: Vec<String> = scenario.timeline.iter().filter_map(no).collect();
+    let mut found: Vec<String> = scenario.timeline.iter().filter_map(unsupported_fault).collect();
     if scenario.regions > 1 {
-        found.push("regions: the ground has one, and no far ways".to_string());
+        found.push("regions: the test environment has one region and no long-distance links".to_string());
     }
     if scenario.clients.proxied > 0.0 {
-        found.push("clients.proxied: proxies are played in the virtual world only".to_string());
+        found.push("clients.proxied: proxies run in the simulation only".to_string());
     }
     if scenario.nodes.count > MAX_SERVERS || scenario.limiters.count > MAX_LIMITERS {
-        found
-            .push(format!("at most {MAX_SERVERS} nodes and {MAX_LIMITERS} limiters are played by processes"));
+        found.push(format!("at most {MAX_SERVERS} servers and {MAX_LIMITERS} limiters run as processes"));
     }
     if scenario.requests_per_s() > MAX_REQUESTS_PER_S {
         found.push(format!(
-            "at most {MAX_REQUESTS_PER_S} requests a second are played by processes, not {:.0}",
+            "at most {MAX_REQUESTS_PER_S} requests a second are supported with processes, not {:.0}",
             scenario.requests_per_s()
         ));
     }
@@ -92,10 +94,10 @@
     addr: SocketAddr,
     zone: u32,
     condition: Condition,
-    /// Discovery has told of its last start.
+    /// Whether discovery has announced its last start.
     start_notified: bool,
     waiting: HashMap<u64, oneshot::Sender<Outcome>>,
-    /// Ends its listener and connections when its process does.
+    /// Counts the processes of this server; a change closes the listener and connections of the process before.
     generation: watch::Sender<u64>,
     changed: Rc<Notify>,
     error_share: f64,
@@ -107,22 +109,22 @@
 struct SentRequest {
     request: Try,
     deadline: f64,
-    /// When it was handed to the limiter.
+    /// When the request was handed to the limiter.
     sent_at: f64,
-    /// An attempt of it has come to a node.
+    /// Whether an attempt for it has reached a server.
     arrived: bool,
-    /// Ends its exchange, and with it the connection.
+    /// Aborts the exchange and closes its connection.
     task: AbortHandle,
 }
 
-/// A limiter's process, as the ground keeps it.
+/// A limiter as the test environment sees it.
 struct Limiter {
     process: Option<Process>,
-    /// Stopped, starved, quota_stores to end or down: since then; what it owed then is not held against it.
+    /// Present reasons why nothing is held against the limiter: stopped, starved, asked to end or down.
     hindrances: u32,
-    /// When it was last hindrances.
+    /// When the number of these reasons last changed.
     hindered_until: f64,
-    /// CPU of those of its processes that have exit_status.
+    /// CPU time of its processes that have ended.
     cpu_ms: f64,
 }
 
@@ -140,7 +142,8 @@
     addrs: Vec<SocketAddr>,
     configs: Vec<serde_json::Value>,
     sent_requests: HashMap<u64, SentRequest>,
-    /// Tries whose client has given up: limiter, deadline; until they cannot matter any more.
+    /// Limiter and deadline of requests whose client has given up; kept for as long as an attempt may still
+    /// arrive.
     abandoned: HashMap<u64, (usize, f64)>,
     quota_stores: Vec<Store>,
     usual_customers: usize,
@@ -148,12 +151,12 @@
     worth_within_quota: HashMap<u64, f64>,
     next_attempt: u64,
     version: u64,
-    /// How often discovery is discovery_silences towards a group now.
+    /// Number of present faults that silence discovery, by group.
     discovery_silences: Vec<u32>,
-    /// Version of the list that each group was announced last, and that it has received last.
+    /// Version of the server list that was last announced to each group, and that each group has last received.
     announced: Vec<u64>,
     received: Vec<u64>,
-    /// Tries whose limiter was killed before it had sent them on, as far as was seen.
+    /// Requests whose limiter was killed before any attempt for them reached a server.
     killed_before_sending: HashSet<u64>,
     arrivals: Arrivals,
     lateness: Lateness,
@@ -178,22 +181,22 @@
         BEGIN_MS + self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// A moment of the world on the process's clock.
+    /// Converts a time of the scenario to the process's clock.
     fn instant(&self, at: f64) -> tokio::time::Instant {
         (self.started + Duration::from_secs_f64(((at - BEGIN_MS) / 1000.0).clamp(0.0, 1e6))).into()
     }
 
-    /// The limiter ran all the time since then, and the ground was not late itself.
+    /// Whether the limiter ran without interruption since then, and the test environment itself was not late.
     fn is_accountable(&self, limiter: usize, since: f64) -> bool {
-        let l = &self.limiters[limiter];
-        l.hindrances == 0 && l.hindered_until < since && self.lateness.last_exceeded < since
+        let limiter = &self.limiters[limiter];
+        limiter.hindrances == 0 && limiter.hindered_until < since && self.lateness.last_exceeded < since
     }
 
     fn change_hindrances(&mut self, limiter: usize, by: i32) {
         let now = self.now();
-        let l = &mut self.limiters[limiter];
-        l.hindrances = l.hindrances.saturating_add_signed(by);
-        l.hindered_until = now;
+        let limiter = &mut self.limiters[limiter];
+        limiter.hindrances = limiter.hindrances.saturating_add_signed(by);
+        limiter.hindered_until = now;
     }
 
     fn record_violation(&mut self, rule: Rule, what: String) {
@@ -202,11 +205,11 @@
     }
 }
 
-/// Plays a scenario in limiter_addrs time with the given judges beside those that always sit; `progress` is told each second that
-/// has passed.
+/// Runs a scenario in real time, with the given invariants checked beside the standard ones. `progress` is
+/// called with each second that has passed.
 ///
 /// # Errors
-/// One plain line a mistake, or what could not be started.
+/// Returns one line for each part of the scenario that is not supported, or says what could not be started.
 pub fn run_scenario(
     scenario: &Scenario,
     seed: u64,
@@ -222,14 +225,14 @@
     ResourceNeeds::for_scenario(&scenario, Links::proxy_count(&scenario)).check()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
-    // Interrupted, the run is dropped, and with it every process that it has started.
+    // On an interrupt the run is dropped, and with it every process that it has started.
     LocalSet::new().block_on(&runtime, async {
         let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
             .map_err(|e| format!("SIGTERM: {e}"))?;
         tokio::select! {
             run = run_in_environment(&scenario, seed, program, judges, progress) => run,
             _ = tokio::signal::ctrl_c() => Err("interrupted".to_string()),
-            _ = term.recv() => Err("quota_stores to end".to_string()),
+            _ = term.recv() => Err("terminated".to_string()),
         }
     })
 }
@@ -241,7 +244,7 @@
     mut judges: Vec<Box<dyn Invariant>>,
     mut progress: impl FnMut(f64) + 'static,
 ) -> Result<Run, String> {
-    // What an earlier run of this thread has left.
+    // Discards the panic of an earlier run on this thread.
     drop(tasks::take_panic());
     judges.push(Box::new(NothingAfterDeadline { slack_ms: OBSERVATION_SLACK_MS }));
     judges.push(Box::new(OneWordAnAsk::default()));
@@ -250,7 +253,7 @@
     let started = Instant::now();
     let count = scenario.limiters.count as usize;
     let (servers, listeners) = servers::open(scenario, seed).await?;
-    let targets: Vec<SocketAddr> = servers.iter().map(|h| h.addr).collect();
+    let targets: Vec<SocketAddr> = servers.iter().map(|server| server.addr).collect();
     let links = Links::open(scenario, seed, &targets).await?;
     let limiter_addrs = processes::datagram_addresses(count)?;
     let clock = move || BEGIN_MS + started.elapsed().as_secs_f64() * 1000.0;
@@ -265,7 +268,7 @@
         outcomes: Outcomes::default(),
         arrivals: Arrivals::new(
             scenario,
-            &servers.iter().map(|h| h.simulation.model().speed).collect::<Vec<_>>(),
+            &servers.iter().map(|server| server.simulation.model().speed).collect::<Vec<_>>(),
         ),
         lateness: Lateness::new(MAX_OWN_LATENESS_MS),
         descriptors: 0,
@@ -310,9 +313,10 @@
         program: program.clone(),
         files,
     });
-    let is_observed = Rc::downgrade(&environment);
+    let weak_environment = Rc::downgrade(&environment);
     environment.datagrams.set_observer(Box::new(move |from, to, given, body| {
-        let (Some(environment), Some(lines)) = (is_observed.upgrade(), fawnhill::line_kinds(body)) else {
+        let (Some(environment), Some(lines)) = (weak_environment.upgrade(), fawnhill::line_kinds(body))
+        else {
             return;
         };
         let mut state = environment.state.borrow_mut();
@@ -326,8 +330,8 @@
         state.started = Instant::now();
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         state.start_unix_ms = unix.as_secs_f64() * 1000.0;
-        for l in &mut state.limiters {
-            l.hindered_until = 0.0;
+        for limiter in &mut state.limiters {
+            limiter.hindered_until = 0.0;
         }
         state.started
     };
@@ -339,14 +343,14 @@
         spawn_local(timeline::run_fault(environment.clone(), index));
     }
     spawn_local(measure_own_lateness(environment.clone()));
-    let asking = spawn_local(clients::run_clients(environment.clone()));
+    let client_task = spawn_local(clients::run_clients(environment.clone()));
     let last = Duration::from_secs_f64(scenario.seconds);
     for second in 1u32.. {
         tokio::time::sleep_until((started + Duration::from_secs(u64::from(second))).into()).await;
         end_second(&environment);
         progress(f64::from(second));
-        if let Some(said) = tasks::take_panic() {
-            return Err(format!("the ground take_panic: {said}"));
+        if let Some(message) = tasks::take_panic() {
+            return Err(format!("the test environment panicked: {message}"));
         }
         if let Some(failure) = environment.state.borrow_mut().failure.take() {
             return Err(failure);
@@ -356,7 +360,7 @@
             break;
         }
     }
-    asking.abort();
+    client_task.abort();
     Ok(collect_result(&environment, seed))
 }
 
@@ -365,23 +369,23 @@
     let state = &mut *guard;
     let scenario = state.scenario.clone();
     let mut recorder = std::mem::replace(&mut state.recorder, Recorder::new(&scenario, BEGIN_MS));
-    recorder.done_ms = state.servers.iter().map(|h| h.simulation.done_ms()).sum();
+    recorder.done_ms = state.servers.iter().map(|server| server.simulation.done_ms()).sum();
     state.outcomes.killed_taken = state.killed_before_sending.len() as u64;
-    let words = environment.datagrams.counts();
-    let lost = words.lost;
-    recorder.messages = [words.sent.iter().sum(), lost];
-    recorder.message_bytes = words.bytes;
+    let counts = environment.datagrams.counts();
+    let lost = counts.lost;
+    recorder.messages = [counts.sent.iter().sum(), lost];
+    recorder.message_bytes = counts.bytes;
     let mut cpu_ms = Vec::new();
     let mut memory_mb = Vec::new();
-    for l in &mut state.limiters {
-        let now = l.process.as_ref().and_then(|p| crate::figures::usage(p.pid));
-        cpu_ms.push(l.cpu_ms + now.map_or(0.0, |u| u.cpu_ms));
+    for limiter in &mut state.limiters {
+        let now = limiter.process.as_ref().and_then(|p| crate::figures::usage(p.pid));
+        cpu_ms.push(limiter.cpu_ms + now.map_or(0.0, |u| u.cpu_ms));
         memory_mb.extend(now.map(|u| u.memory_mb));
     }
     let (figures, seconds) = recorder.finish(seed, state.oracle.broken(), state.oracle.count(), 0);
     let fleet = Fleet {
         outcomes: state.outcomes.clone(),
-        words,
+        words: counts,
         cpu_ms,
         memory_mb,
         descriptors: state.descriptors,
@@ -394,11 +398,11 @@
     Run { figures, seconds, fleet }
 }
 
-/// Starts all limiters, some at a time, and waits until each is wait_until_ready.
+/// Starts all limiters, several at a time, and waits until each is ready.
 async fn start_all(environment: &Rc<Environment>) -> Result<(), String> {
     let count = environment.state.borrow().configs.len();
     for from in (0..count).step_by(CONCURRENT_STARTS) {
-        let some: Vec<_> = (from..(from + CONCURRENT_STARTS).min(count))
+        let starts: Vec<_> = (from..(from + CONCURRENT_STARTS).min(count))
             .map(|n| {
                 let environment = environment.clone();
                 let config = environment.state.borrow().configs[n].clone();
@@ -407,12 +411,13 @@
                 )
             })
             .collect();
-        for starting in some {
-            let process = starting.await.map_err(|e| e.to_string())?.ok_or("a start panicked")??;
+        for start in starts {
+            let process =
+                start.await.map_err(|e| e.to_string())?.ok_or("the start of a limiter panicked")??;
             let position = environment.state.borrow().limiters.len();
             let mut state = environment.state.borrow_mut();
             state.addrs.push(process.addr);
-            // A limiter that starts again does so at its address.
+            // A restarted limiter listens at the same address.
             state.configs[position]["listen"] = process.addr.to_string().into();
             state.limiters.push(Limiter { process: None, hindrances: 0, hindered_until: 0.0, cpu_ms: 0.0 });
             drop(state);
@@ -426,7 +431,7 @@
     Ok(())
 }
 
-/// A limiter runs from now on; its log is read.
+/// Records the limiter's new process and reads its log.
 fn attach_process(environment: &Rc<Environment>, limiter: usize, mut process: Process) {
     if let Some(mut lines) = process.lines.take() {
         let environment = environment.clone();
@@ -439,7 +444,7 @@
     environment.state.borrow_mut().limiters[limiter].process = Some(process);
 }
 
-/// A limiter tells something in its log.
+/// Handles one line of a limiter's log.
 fn handle_log_line(environment: &Rc<Environment>, limiter: usize, line: LogLine) {
     let mut guard = environment.state.borrow_mut();
     let state = &mut *guard;
@@ -474,11 +479,11 @@
     }
 }
 
-/// How late this process itself wakes up: what it sees late is not held against limiters.
+/// Measures status late this process wakes up; what it sees late is not held against limiters.
 async fn measure_own_lateness(environment: Rc<Environment>) {
-    const EVERY: Duration = Duration::from_millis(20);
+    const INTERVAL: Duration = Duration::from_millis(20);
     loop {
-        let due = tokio::time::Instant::now() + EVERY;
+        let due = tokio::time::Instant::now() + INTERVAL;
         tokio::time::sleep_until(due).await;
         let late_ms = due.elapsed().as_secs_f64() * 1000.0;
         let mut state = environment.state.borrow_mut();
@@ -492,13 +497,18 @@
     let state = &mut *guard;
     let now = state.now();
     let (mut busy, mut held) = (Vec::new(), Vec::new());
-    for (n, h) in state.servers.iter_mut().enumerate() {
-        let done = h.simulation.done_ms();
-        busy.push(((done - h.last_busy_ms) / (h.simulation.model().capacity() * 1000.0)) as f32);
-        held.push(h.simulation.held() as f32);
-        h.last_busy_ms = done;
-        let fit = h.condition == Condition::Serving && h.simulation.share(now) >= 1.0;
-        let seen = Seen::Load { node: n, fit, held: h.simulation.held(), slots: h.simulation.model().slots };
+    for (n, server) in state.servers.iter_mut().enumerate() {
+        let done = server.simulation.done_ms();
+        busy.push(((done - server.last_busy_ms) / (server.simulation.model().capacity() * 1000.0)) as f32);
+        held.push(server.simulation.held() as f32);
+        server.last_busy_ms = done;
+        let fit = server.condition == Condition::Serving && server.simulation.share(now) >= 1.0;
+        let seen = Seen::Load {
+            node: n,
+            fit,
+            held: server.simulation.held(),
+            slots: server.simulation.model().slots,
+        };
         state.judges.see(now, &seen);
         state.arrivals.end_second(n, fit);
     }
@@ -507,15 +517,18 @@
     state.oracle.sweep(now);
     state.abandoned.retain(|_, (_, deadline)| now - *deadline < 60_000.0);
     for n in 0..state.limiters.len() {
-        let l = &mut state.limiters[n];
-        // One that is hindrances is exit_status and started by its trouble.
-        let exit_status =
-            if l.hindrances == 0 { l.process.as_mut().and_then(Process::exit_status) } else { None };
-        if let Some(how) = exit_status {
-            l.process = None;
+        let limiter = &mut state.limiters[n];
+        // A hindered limiter is ended and started again by the fault that affects it.
+        let exit_status = if limiter.hindrances == 0 {
+            limiter.process.as_mut().and_then(Process::exit_status)
+        } else {
+            None
+        };
+        if let Some(status) = exit_status {
+            limiter.process = None;
             state.outcomes.crashes += 1;
             state.judges.see(now, &Seen::Died { limiter: n });
-            let what = format!("limiter {n} exit_status by itself: {how}");
+            let what = format!("limiter {n} ended by itself: {status}");
             state.record_violation(Rule::Answer, what);
         }
     }
--- a/crates/faults/src/environment/servers.rs
+++ b/crates/faults/src/environment/servers.rs
@@ -1,4 +1,5 @@
-//! Nodes on loopback_address: the model says when a request is done, sockets say so to the limiter.
+//! Servers on loopback: the server model says when a request is done, the sockets carry the answer to the
+//! limiter.
 
 use std::cell::Cell;
 
@@ -12,10 +13,10 @@
 
 use super::*;
 
-/// Work that a node spends on a repeat that it drops.
+/// Work that a server spends on a repeated request that it drops.
 const REPEAT_MS: f64 = 1.0;
 
-/// All nodes of a scenario, with their listeners.
+/// Opens the listeners of all servers of a scenario.
 pub(super) async fn open(
     scenario: &Scenario,
     seed: u64,
@@ -24,7 +25,7 @@
     for index in 0..scenario.nodes.count {
         let mut rng = draws::stream(seed, "node", u64::from(index));
         let speed = draws::between(&mut rng, scenario.nodes.speed);
-        let port_error = |e: std::io::Error| format!("no port for a node: {e}");
+        let port_error = |e: std::io::Error| format!("cannot open a port for a server: {e}");
         let listener =
             TcpListener::bind((loopback_address(10, index as usize), 0)).await.map_err(port_error)?;
         let addr = listener.local_addr().map_err(port_error)?;
@@ -52,7 +53,7 @@
     let mut generation = environment.state.borrow().servers[index].generation.subscribe();
     loop {
         tokio::select! {
-            // The listener closes with the process.
+            // The listener closes when the process ends.
             _ = generation.changed() => return,
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
@@ -88,7 +89,7 @@
     state.servers[index].simulation.disconnect(now, 1);
 }
 
-/// A request that a node holds; dropped when its connection ends.
+/// A request that a server holds; dropping it when its connection ends cancels its work.
 struct HeldRequest {
     environment: Rc<Environment>,
     index: usize,
@@ -110,8 +111,8 @@
         let now = state.now();
         let server = &mut state.servers[self.index];
         if server.waiting.remove(&self.key).is_some() {
-            let how = server.simulation.call_off(now, self.key);
-            if how != CalledOff::RunsOn {
+            let cancellation = server.simulation.call_off(now, self.key);
+            if cancellation != CalledOff::RunsOn {
                 state.oracle.leaves(now, self.job, self.repeat, false);
             }
             state.oracle.ended(self.try_id, self.sent, Outcome::Cancelled);
@@ -133,7 +134,8 @@
         let mut guard = environment.state.borrow_mut();
         let state = &mut *guard;
         let now = state.now();
-        // A client that has left is not known any more: the node works for it all the same, as any would.
+        // A request whose client has left is no longer known here; the server works on it all the same, as any
+        // server would.
         let known = state
             .sent_requests
             .get(&try_id)
@@ -145,11 +147,11 @@
             sent.arrived = true;
         }
         state.killed_before_sending.remove(&try_id);
-        // Also for a client that has given up: nothing is to arrive any more.
+        // Attempts for a client that has given up are judged too: none may arrive any more.
         let sent = state.sent_requests.get(&try_id).map(|s| (s.request.limiter, s.deadline));
         if let Some((limiter, deadline)) = sent.or(state.abandoned.get(&try_id).copied()) {
             let stopped = !state.is_accountable(limiter, deadline - 60_000.0);
-            // What the ground itself brings late is not the limiter's.
+            // An attempt that the test environment itself delayed is not held against the limiter.
             if state.lateness.last_exceeded < deadline {
                 state.judges.see(now, &Seen::Arrived { node: index, try_id, limiter, deadline, stopped });
             }
@@ -167,8 +169,8 @@
         state.next_attempt += 1;
         let key = state.next_attempt;
         let server = &mut state.servers[index];
-        let job_of = Job { key, work: if repeat { REPEAT_MS } else { work }, told: server.start_notified };
-        match server.simulation.arrive(now, job_of, fresh) {
+        let work_item = Job { key, work: if repeat { REPEAT_MS } else { work }, told: server.start_notified };
+        match server.simulation.arrive(now, work_item, fresh) {
             Ok(()) => {
                 let (done, outcome) = oneshot::channel();
                 server.waiting.insert(key, done);
@@ -185,11 +187,11 @@
                 };
                 (held, outcome)
             }
-            Err(turned) => {
+            Err(rejection) => {
                 state.oracle.leaves(now, job, repeat, false);
-                let outcome = if turned == Turned::Full { Outcome::Full } else { Outcome::Severed };
+                let outcome = if rejection == Turned::Full { Outcome::Full } else { Outcome::Severed };
                 state.oracle.ended(try_id, now, outcome);
-                if turned == Turned::Fell {
+                if rejection == Turned::Fell {
                     let share = state.servers[index].simulation.fall().map_or(0.0, |f| f.told_share);
                     state.oracle.fell(now, index, share);
                     state.recorder.falls += 1;
@@ -224,7 +226,7 @@
     answer.map_err(std::io::Error::other)
 }
 
-/// Ends requests when the model says that they are done.
+/// Completes requests when the server model says that their work is done.
 pub(super) async fn complete_requests(environment: Rc<Environment>, index: usize) {
     let changed = environment.state.borrow().servers[index].changed.clone();
     loop {
@@ -260,7 +262,7 @@
     }
 }
 
-/// A node's process ends: its listener and its connections with it.
+/// Ends a server's process, and with it its listener and connections.
 pub(super) fn end_process(environment: &Rc<Environment>, state: &mut State, index: usize) {
     environment.links.set_server_down(index, true);
     let now = state.now();
@@ -287,7 +289,7 @@
     });
 }
 
-/// Tells the server_list as it set_stopped to all limiters that can handle_actions it.
+/// Sends the present server list to all groups that discovery reaches.
 pub(super) fn announce(environment: &Rc<Environment>) {
     let mut guard = environment.state.borrow_mut();
     let state = &mut *guard;
@@ -315,7 +317,7 @@
     state.mark_starts_notified();
 }
 
-/// What limiters are told through proxies counts from when they have been told it.
+/// Records what limiters behind a proxy have been notified of, as of when the proxy has passed it on.
 pub(super) async fn record_received_lists(environment: Rc<Environment>) {
     let Some(mut received) = environment.links.take_received_lines() else { return };
     while let Some((group, line)) = received.recv().await {
@@ -326,7 +328,7 @@
         let mut guard = environment.state.borrow_mut();
         let state = &mut *guard;
         let now = state.now();
-        // A new watch is told the list again.
+        // A new watch receives the list again.
         state.received[group] = state.received[group].max(version);
         for index in 0..state.servers.len() {
             let id = state.servers[index].id.as_str();
@@ -340,7 +342,8 @@
 }
 
 impl State {
-    /// A start that one group has not received of is nobody's fault there.
+    /// Marks starts as announced once every group has received the newest list; a limiter that has not received
+    /// a start cannot protect the server.
     fn mark_starts_notified(&mut self) {
         let notified = |s: usize| self.discovery_silences[s] == 0 && self.received[s] >= self.announced[s];
         let all = (0..self.discovery_silences.len()).all(notified);
@@ -350,14 +353,14 @@
     }
 }
 
-/// A node's process starts again at its address.
+/// Starts a server's process again at its address.
 pub(super) async fn restart_process(environment: &Rc<Environment>, index: usize) {
     let addr = environment.state.borrow().servers[index].addr;
     let listener = match TcpListener::bind(addr).await {
         Ok(listener) => listener,
         Err(e) => {
             environment.state.borrow_mut().failure =
-                Some(format!("a node does not start again at {addr}: {e}"));
+                Some(format!("a server cannot listen at {addr} again: {e}"));
             return;
         }
     };
--- a/crates/faults/src/environment/timeline.rs
+++ b/crates/faults/src/environment/timeline.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when.
+//! Faults of the timeline: what goes wrong, and when.
 
 use nix::sys::signal::Signal;
 
@@ -7,7 +7,7 @@
 
 use super::*;
 
-/// Of each of these a starved limiter set_stopped stopped for a share.
+/// Period of the stops of a starved limiter; it is stopped for the fault's share of each period.
 const STARVATION_PERIOD_MS: f64 = 100.0;
 
 pub(super) async fn run_fault(environment: Rc<Environment>, index: usize) {
@@ -60,17 +60,19 @@
             tokio::time::sleep(seconds(t.after_s)).await;
             nodes.iter().for_each(|n| end_process(&environment, &mut environment.state.borrow_mut(), *n));
         }
-        What::Stall => change_servers(&|h, now| h.simulation.halt(now, true)),
-        What::Slow => change_servers(&|h, now| h.simulation.slow(now, t.times.unwrap_or(1.0).max(0.01))),
-        What::Errors => change_servers(&|h, _| h.error_share = t.share.unwrap_or(0.0)),
-        What::Resets => change_servers(&|h, _| h.reset_share = t.share.unwrap_or(0.0)),
+        What::Stall => change_servers(&|server, now| server.simulation.halt(now, true)),
+        What::Slow => {
+            change_servers(&|server, now| server.simulation.slow(now, t.times.unwrap_or(1.0).max(0.01)))
+        }
+        What::Errors => change_servers(&|server, _| server.error_share = t.share.unwrap_or(0.0)),
+        What::Resets => change_servers(&|server, _| server.reset_share = t.share.unwrap_or(0.0)),
         What::RosterSilent => change_discovery_silence(&environment, &t, 1),
         What::Cut => environment.links.apply_cuts(&environment.datagrams.network.borrow()),
         What::Pause => {
             while tokio::time::Instant::now() < until {
-                change_servers(&|h, now| h.simulation.halt(now, true));
+                change_servers(&|server, now| server.simulation.halt(now, true));
                 tokio::time::sleep(seconds(t.length_s)).await;
-                change_servers(&|h, now| h.simulation.halt(now, false));
+                change_servers(&|server, now| server.simulation.halt(now, false));
                 let rest = t.every_s.unwrap_or(1.0) - t.length_s.unwrap_or(0.0);
                 tokio::time::sleep(Duration::from_secs_f64(rest.max(0.001))).await;
             }
@@ -127,10 +129,10 @@
                 restart_process(&environment, n).await;
             }
         }
-        What::Stall => change_servers(&|h, now| h.simulation.halt(now, false)),
-        What::Slow => change_servers(&|h, now| h.simulation.slow(now, 1.0)),
-        What::Errors => change_servers(&|h, _| h.error_share = 0.0),
-        What::Resets => change_servers(&|h, _| h.reset_share = 0.0),
+        What::Stall => change_servers(&|server, now| server.simulation.halt(now, false)),
+        What::Slow => change_servers(&|server, now| server.simulation.slow(now, 1.0)),
+        What::Errors => change_servers(&|server, _| server.error_share = 0.0),
+        What::Resets => change_servers(&|server, _| server.reset_share = 0.0),
         What::RosterSilent => {
             change_discovery_silence(&environment, &t, -1);
             announce(&environment);
@@ -150,7 +152,7 @@
     }
 }
 
-/// Limiters stand stopped, or go on; what they owed meanwhile, and just after, is not held against them.
+/// Stops or continues limiters; what was due meanwhile, and just after, is not held against them.
 fn set_stopped(environment: &Rc<Environment>, limiters: &[usize], stopped: bool) {
     for limiter in limiters {
         environment.state.borrow_mut().change_hindrances(*limiter, if stopped { 1 } else { -1 });
@@ -158,7 +160,7 @@
     }
 }
 
-/// Discovery is discovery_silences towards some limiters, or all, or is so no longer.
+/// Starts (`by` = 1) or ends (`by` = -1) a silence of discovery towards the groups of the affected limiters.
 fn change_discovery_silence(environment: &Rc<Environment>, t: &Trouble, by: i32) {
     let mut state = environment.state.borrow_mut();
     for group in 0..environment.links.group_count() {
@@ -169,9 +171,10 @@
     }
 }
 
-/// How long a limiter is waited for that is to be killed at a moment; then it is killed at any.
+/// How long a limiter that is to be killed at a given moment is watched for that moment; then it is killed at
+/// any moment.
 const MOMENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A request that was handed to a limiter so long ago, and is nowhere else, is held by it.
+/// A request that was handed to a limiter so long ago, and has not reached a server, is held by the limiter.
 const MIN_HELD_MS: f64 = 3.0;
 
 /// Waits until a limiter holds a request that has come that far.
@@ -184,7 +187,8 @@
     }
 }
 
-/// Whether a limiter holds a request that has come that far; it is counted, since its limiter is killed for it.
+/// Whether a limiter holds a request that has come that far. Counts the request, since the limiter is killed
+/// next.
 fn mark_if_held(state: &mut State, limiter: usize, moment: Moment) -> bool {
     let now = state.now();
     let has_reached = |sent: &SentRequest| match moment {
@@ -200,7 +204,8 @@
     true
 }
 
-/// Ends a limiter, by SIGTERM or at once, and starts it again; so often it dies as it starts.
+/// Ends a limiter, by SIGTERM or by SIGKILL, and starts it again after `failed_starts` starts that are killed
+/// at once.
 async fn restart(
     environment: Rc<Environment>,
     limiter: usize,
@@ -224,8 +229,8 @@
     }
     let process = environment.state.borrow_mut().limiters[limiter].process.take();
     if let Some(process) = process {
-        let used = crate::figures::usage(process.pid).map_or(0.0, |u| u.cpu_ms);
-        environment.state.borrow_mut().limiters[limiter].cpu_ms += used;
+        let cpu_ms = crate::figures::usage(process.pid).map_or(0.0, |u| u.cpu_ms);
+        environment.state.borrow_mut().limiters[limiter].cpu_ms += cpu_ms;
         process.kill().await;
     }
     {
@@ -249,7 +254,7 @@
         }
         Err(why) => {
             environment.state.borrow_mut().failure =
-                Some(format!("limiter {limiter} does not start again: {why}"));
+                Some(format!("limiter {limiter} cannot be restarted: {why}"));
         }
     }
 }
--- a/crates/faults/src/plans.rs
+++ b/crates/faults/src/plans.rs
@@ -1,8 +1,8 @@
-//! The plans that come with the program: scenarios of the rehearsal, made for processes.
+//! Built-in plans: scenarios of the simulation, made for real processes.
 
 use marldeal_rehearsal::scenario::Scenario;
 
-/// Name of each plan, and its file.
+/// Name and text of each plan.
 pub const ALL: &[(&str, &str)] = &[
     ("calm", include_str!("../plans/calm.toml")),
     ("woken-together", include_str!("../plans/woken-together.toml")),
@@ -22,7 +22,7 @@
     ("slow-cores", include_str!("../plans/slow-cores.toml")),
 ];
 
-/// The plan of that name, or the scenario of the rehearsal; nothing if there is none.
+/// Returns the plan of that name, or else the scenario of the simulation; `None` if there is neither.
 pub fn find(name: &str) -> Option<Scenario> {
     let plan = ALL.iter().find(|(known, _)| *known == name).and_then(|(_, text)| Scenario::read(text).ok());
     plan.or_else(|| marldeal_rehearsal::library::find(name))
@@ -35,7 +35,7 @@
     use super::*;
 
     #[test]
-    fn each_is_good_says_what_to_look_at_and_can_be_played() {
+    fn plans_are_valid_described_and_supported() {
         for (name, text) in ALL {
             let plan = Scenario::read(text).unwrap_or_else(|wrong| panic!("{name}: {wrong:?}"));
             assert!(!plan.about.is_empty(), "{name}");
@@ -44,7 +44,7 @@
     }
 
     #[test]
-    fn a_sized_plan_keeps_what_each_limiter_sees() {
+    fn resized_plan_keeps_the_load_per_limiter() {
         let calm = find("calm").expect("a plan");
         let each = |s: &Scenario| s.requests_per_s() / f64::from(s.limiters.count);
         let large = sized(&calm, 300);
--- a/crates/faults/src/processes.rs
+++ b/crates/faults/src/processes.rs
@@ -1,4 +1,4 @@
-//! Limiters as processes of their current on loopback_address. What is started here ends when it is dropped.
+//! Limiters as processes of their own on loopback. Dropping a process handle kills the process.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -14,25 +14,26 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Longest that a limiter may take to listen and to be wait_until_ready; generous, for hundreds may start at once.
+/// Time in which a limiter has to listen and to get ready; long, because hundreds may start at once.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Which program is started, and with what beside its configuration.
+/// The program to start, and its environment.
 #[derive(Debug, Clone)]
 pub struct Program {
-    /// The built program.
+    /// Path of the built program.
     pub path: PathBuf,
-    /// Variables for all of its processes.
+    /// Environment variables for all of its processes.
     pub variables: Vec<(String, String)>,
 }
 
 impl Program {
-    /// This very program.
+    /// Returns the program that runs now.
     ///
     /// # Errors
-    /// One plain line.
+    /// Its path cannot be read.
     pub fn current() -> Result<Program, String> {
-        let path = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
+        let path = std::env::current_exe()
+            .map_err(|e| format!("cannot read the path of the running program: {e}"))?;
         Ok(Program { path, variables: Vec::new() })
     }
 }
@@ -40,9 +41,9 @@
 /// One line of a limiter's log.
 #[derive(Debug, Clone)]
 pub enum LogLine {
-    /// With its fields.
+    /// A line in JSON form.
     Fields(serde_json::Value),
-    /// Not in the log's form: what a panic says, for one.
+    /// A line in another form, such as the message of a panic.
     Text(String),
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// What happened, if the line names it.
+    /// Returns the line's event, if it names one.
     pub fn event(&self) -> Option<&str> {
         match self {
             LogLine::Fields(fields) => fields.get("event")?.as_str(),
@@ -70,12 +71,13 @@
 }
 
 impl ConfigFiles {
-    /// A new one. The limiters at the first `prefetch` positions hold units of quotas ahead of need.
+    /// Creates the directory. Limiters at the first `prefetch` positions prefetch units of quotas.
     ///
     /// # Errors
-    /// One plain line.
+    /// Says which file or directory could not be written.
     pub fn new(prefetch: u32) -> Result<ConfigFiles, String> {
-        let at = TempDir::with_prefix("marldeal-").map_err(|e| format!("no directory for files: {e}"))?;
+        let at = TempDir::with_prefix("marldeal-")
+            .map_err(|e| format!("cannot create a directory for files: {e}"))?;
         let log = at.path().join("log.toml");
         let ahead = at.path().join("ahead.toml");
         let json = "[log]\nform = \"json\"\n";
@@ -90,32 +92,32 @@
     }
 }
 
-/// A limiter that is killed when it is dropped.
+/// A limiter's process; killed when dropped.
 pub struct Process {
     child: Child,
-    /// The number of its process.
+    /// Its process id.
     pub pid: u32,
-    /// Where it serves.
+    /// The address at which it serves.
     pub addr: SocketAddr,
-    /// What it logs from then on.
+    /// Its log lines after the one that says where it serves.
     pub lines: Option<mpsc::UnboundedReceiver<LogLine>>,
 }
 
 impl Process {
-    /// Starts a limiter with that configuration, and waits until it listens.
+    /// Starts a limiter with that configuration and waits until it listens.
     ///
     /// # Errors
-    /// One plain line: what could not be started, with what it said last.
+    /// Says what could not be started, with the last line that the limiter logged.
     pub async fn start(
         program: &Program,
         files: &ConfigFiles,
         config: &serde_json::Value,
     ) -> Result<Process, String> {
         let mut child = spawn(program, files, config)?;
-        let pid = child.id().ok_or("a limiter exit_status at once")?;
+        let pid = child.id().ok_or("a limiter ended at once")?;
         let log = child.stderr.take().ok_or("a limiter has no log")?;
         let (sender, mut received) = mpsc::unbounded_channel();
-        // Read to the end, so that the limiter never waits for its log.
+        // Reads the log to its end, so that the limiter never blocks on writing it.
         tokio::spawn(async move {
             let mut lines = BufReader::new(log).lines();
             while let Ok(Some(text)) = lines.next_line().await {
@@ -134,38 +136,38 @@
             None
         };
         let addr = tokio::time::timeout(START_TIMEOUT, listens).await;
-        let addr = addr.map_err(|_| "a limiter does not listen".to_string())?;
-        let addr = addr.ok_or_else(|| format!("a limiter ends as it starts: {last}"))?;
+        let addr = addr.map_err(|_| "a limiter did not listen in time".to_string())?;
+        let addr = addr.ok_or_else(|| format!("a limiter ended during its start: {last}"))?;
         Ok(Process { child, pid, addr, lines: Some(received) })
     }
 
-    /// Starts a limiter and ends it before it can listen.
+    /// Starts a limiter and kills it before it can listen.
     ///
     /// # Errors
-    /// One plain line.
+    /// The limiter cannot be started or killed.
     pub async fn start_and_kill(
         program: &Program,
         files: &ConfigFiles,
         config: &serde_json::Value,
     ) -> Result<(), String> {
         let mut child = spawn(program, files, config)?;
-        child.kill().await.map_err(|e| format!("a limiter does not die: {e}"))
+        child.kill().await.map_err(|e| format!("a limiter cannot be killed: {e}"))
     }
 
-    /// Sends it a signal; one that has exit_status hears nothing.
+    /// Sends a signal; no effect on a process that has ended.
     pub fn signal(&self, what: Signal) {
-        // Its number is its current until it has been waited for, which `exit_status` alone does.
+        // The process id stays reserved until the process has been waited for, which only `exit_status` does.
         if self.child.id().is_some() {
             let _ = kill(Pid::from_raw(self.pid as i32), what);
         }
     }
 
-    /// How it has exit_status by itself, if it has.
+    /// Returns the exit status if the process has ended by itself.
     pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Kills it and waits until it is gone, so that its addresses are free.
+    /// Kills the process and waits for its end, so that its addresses are free.
     pub async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
@@ -184,30 +186,31 @@
     command.arg("--extensions").arg(files.path().join(extensions));
     command.env("ROUTER_CONFIG", &path).envs(program.variables.iter().cloned());
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
-    command.spawn().map_err(|e| format!("a limiter does not start: {e}"))
+    command.spawn().map_err(|e| format!("a limiter cannot be started: {e}"))
 }
 
-/// The loopback_address address of one of many: each kind has a network of its current, so that no connection's current port ever takes
-/// the place of a listener that comes back.
+/// Returns a loopback address. Each kind of socket has a network of its own, so that the local port of no
+/// connection takes the address of a listener that is opened again.
 pub fn loopback_address(kind: u8, number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, kind, (number / 250) as u8, (number % 250 + 1) as u8)
 }
 
-/// Addresses for datagrams of so many limiters: each has to be known before any of them listens there.
+/// Returns addresses for the datagrams of so many limiters. Each address has to be known before any limiter
+/// listens.
 ///
 /// # Errors
-/// One plain line.
+/// An address cannot be bound.
 pub fn datagram_addresses(limiters: usize) -> Result<Vec<SocketAddr>, String> {
     let bound: Result<Vec<_>, _> =
         (0..limiters).map(|n| UdpSocket::bind((loopback_address(14, n), 0))).collect();
     let all = bound.and_then(|all| all.iter().map(UdpSocket::local_addr).collect::<Result<Vec<_>, _>>());
-    all.map_err(|e| format!("no address for datagrams: {e}"))
+    all.map_err(|e| format!("cannot bind an address for datagrams: {e}"))
 }
 
-/// Waits until a limiter is wait_until_ready.
+/// Waits until a limiter is ready.
 ///
 /// # Errors
-/// When it does not get wait_until_ready in time.
+/// The limiter is not ready within the start time-out.
 pub async fn wait_until_ready(client: &Client, addr: SocketAddr) -> Result<(), String> {
     let began = Instant::now();
     loop {
@@ -217,7 +220,7 @@
             return Ok(());
         }
         if began.elapsed() > START_TIMEOUT {
-            return Err(format!("the limiter at {addr} does not get ready"));
+            return Err(format!("the limiter at {addr} did not get ready in time"));
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/faults/src/resources.rs
+++ b/crates/faults/src/resources.rs
@@ -1,47 +1,49 @@
-//! Whether this machine has room for a run, asked before anything is started.
+//! Checks that the machine has the resources for a run before anything is started.
 
 use marldeal_rehearsal::scenario::Scenario;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
-/// Memory of one limiter with thin traffic, and of the ground itself, in MB: measured, with a third to spare.
+/// Memory of one limiter with little traffic, and of the test environment itself, in MB, with a third to spare.
 const LIMITER_MB: f64 = 12.0;
 const ENVIRONMENT_MB: f64 = 300.0;
-/// Descriptors of the ground beside those counted below.
+/// Descriptors of the test environment beside those counted below.
 const OTHER_DESCRIPTORS: f64 = 200.0;
-/// Connections of a limiter to nodes, and of clients to it, that are open at once: in seconds of its requests. Seen at 100
-/// limiters with 7 requests a second requests_per_s, calm and cut off; `Fleet::descriptors` says what a run came to.
+/// Open connections of a limiter to servers, and of clients to it, as seconds of its requests. Measured with
+/// 100 limiters of 7 requests a second each, without faults and cut off; `Fleet::descriptors` says what a run
+/// used.
 const SERVER_CONNECTIONS_S: f64 = 2.5;
 const CLIENT_CONNECTIONS_S: f64 = 1.5;
 
-/// What a run takes.
+/// Resources that a run needs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResourceNeeds {
-    /// Descriptors of the ground.
+    /// Descriptors of the test environment.
     pub descriptors: u64,
-    /// Memory of all.
+    /// Memory of all processes, in MB.
     pub memory_mb: f64,
 }
 
 impl ResourceNeeds {
-    /// Of a scenario of which `proxies` ways have a relay of their own.
+    /// Estimates the needs of a scenario in which `proxies` links have a proxy.
     pub fn for_scenario(scenario: &Scenario, proxies: usize) -> ResourceNeeds {
         let limiters = f64::from(scenario.limiters.count);
         let requests_per_s = scenario.requests_per_s() / limiters;
         let server_connections = (requests_per_s * SERVER_CONNECTIONS_S).max(8.0);
-        // A way with a relay costs a connection more on requests_per_s side of it.
+        // A proxy adds a connection on each of its two sides.
         let hops = if proxies > 0 { 3.0 } else { 1.0 };
         let listeners = f64::from(scenario.nodes.count) + proxies as f64;
-        // A face, a log and a process handle for requests_per_s; both ends of nothing but our own are here.
+        // Each limiter takes a proxy socket, a log and a process handle; only the sockets of this process count
+        // here.
         let descriptors = OTHER_DESCRIPTORS
             + listeners
             + limiters * (3.0 + server_connections * hops + requests_per_s * CLIENT_CONNECTIONS_S);
         ResourceNeeds { descriptors: descriptors as u64, memory_mb: ENVIRONMENT_MB + limiters * LIMITER_MB }
     }
 
-    /// Makes room where the limit may be raised.
+    /// Checks the needs, and raises the limit of descriptors where that is allowed.
     ///
     /// # Errors
-    /// One plain line: what there is too little of.
+    /// Says which resource is too small.
     pub fn check(&self) -> Result<(), String> {
         let limit = getrlimit(Resource::Nofile);
         let (now, most) = (limit.current.unwrap_or(u64::MAX), limit.maximum.unwrap_or(u64::MAX));
@@ -73,7 +75,7 @@
     use super::*;
 
     #[test]
-    fn what_cannot_fit_is_refused_with_the_number_needed() {
+    fn missing_resources_are_refused_with_the_number_needed() {
         let mut scenario = Scenario::default();
         scenario.limiters.count = 300;
         let small = ResourceNeeds::for_scenario(&Scenario::default(), 0);
--- a/crates/faults/src/streams.rs
+++ b/crates/faults/src/streams.rs
@@ -1,4 +1,4 @@
-//! A proxy for streams: it stands between limiters and a listener, and does to their connections what a faults says.
+//! A proxy for TCP streams between limiters and a listener, with faults that can be switched on and off.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,37 +13,37 @@
 
 use crate::tasks::spawn_local;
 
-/// What is active with a way.
+/// A fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum StreamFault {
     /// New connections are refused.
     Refuse,
-    /// Connections come up; nothing goes either way.
+    /// Connections are accepted, but carry nothing in either direction.
     Mute,
-    /// This share of what is sent one way draws_break off before its last byte.
+    /// A share of what is sent in one direction breaks off before its last byte.
     Break {
-        /// Which share.
+        /// The share.
         share: f64,
-        /// Of what is said to the limiter, not of what it says.
+        /// Whether the direction towards the limiter is affected, and not the one from it.
         towards_limiter: bool,
     },
-    /// Answers wait so many milliseconds, least and most.
+    /// Answers are delayed by so many milliseconds, at least and at most.
     Hold([f64; 2]),
-    /// So many bytes a second go each way.
+    /// Each direction carries so many bytes a second.
     Trickle(f64),
 }
 
-/// What stands in a way now.
+/// The present faults of a link.
 pub struct LinkFaults {
     active: RefCell<Vec<(usize, StreamFault)>>,
-    /// Nobody listens behind it.
+    /// Whether the target does not listen.
     target_down: Cell<bool>,
     changed: Notify,
     rng: RefCell<Stream>,
 }
 
 impl LinkFaults {
-    /// An open one.
+    /// Creates a link without faults.
     pub fn new(rng: Stream) -> Rc<LinkFaults> {
         Rc::new(LinkFaults {
             active: RefCell::default(),
@@ -53,19 +53,19 @@
         })
     }
 
-    /// Something is active from now on; `number` tells it apart.
+    /// Starts a fault; `number` identifies it.
     pub fn start(&self, number: usize, active: StreamFault) {
         self.active.borrow_mut().push((number, active));
         self.changed.notify_waiters();
     }
 
-    /// It is over.
+    /// Ends a fault.
     pub fn end(&self, number: usize) {
         self.active.borrow_mut().retain(|(n, _)| *n != number);
         self.changed.notify_waiters();
     }
 
-    /// Whether anybody listens behind it: a proxy would accept for one that does not.
+    /// Sets whether the target does not listen: without this a proxy would accept connections for it.
     pub fn set_target_down(&self, target_down: bool) {
         self.target_down.set(target_down);
         self.changed.notify_waiters();
@@ -102,7 +102,7 @@
         draws::chance(&mut self.rng.borrow_mut(), share)
     }
 
-    /// How long some bytes take; `towards_limiter` go towards the limiter.
+    /// Returns how long so many bytes take in a direction.
     fn delay_ms(&self, bytes: usize, towards_limiter: bool) -> f64 {
         let mut rng = self.rng.borrow_mut();
         let one = |w: &StreamFault, rng: &mut Stream| match w {
@@ -114,14 +114,14 @@
     }
 }
 
-/// Whole lines that limiters were told through a proxy, with the proxy's number.
+/// Receives the whole lines that were passed on to limiters, with the proxy's number.
 pub type LineSender = mpsc::UnboundedSender<(usize, String)>;
 
-/// A proxy in front of `target`; end when it is dropped. Where limiters connect is told.
+/// A proxy in front of `target`; it ends when dropped.
 pub struct StreamProxy {
-    /// Where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
-    /// What stands in its way.
+    /// The present faults of its link.
     pub faults: Rc<LinkFaults>,
     task: tokio::task::AbortHandle,
 }
@@ -133,10 +133,10 @@
 }
 
 impl StreamProxy {
-    /// Listens at an address of the caller's choice, port 0 for any.
+    /// Opens a proxy at the given address; port 0 takes any port.
     ///
     /// # Errors
-    /// One plain line.
+    /// The address cannot be bound.
     pub async fn open(
         at: SocketAddr,
         target: SocketAddr,
@@ -145,19 +145,19 @@
         StreamProxy::open_observed(at, target, faults, None).await
     }
 
-    /// The same; each line that has been passed on to a limiter is told, when it has been.
+    /// Opens a proxy that sends each line to `observer` once it has been passed on to a limiter.
     ///
     /// # Errors
-    /// One plain line.
+    /// The address cannot be bound.
     pub async fn open_observed(
         at: SocketAddr,
         target: SocketAddr,
         faults: Rc<LinkFaults>,
         observer: Option<(usize, LineSender)>,
     ) -> Result<StreamProxy, String> {
-        let no = |e: std::io::Error| format!("no port for a proxy: {e}");
-        let listener = TcpListener::bind(at).await.map_err(no)?;
-        let addr = listener.local_addr().map_err(no)?;
+        let port_error = |e: std::io::Error| format!("cannot open a port for a proxy: {e}");
+        let listener = TcpListener::bind(at).await.map_err(port_error)?;
+        let addr = listener.local_addr().map_err(port_error)?;
         let task = spawn_local(accept(listener, addr, target, faults.clone(), observer)).abort_handle();
         Ok(StreamProxy { addr, faults, task })
     }
@@ -173,7 +173,8 @@
     let mut listener = Some(listener);
     loop {
         if faults.refuses_connections() {
-            // Only a closed listener refuses_connections. Its address is no connection's own, so it is free when it comes back.
+            // Only a closed listener refuses connections. No connection has its address as local address, so it
+            // can be bound again.
             drop(listener.take());
             faults.wait_until(|g| !g.refuses_connections()).await;
         }
@@ -194,7 +195,7 @@
     }
 }
 
-/// One connection: end with either side.
+/// Forwards one connection until either side ends it.
 async fn forward_connection(
     stream: TcpStream,
     target: SocketAddr,
@@ -213,12 +214,12 @@
     }
 }
 
-/// Longest line that is kept of what is told: a list of the most nodes that are played.
+/// Longest line that is observed: room for a list of the largest number of servers.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// How long an end that came while a way was stalled takes to show.
+/// Time in which a close behind stalled bytes becomes visible.
 const CLOSE_DETECTION_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// The sender has ended its connection behind what was read last.
+/// Whether the sender has closed its connection after the bytes that were read last.
 async fn is_closed(from: &mut OwnedReadHalf) -> bool {
     let mut one = [0; 1];
     matches!(tokio::time::timeout(CLOSE_DETECTION_TIMEOUT, from.peek(&mut one)).await, Ok(Ok(0) | Err(_)))
@@ -238,7 +239,8 @@
         let Ok(read @ 1..) = from.read(&mut buffer).await else { return };
         stalled |= faults.is_muted();
         faults.wait_until(|g| !g.is_muted()).await;
-        // What its sender has called off meanwhile never comes: on a network the end would be right behind it.
+        // A request that its sender cancelled while the link was muted never arrives: on a network the close
+        // would follow it at once.
         if std::mem::take(&mut stalled) && is_closed(&mut from).await {
             return;
         }
@@ -276,7 +278,7 @@
         LocalSet::new().block_on(&runtime, test);
     }
 
-    /// A server that says back what it hears, behind a proxy.
+    /// Starts a server that echoes what it receives, behind a proxy.
     async fn echo() -> StreamProxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let target = listener.local_addr().expect("an address");
@@ -289,10 +291,10 @@
             }
         });
         let faults = LinkFaults::new(draws::stream(1, "gate", 0));
-        StreamProxy::open("127.0.0.1:0".parse().expect("an address"), target, faults).await.expect("a relay")
+        StreamProxy::open("127.0.0.1:0".parse().expect("an address"), target, faults).await.expect("a proxy")
     }
 
-    async fn says(stream: &mut TcpStream, text: &[u8]) -> Option<Vec<u8>> {
+    async fn echoed(stream: &mut TcpStream, text: &[u8]) -> Option<Vec<u8>> {
         stream.write_all(text).await.ok()?;
         let mut back = vec![0; text.len()];
         stream.read_exact(&mut back).await.ok()?;
@@ -300,18 +302,18 @@
     }
 
     #[test]
-    fn an_open_gate_passes_all_and_a_refusing_one_no_new_connection() {
+    fn refusing_link_keeps_open_connections_and_refuses_new_ones() {
         on_sockets(async {
             let proxy = echo().await;
             let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
-            assert_eq!(says(&mut stream, b"hello").await.as_deref(), Some(&b"hello"[..]));
+            assert_eq!(echoed(&mut stream, b"hello").await.as_deref(), Some(&b"hello"[..]));
             proxy.faults.start(0, StreamFault::Refuse);
             let mut refused = false;
             while !refused {
                 refused = TcpStream::connect(proxy.addr).await.is_err();
                 tokio::task::yield_now().await;
             }
-            assert_eq!(says(&mut stream, b"still").await.as_deref(), Some(&b"still"[..]));
+            assert_eq!(echoed(&mut stream, b"still").await.as_deref(), Some(&b"still"[..]));
             proxy.faults.end(0);
             while TcpStream::connect(proxy.addr).await.is_err() {
                 tokio::task::yield_now().await;
@@ -320,29 +322,29 @@
     }
 
     #[test]
-    fn a_mute_way_says_nothing_until_it_is_let_go() {
+    fn muted_link_delays_data_until_the_fault_ends() {
         on_sockets(async {
             let proxy = echo().await;
             proxy.faults.start(0, StreamFault::Mute);
             let mut stream = TcpStream::connect(proxy.addr).await.expect("it accepts");
-            let waits = says(&mut stream, b"hello");
-            assert!(tokio::time::timeout(Duration::from_millis(100), waits).await.is_err());
+            let reply = echoed(&mut stream, b"hello");
+            assert!(tokio::time::timeout(Duration::from_millis(100), reply).await.is_err());
             proxy.faults.end(0);
             let mut back = [0; 5];
-            stream.read_exact(&mut back).await.expect("let go late, not lost");
+            stream.read_exact(&mut back).await.expect("delayed, not lost");
             assert_eq!(&back, b"hello");
         });
     }
 
     #[test]
-    fn what_is_called_off_while_a_way_is_mute_never_arrives() {
+    fn request_cancelled_on_a_muted_link_never_arrives() {
         on_sockets(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let target = listener.local_addr().expect("an address");
             let faults = LinkFaults::new(draws::stream(1, "gate", 0));
             let proxy = StreamProxy::open("127.0.0.1:0".parse().expect("an address"), target, faults)
                 .await
-                .expect("a relay");
+                .expect("a proxy");
             let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
             let (mut behind, _) = listener.accept().await.expect("passed on");
             proxy.faults.start(0, StreamFault::Mute);
@@ -350,14 +352,14 @@
             drop(stream);
             tokio::time::sleep(Duration::from_millis(50)).await;
             proxy.faults.end(0);
-            let mut came = Vec::new();
-            let _ = behind.read_to_end(&mut came).await;
-            assert!(came.is_empty(), "{came:?}");
+            let mut received = Vec::new();
+            let _ = behind.read_to_end(&mut received).await;
+            assert!(received.is_empty(), "{received:?}");
         });
     }
 
     #[test]
-    fn what_breaks_off_lacks_its_last_byte() {
+    fn broken_transfer_lacks_its_last_byte() {
         on_sockets(async {
             let proxy = echo().await;
             proxy.faults.start(0, StreamFault::Break { share: 1.0, towards_limiter: false });
@@ -370,7 +372,7 @@
     }
 
     #[test]
-    fn lines_are_told_when_they_have_been_passed_on_and_a_broken_one_never() {
+    fn lines_are_observed_once_forwarded_and_never_when_broken() {
         on_sockets(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let target = listener.local_addr().expect("an address");
@@ -378,33 +380,33 @@
             let (say, mut observer) = mpsc::unbounded_channel();
             let at = "127.0.0.1:0".parse().expect("an address");
             let proxy =
-                StreamProxy::open_observed(at, target, faults, Some((7, say))).await.expect("a relay");
+                StreamProxy::open_observed(at, target, faults, Some((7, say))).await.expect("a proxy");
             let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
             let (mut behind, _) = listener.accept().await.expect("passed on");
             behind.write_all(b"one\ntw").await.expect("written");
             assert_eq!(observer.recv().await, Some((7, "one".to_string())));
             proxy.faults.start(0, StreamFault::Break { share: 1.0, towards_limiter: true });
             behind.write_all(b"o\n").await.expect("written");
-            let mut came = Vec::new();
-            let _ = stream.read_to_end(&mut came).await;
-            assert_eq!((came.as_slice(), observer.try_recv().is_err()), (&b"one\ntwo"[..], true));
+            let mut received = Vec::new();
+            let _ = stream.read_to_end(&mut received).await;
+            assert_eq!((received.as_slice(), observer.try_recv().is_err()), (&b"one\ntwo"[..], true));
         });
     }
 
     #[test]
-    fn held_answers_and_a_trickle_take_their_time() {
+    fn held_answers_and_trickle_delay_data() {
         on_sockets(async {
             let proxy = echo().await;
             let took = |from: std::time::Instant| from.elapsed().as_secs_f64() * 1000.0;
             let mut stream = TcpStream::connect(proxy.addr).await.expect("a connection");
             proxy.faults.start(0, StreamFault::Hold([80.0, 80.0]));
             let from = std::time::Instant::now();
-            assert!(says(&mut stream, b"hello").await.is_some() && took(from) >= 80.0);
+            assert!(echoed(&mut stream, b"hello").await.is_some() && took(from) >= 80.0);
             proxy.faults.end(0);
             proxy.faults.start(1, StreamFault::Trickle(100.0));
             let from = std::time::Instant::now();
-            // Five bytes each way at 100 a second.
-            assert!(says(&mut stream, b"hello").await.is_some() && took(from) >= 99.0);
+            // Five bytes in each direction at 100 a second.
+            assert!(echoed(&mut stream, b"hello").await.is_some() && took(from) >= 99.0);
         });
     }
 }
--- a/marldeal/tests/faults.rs
+++ b/marldeal/tests/faults.rs
@@ -176,7 +176,7 @@
         "timeline[4].discovery: not expected",
         "timeline[4].moment: not expected",
         "calm: good, in the virtual world too",
-        "proxies are played in the virtual world only",
+        "proxies run in the simulation only",
     ] {
         assert!(out.contains(part), "{part:?} in {out}");
     }
@@ -243,7 +243,7 @@
     assert!(judged(|seen| matches!(seen, Seen::Load { .. })).is_err(), "the loop's own panic goes on up");
     let ended = judged(|seen| matches!(seen, Seen::Arrived { .. }));
     let why = ended.expect("kept").err().expect("a run that ends with an error");
-    assert!(why.contains("the ground panicked: a judge of the test's own"), "{why}");
+    assert!(why.contains("the test environment panicked: a judge of the test's own"), "{why}");
 }
 
 #[test]
