--- a/crates/faults/src/datagrams.rs
+++ b/crates/faults/src/datagrams.rs
@@ -1,7 +1,7 @@
 //! Proxy for datagrams between limiters. Each limiter is known to its peers by a socket of the proxy.
 //!
 //! A limiter sends to a peer's proxy socket. The proxy identifies the sender by its address, asks
-//! [`Post`](marldeal_rehearsal::post::Post) what becomes of the datagram, and forwards it from the sender's
+//! [`Network`](marldeal_rehearsal::network::Network) what becomes of the datagram, and forwards it from the sender's
 //! proxy socket, so that the receiver sees the address that stands in its `peers`. This takes one socket for
 //! each limiter, not one for each pair.
 
@@ -13,7 +13,7 @@
 
 use fawnhill::Millis;
 use marldeal_rehearsal::draws::{self, Stream};
-use marldeal_rehearsal::post::Post;
+use marldeal_rehearsal::network::Network;
 use marldeal_rehearsal::scenario::Scenario;
 use tokio::net::UdpSocket;
 
@@ -46,7 +46,7 @@
     limiter_addrs: Vec<SocketAddr>,
     index_by_addr: HashMap<SocketAddr, usize>,
     /// Model that decides what becomes of each datagram.
-    pub network: RefCell<Post>,
+    pub network: RefCell<Network>,
     rng: RefCell<Stream>,
     counts: RefCell<DatagramCounts>,
     clock: Box<dyn Fn() -> Millis>,
@@ -82,7 +82,7 @@
         };
         let proxy = Rc::new(DatagramProxy {
             index_by_addr: limiter_addrs.iter().enumerate().map(|(n, at)| (*at, n)).collect(),
-            network: RefCell::new(Post::new(scenario, clock())),
+            network: RefCell::new(Network::new(scenario, clock())),
             rng: RefCell::new(draws::stream(seed, "mail", 0)),
             counts: RefCell::new(counts),
             clock: Box::new(clock),
@@ -169,7 +169,7 @@
             let (proxy, body) = (self.clone(), arrival.body(body.to_vec()));
             spawn_local(async move {
                 tokio::time::sleep(Duration::from_secs_f64(arrival.after_ms / 1000.0)).await;
-                let takes = proxy.network.borrow_mut().takes_in((proxy.clock)(), to);
+                let takes = proxy.network.borrow_mut().accepts((proxy.clock)(), to);
                 // The observer is notified first: the answer to a datagram may arrive before this task runs
                 // again.
                 if takes {
--- a/crates/faults/src/environment/clients.rs
+++ b/crates/faults/src/environment/clients.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::{Request, Response};
 use marldeal_engine::Answer;
-use marldeal_rehearsal::clients::{End, Got, Say};
+use marldeal_rehearsal::clients::{ClientAction, ClientOutcome, TryResult};
 use marldeal_rehearsal::scenario::Repeats;
 use marldeal_standin::client::ExchangeError;
 
@@ -32,18 +32,18 @@
     }
 }
 
-fn handle_actions(environment: &Rc<Environment>, actions: Vec<Say>) {
+fn handle_actions(environment: &Rc<Environment>, actions: Vec<ClientAction>) {
     for action in actions {
         let mut guard = environment.state.borrow_mut();
         let state = &mut *guard;
         let now = state.now();
         match action {
-            Say::Send(of) => send(environment, state, now, of),
-            Say::Leave(try_id) => {
+            ClientAction::Send(of) => send(environment, state, now, of),
+            ClientAction::Disconnect(try_id) => {
                 if let Some(sent) = state.sent_requests.remove(&try_id) {
                     state.abandoned.insert(try_id, (sent.request.limiter, sent.deadline));
-                    state.oracle.leaves_now(now, try_id, true);
-                    state.oracle.gone(try_id);
+                    state.oracle.client_disconnected(now, try_id, true);
+                    state.oracle.disconnect_received(try_id);
                     if now < sent.deadline {
                         sent.task.abort();
                     } else {
@@ -53,29 +53,31 @@
                     }
                 }
             }
-            Say::Over { last, how } => {
-                let plan = state.clients.firms()[last.firm].plan;
+            ClientAction::Finished { last, outcome } => {
+                let plan = state.clients.customers()[last.customer].plan;
                 let inside = state.within_quota.remove(&last.job).unwrap_or(false);
                 if let Some(worth) = state.worth_within_quota.remove(&last.job) {
-                    state.outcomes.refused_inside += if how == End::Refused { worth } else { 0.0 };
+                    state.outcomes.refused_inside +=
+                        if outcome == ClientOutcome::Refused { worth } else { 0.0 };
                 }
-                state.recorder.over(now, plan, &last, how, inside);
+                state.recorder.finished(now, plan, &last, outcome, inside);
             }
         }
     }
 }
 
 fn send(environment: &Rc<Environment>, state: &mut State, now: f64, of: Try) {
-    let (firm, class) = (state.clients.firms()[of.firm].clone(), state.scenario.classes[of.class].clone());
+    let (firm, class) =
+        (state.clients.customers()[of.customer].clone(), state.scenario.classes[of.class].clone());
     if of.turn == 0 {
-        while state.quota_stores.len() <= of.firm {
-            state.oracle.enlist(now, state.clients.firms()[state.quota_stores.len()].plan);
-            state.quota_stores.push(Store::full(now, f64::INFINITY));
+        while state.quota_stores.len() <= of.customer {
+            state.oracle.add_customer(now, state.clients.customers()[state.quota_stores.len()].plan);
+            state.quota_stores.push(TokenBucket::full(now, f64::INFINITY));
         }
         let (rate, burst) = state.scenario.quota(firm.plan);
-        let inside = of.firm < state.usual_customers
-            && state.quota_stores[of.firm].take(now, rate, burst, class.units);
-        state.recorder.asked(now, firm.plan, of.class, inside);
+        let inside = of.customer < state.usual_customers
+            && state.quota_stores[of.customer].take(now, rate, burst, class.units);
+        state.recorder.request_made(now, firm.plan, of.class, inside);
         if inside {
             let worth = class.worth * state.scenario.plans[firm.plan].price;
             state.outcomes.inside += worth;
@@ -86,7 +88,7 @@
     let weight = format!("units={},spread={},first={}", class.units, firm.spread, firm.first);
     let mut request = Request::builder()
         .method(if class.repeats == Repeats::Safe { "GET" } else { "POST" })
-        .uri(format!("/{}/{:016x}", class.name, firm.customer))
+        .uri(format!("/{}/{:016x}", class.name, firm.id))
         .header("host", "service.internal")
         .header("x-correlation-id", format!("{:016x}", of.id))
         .header("x-tariff", state.scenario.plans[firm.plan].name.as_str())
@@ -102,8 +104,8 @@
     };
     let (addr, try_id, limiter) = (state.addrs[of.limiter], of.id, of.limiter);
     let deadline = now + of.budget_ms;
-    state.oracle.taken(try_id, of.firm, of.class, limiter, deadline);
-    state.recorder.taken(now, limiter);
+    state.oracle.try_accepted(try_id, of.customer, of.class, limiter, deadline);
+    state.recorder.try_accepted(now, limiter);
     let (task_environment, began) = (environment.clone(), now);
     let task = spawn_local(async move {
         let result = task_environment.client.exchange(addr, request).await;
@@ -113,17 +115,17 @@
             let state = &mut *guard;
             let now = state.now();
             let outcome = match &result {
-                Ok(answer) => Got::Answer(parse_answer(answer)),
-                Err(_) => Got::Nothing,
+                Ok(answer) => TryResult::Answer(parse_answer(answer)),
+                Err(_) => TryResult::NoAnswer,
             };
             if let Some(sent) = state.sent_requests.remove(&try_id) {
                 state.abandoned.insert(try_id, (limiter, sent.deadline));
                 match outcome {
-                    Got::Answer(answer) => {
-                        state.oracle.answered(now, try_id, answer, !state.is_accountable(limiter, began))
+                    TryResult::Answer(answer) => {
+                        state.oracle.try_answered(now, try_id, answer, !state.is_accountable(limiter, began))
                     }
-                    Got::Nothing => {
-                        state.oracle.gone(try_id);
+                    TryResult::NoAnswer => {
+                        state.oracle.disconnect_received(try_id);
                         // A limiter that could not be reached has not taken the request.
                         if result.is_err_and(|e| e == ExchangeError::ConnectionLost) {
                             spawn_local(report_lost_connection(
@@ -135,11 +137,11 @@
                         }
                     }
                 }
-            } else if matches!(outcome, Got::Answer(_)) {
+            } else if matches!(outcome, TryResult::Answer(_)) {
                 // The client has given up; only the exchange is still open.
                 state.outcomes.late += 1;
             }
-            state.clients.got(now, try_id, outcome, &mut actions);
+            state.clients.try_ended(now, try_id, outcome, &mut actions);
         }
         handle_actions(&task_environment, actions);
         task_environment.clients_changed.notify_one();
--- a/crates/faults/src/environment/links.rs
+++ b/crates/faults/src/environment/links.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use marldeal_rehearsal::draws;
-use marldeal_rehearsal::post::Post;
+use marldeal_rehearsal::network::Network;
 use marldeal_rehearsal::scenario::{Scenario, Trouble, What};
 use marldeal_standin::discovery::Discovery;
 use tokio::sync::mpsc;
@@ -214,7 +214,7 @@
     }
 
     /// Applies the present cuts between buildings: streams between cut-off buildings carry nothing meanwhile.
-    pub fn apply_cuts(&self, network: &Post) {
+    pub fn apply_cuts(&self, network: &Network) {
         for ((group, server), proxy) in &self.proxies {
             let limiter = self.representative[*group] as u32 % self.buildings;
             proxy.faults.end(CUT_FAULT_ID);
--- a/crates/faults/src/environment/mod.rs
+++ b/crates/faults/src/environment/mod.rs
@@ -21,12 +21,13 @@
 use marldeal_rehearsal::clients::{Clients, Try};
 use marldeal_rehearsal::draws::{self, Stream};
 use marldeal_rehearsal::figures::Recorder;
-use marldeal_rehearsal::node::Node;
 use marldeal_rehearsal::observe::{
-    Invariant, Judges, NothingAfterDeadline, OneUnderANumber, OneWordAnAsk, PartsWithinWhole, Seen,
+    Invariant, InvariantSet, NothingAfterDeadline, Observation, OneActorPerNumber, OneReplyPerAsk,
+    SharesWithinTotal,
 };
-use marldeal_rehearsal::rules::{Oracle, Rule, Store};
+use marldeal_rehearsal::rules::{Oracle, Rule, TokenBucket};
 use marldeal_rehearsal::scenario::{name_of, Scenario, Trouble, What};
+use marldeal_rehearsal::server_model::ServerModel;
 use marldeal_rehearsal::world::BEGIN_MS;
 use marldeal_standin::client::Client;
 use tokio::net::TcpListener;
@@ -89,7 +90,7 @@
 }
 
 struct TestServer {
-    simulation: Node,
+    simulation: ServerModel,
     id: String,
     addr: SocketAddr,
     zone: u32,
@@ -134,7 +135,7 @@
     start_unix_ms: f64,
     clients: Clients,
     oracle: Oracle,
-    judges: Judges,
+    judges: InvariantSet,
     recorder: Recorder,
     outcomes: Outcomes,
     servers: Vec<TestServer>,
@@ -145,7 +146,7 @@
     /// Limiter and deadline of requests whose client has given up; kept for as long as an attempt may still
     /// arrive.
     abandoned: HashMap<u64, (usize, f64)>,
-    quota_stores: Vec<Store>,
+    quota_stores: Vec<TokenBucket>,
     usual_customers: usize,
     within_quota: HashMap<u64, bool>,
     worth_within_quota: HashMap<u64, f64>,
@@ -201,7 +202,7 @@
 
     fn record_violation(&mut self, rule: Rule, what: String) {
         let now = self.now();
-        self.oracle.saw(rule, now, what);
+        self.oracle.record_violation(rule, now, what);
     }
 }
 
@@ -247,9 +248,9 @@
     // Discards the panic of an earlier run on this thread.
     drop(tasks::take_panic());
     judges.push(Box::new(NothingAfterDeadline { slack_ms: OBSERVATION_SLACK_MS }));
-    judges.push(Box::new(OneWordAnAsk::default()));
-    judges.push(Box::new(OneUnderANumber::default()));
-    judges.push(Box::new(PartsWithinWhole::default()));
+    judges.push(Box::new(OneReplyPerAsk::default()));
+    judges.push(Box::new(OneActorPerNumber::default()));
+    judges.push(Box::new(SharesWithinTotal::default()));
     let started = Instant::now();
     let count = scenario.limiters.count as usize;
     let (servers, listeners) = servers::open(scenario, seed).await?;
@@ -262,13 +263,13 @@
         started,
         start_unix_ms: 0.0,
         clients: Clients::new(scenario, seed, BEGIN_MS),
-        oracle: Oracle::from_afar(scenario, BEGIN_MS),
-        judges: Judges::new(judges),
+        oracle: Oracle::with_delayed_observation(scenario, BEGIN_MS),
+        judges: InvariantSet::new(judges),
         recorder: Recorder::new(scenario, BEGIN_MS),
         outcomes: Outcomes::default(),
         arrivals: Arrivals::new(
             scenario,
-            &servers.iter().map(|server| server.simulation.model().speed).collect::<Vec<_>>(),
+            &servers.iter().map(|server| server.simulation.parameters().speed).collect::<Vec<_>>(),
         ),
         lateness: Lateness::new(MAX_OWN_LATENESS_MS),
         descriptors: 0,
@@ -293,7 +294,7 @@
         failure: None,
         scenario: scenario.clone(),
     };
-    state.usual_customers = state.clients.firms().len();
+    state.usual_customers = state.clients.customers().len();
     for group in 0..links.group_count() {
         links.announce(group, &state.server_list(&links, group));
     }
@@ -314,14 +315,14 @@
         files,
     });
     let weak_environment = Rc::downgrade(&environment);
-    environment.datagrams.set_observer(Box::new(move |from, to, given, body| {
+    environment.datagrams.set_observer(Box::new(move |from, to, delivered, body| {
         let (Some(environment), Some(lines)) = (weak_environment.upgrade(), fawnhill::line_kinds(body))
         else {
             return;
         };
         let mut state = environment.state.borrow_mut();
         let now = state.now();
-        state.judges.see(now, &Seen::Words { from, to, given, lines: &lines });
+        state.judges.observe(now, &Observation::Datagram { from, to, delivered, lines: &lines });
     }));
     spawn_local(servers::record_received_lists(environment.clone()));
     start_all(&environment).await?;
@@ -355,7 +356,7 @@
         if let Some(failure) = environment.state.borrow_mut().failure.take() {
             return Err(failure);
         }
-        let over = environment.state.borrow().clients.open() == 0;
+        let over = environment.state.borrow().clients.open_requests() == 0;
         if started.elapsed() > last + FINAL_ANSWERS_TIMEOUT || (started.elapsed() > last && over) {
             break;
         }
@@ -369,7 +370,8 @@
     let state = &mut *guard;
     let scenario = state.scenario.clone();
     let mut recorder = std::mem::replace(&mut state.recorder, Recorder::new(&scenario, BEGIN_MS));
-    recorder.done_ms = state.servers.iter().map(|server| server.simulation.done_ms()).sum();
+    recorder.completed_work_ms =
+        state.servers.iter().map(|server| server.simulation.completed_work_ms()).sum();
     state.outcomes.killed_taken = state.killed_before_sending.len() as u64;
     let counts = environment.datagrams.counts();
     let lost = counts.lost;
@@ -382,7 +384,8 @@
         cpu_ms.push(limiter.cpu_ms + now.map_or(0.0, |u| u.cpu_ms));
         memory_mb.extend(now.map(|u| u.memory_mb));
     }
-    let (figures, seconds) = recorder.finish(seed, state.oracle.broken(), state.oracle.count(), 0);
+    let (figures, seconds) =
+        recorder.finish(seed, state.oracle.violations(), state.oracle.violation_count(), 0);
     let fleet = Fleet {
         outcomes: state.outcomes.clone(),
         words: counts,
@@ -463,14 +466,16 @@
                     if let (Some(duty), Some(fence)) =
                         (text("duty"), fields.get("number").and_then(|n| n.as_u64()))
                     {
-                        state.judges.see(now, &Seen::Acts { limiter, duty, number: fence });
+                        state.judges.observe(now, &Observation::Acts { limiter, duty, number: fence });
                     }
                 }
                 Some("holds") => {
                     let figures = (text("budget"), number("part"), number("whole"), number("for_ms"));
                     if let (Some(budget), Some(part), Some(whole), Some(for_ms)) = figures {
                         let until = now + for_ms;
-                        state.judges.see(now, &Seen::Holds { limiter, budget, part, whole, until });
+                        state
+                            .judges
+                            .observe(now, &Observation::Holds { limiter, budget, part, whole, until });
                     }
                 }
                 _ => {}
@@ -498,23 +503,25 @@
     let now = state.now();
     let (mut busy, mut held) = (Vec::new(), Vec::new());
     for (n, server) in state.servers.iter_mut().enumerate() {
-        let done = server.simulation.done_ms();
-        busy.push(((done - server.last_busy_ms) / (server.simulation.model().capacity() * 1000.0)) as f32);
+        let done = server.simulation.completed_work_ms();
+        busy.push(
+            ((done - server.last_busy_ms) / (server.simulation.parameters().capacity() * 1000.0)) as f32,
+        );
         held.push(server.simulation.held() as f32);
         server.last_busy_ms = done;
-        let fit = server.condition == Condition::Serving && server.simulation.share(now) >= 1.0;
-        let seen = Seen::Load {
+        let ready = server.condition == Condition::Serving && server.simulation.share(now) >= 1.0;
+        let seen = Observation::Load {
             node: n,
-            fit,
+            ready,
             held: server.simulation.held(),
-            slots: server.simulation.model().slots,
+            slots: server.simulation.parameters().slots,
         };
-        state.judges.see(now, &seen);
-        state.arrivals.end_second(n, fit);
+        state.judges.observe(now, &seen);
+        state.arrivals.end_second(n, ready);
     }
     state.recorder.tick(now, busy, held);
     state.descriptors = state.descriptors.max(crate::figures::own_descriptors());
-    state.oracle.sweep(now);
+    state.oracle.expire_effects(now);
     state.abandoned.retain(|_, (_, deadline)| now - *deadline < 60_000.0);
     for n in 0..state.limiters.len() {
         let limiter = &mut state.limiters[n];
@@ -527,7 +534,7 @@
         if let Some(status) = exit_status {
             limiter.process = None;
             state.outcomes.crashes += 1;
-            state.judges.see(now, &Seen::Died { limiter: n });
+            state.judges.observe(now, &Observation::LimiterExited { limiter: n });
             let what = format!("limiter {n} ended by itself: {status}");
             state.record_violation(Rule::Answer, what);
         }
--- a/crates/faults/src/environment/servers.rs
+++ b/crates/faults/src/environment/servers.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use marldeal_rehearsal::node::{CalledOff, Done, Job, Turned};
+use marldeal_rehearsal::server_model::{Cancellation, Completion, Job, Rejection};
 use tokio::net::TcpStream;
 
 use super::*;
@@ -31,7 +31,7 @@
         let addr = listener.local_addr().map_err(port_error)?;
         listeners.push(listener);
         servers.push(TestServer {
-            simulation: Node::warm(scenario.model(speed), BEGIN_MS),
+            simulation: ServerModel::warm(scenario.model(speed), BEGIN_MS),
             id: format!("node-{index}"),
             addr,
             zone: index % scenario.buildings,
@@ -111,11 +111,11 @@
         let now = state.now();
         let server = &mut state.servers[self.index];
         if server.waiting.remove(&self.key).is_some() {
-            let cancellation = server.simulation.call_off(now, self.key);
-            if cancellation != CalledOff::RunsOn {
-                state.oracle.leaves(now, self.job, self.repeat, false);
+            let cancellation = server.simulation.cancel(now, self.key);
+            if cancellation != Cancellation::RunsOn {
+                state.oracle.attempt_left_server(now, self.job, self.repeat, false);
             }
-            state.oracle.ended(self.try_id, self.sent, Outcome::Cancelled);
+            state.oracle.attempt_ended(self.try_id, self.sent, Outcome::Cancelled);
             state.servers[self.index].changed.notify_one();
         }
     }
@@ -139,7 +139,7 @@
         let known = state
             .sent_requests
             .get(&try_id)
-            .map(|s| (s.request.job, s.request.class, s.request.work, s.request.firm));
+            .map(|s| (s.request.job, s.request.class, s.request.work, s.request.customer));
         let (job, class, work, firm) = known.unwrap_or((try_id, 0, state.scenario.classes[0].work_ms, 0));
         state.recorder.attempts += 1;
         state.arrivals.record(index);
@@ -153,23 +153,26 @@
             let stopped = !state.is_accountable(limiter, deadline - 60_000.0);
             // An attempt that the test environment itself delayed is not held against the limiter.
             if state.lateness.last_exceeded < deadline {
-                state.judges.see(now, &Seen::Arrived { node: index, try_id, limiter, deadline, stopped });
+                state
+                    .judges
+                    .observe(now, &Observation::Arrived { node: index, try_id, limiter, deadline, stopped });
             }
         }
         if known.is_some() {
-            if let Some(inside) = state.oracle.sent(now, try_id, index) {
-                state.recorder.sent(state.clients.firms()[firm].plan, class, inside);
+            if let Some(inside) = state.oracle.attempt_sent(now, try_id, index) {
+                state.recorder.try_sent_on(state.clients.customers()[firm].plan, class, inside);
                 let units = state.scenario.classes[class].units;
                 state.outcomes.units[0] += units;
                 state.outcomes.units[1] += if inside { 0.0 } else { units };
                 *state.within_quota.entry(job).or_insert(false) |= inside;
             }
         }
-        let repeat = state.oracle.arrives(now, job, class);
+        let repeat = state.oracle.attempt_arrived(now, job, class);
         state.next_attempt += 1;
         let key = state.next_attempt;
         let server = &mut state.servers[index];
-        let work_item = Job { key, work: if repeat { REPEAT_MS } else { work }, told: server.start_notified };
+        let work_item =
+            Job { key, work: if repeat { REPEAT_MS } else { work }, sender_notified: server.start_notified };
         match server.simulation.arrive(now, work_item, fresh) {
             Ok(()) => {
                 let (done, outcome) = oneshot::channel();
@@ -188,12 +191,13 @@
                 (held, outcome)
             }
             Err(rejection) => {
-                state.oracle.leaves(now, job, repeat, false);
-                let outcome = if rejection == Turned::Full { Outcome::Full } else { Outcome::Severed };
-                state.oracle.ended(try_id, now, outcome);
-                if rejection == Turned::Fell {
-                    let share = state.servers[index].simulation.fall().map_or(0.0, |f| f.told_share);
-                    state.oracle.fell(now, index, share);
+                state.oracle.attempt_left_server(now, job, repeat, false);
+                let outcome = if rejection == Rejection::Full { Outcome::Full } else { Outcome::Severed };
+                state.oracle.attempt_ended(try_id, now, outcome);
+                if rejection == Rejection::Overloaded {
+                    let share =
+                        state.servers[index].simulation.overload_failure().map_or(0.0, |f| f.notified_share);
+                    state.oracle.server_overloaded(now, index, share);
                     state.recorder.falls += 1;
                     end_process(&environment, state, index);
                 }
@@ -206,10 +210,10 @@
     let outcome = outcome.await.unwrap_or(Outcome::Severed);
     held.completed = true;
     let mut state = environment.state.borrow_mut();
-    state.oracle.ended(try_id, held.sent, outcome);
+    state.oracle.attempt_ended(try_id, held.sent, outcome);
     if outcome == Outcome::Ok {
         let work = state.sent_requests.get(&try_id).map_or(0.0, |s| s.request.work);
-        state.recorder.useful_ms += if held.repeat { REPEAT_MS } else { work };
+        state.recorder.useful_work_ms += if held.repeat { REPEAT_MS } else { work };
     }
     drop(state);
     response_for(outcome)
@@ -244,7 +248,7 @@
         let mut guard = environment.state.borrow_mut();
         let state = &mut *guard;
         let now = state.now();
-        let mut done: Vec<Done> = Vec::new();
+        let mut done: Vec<Completion> = Vec::new();
         let server = &mut state.servers[index];
         server.simulation.due(now, &mut done);
         for d in done {
@@ -296,7 +300,7 @@
     let now = state.now();
     for group in 0..environment.links.group_count() {
         if state.discovery_silences[group] > 0
-            || !environment.datagrams.network.borrow().told(environment.links.building(group))
+            || !environment.datagrams.network.borrow().discovery_reaches(environment.links.building(group))
         {
             continue;
         }
@@ -310,7 +314,7 @@
         for index in 0..state.servers.len() {
             let takes = state.servers[index].condition == Condition::Serving;
             for limiter in environment.links.limiters(group) {
-                state.oracle.told(now, limiter, index, takes);
+                state.oracle.server_notice(now, limiter, index, takes);
             }
         }
     }
@@ -334,7 +338,7 @@
             let id = state.servers[index].id.as_str();
             let takes = servers.iter().any(|s| s["id"] == id && s["state"] == "active");
             for limiter in environment.links.limiters(group) {
-                state.oracle.told(now, limiter, index, takes);
+                state.oracle.server_notice(now, limiter, index, takes);
             }
         }
         state.mark_starts_notified();
--- a/crates/faults/src/environment/timeline.rs
+++ b/crates/faults/src/environment/timeline.rs
@@ -37,7 +37,7 @@
         change(&mut guard, now);
         environment.clients_changed.notify_one();
     };
-    environment.datagrams.network.borrow_mut().begins(index, &t);
+    environment.datagrams.network.borrow_mut().begin_fault(index, &t);
     environment.links.start_fault(index, &t, &nodes);
     let seconds = |s: Option<f64>| Duration::from_secs_f64(s.unwrap_or(0.0));
     match t.what {
@@ -117,7 +117,7 @@
     }
     tokio::time::sleep_until(until).await;
     if t.what != What::Cut {
-        environment.datagrams.network.borrow_mut().ends(index, &t);
+        environment.datagrams.network.borrow_mut().end_fault(index, &t);
     }
     environment.links.end_fault(index, &t, &nodes);
     match t.what {
@@ -138,7 +138,7 @@
             announce(&environment);
         }
         What::Cut => {
-            environment.datagrams.network.borrow_mut().ends(index, &t);
+            environment.datagrams.network.borrow_mut().end_fault(index, &t);
             environment.links.apply_cuts(&environment.datagrams.network.borrow());
             announce(&environment);
         }
@@ -236,8 +236,8 @@
     {
         let mut state = environment.state.borrow_mut();
         let now = state.now();
-        state.oracle.died(limiter);
-        state.judges.see(now, &Seen::Died { limiter });
+        state.oracle.limiter_exited(limiter);
+        state.judges.observe(now, &Observation::LimiterExited { limiter });
     }
     tokio::time::sleep(down).await;
     let config = environment.state.borrow().configs[limiter].clone();
--- a/crates/rehearsal/src/account.rs
+++ b/crates/rehearsal/src/account.rs
@@ -102,12 +102,12 @@
     }
 
     /// A request has come whole.
-    pub fn taken(&mut self, now: Millis, limiter: usize, id: RequestId) {
+    pub fn request_received(&mut self, now: Millis, limiter: usize, id: RequestId) {
         self.waits.insert((limiter, id), Wait { taken: now, asked: None, word: None });
     }
 
     /// A limiter has sent a message.
-    pub fn sent(&mut self, now: Millis, limiter: usize, bytes: usize, lines: &[LineKind]) {
+    pub fn message_sent(&mut self, now: Millis, limiter: usize, bytes: usize, lines: &[LineKind]) {
         if self.counts(now) {
             let out = &mut self.limiters[limiter].out;
             *out = [out[0] + 1, out[1] + bytes as u64];
@@ -122,7 +122,7 @@
     }
 
     /// A limiter has taken a message in.
-    pub fn heard(&mut self, now: Millis, limiter: usize, bytes: usize, lines: &[LineKind]) {
+    pub fn message_received(&mut self, now: Millis, limiter: usize, bytes: usize, lines: &[LineKind]) {
         if self.counts(now) {
             let heard = &mut self.limiters[limiter].heard;
             *heard = [heard[0] + 1, heard[1] + bytes as u64];
@@ -137,14 +137,20 @@
     }
 
     /// A limiter has heard of changes of the roster.
-    pub fn changed(&mut self, now: Millis, limiter: usize, entries: usize) {
+    pub fn server_list_changed(&mut self, now: Millis, limiter: usize, entries: usize) {
         if self.counts(now) {
             self.limiters[limiter].changes += entries as u64;
         }
     }
 
     /// The first attempt of a request goes out; on a new connection after a round trip.
-    pub fn goes_out(&mut self, now: Millis, limiter: usize, id: RequestId, round_trip: Option<Millis>) {
+    pub fn first_attempt_sent(
+        &mut self,
+        now: Millis,
+        limiter: usize,
+        id: RequestId,
+        round_trip: Option<Millis>,
+    ) {
         let Some(wait) = self.waits.remove(&(limiter, id)) else { return };
         // One whose word never came has waited for it until its own part decided.
         let (ask, word) = wait.asked.map_or((0.0, 0.0), |asked| {
@@ -162,7 +168,7 @@
     }
 
     /// A request has its final answer, or is given up.
-    pub fn over(&mut self, now: Millis, limiter: usize, id: RequestId, refused: bool) {
+    pub fn request_finished(&mut self, now: Millis, limiter: usize, id: RequestId, refused: bool) {
         if let Some(wait) = self.waits.remove(&(limiter, id)).filter(|_| refused) {
             self.note(5, now - wait.taken);
         }
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,6 +1,6 @@
-//! Member firms and their dispatch programs: who asks when, for what, at which limiter, and what a client does next.
+//! Member customers and their dispatch programs: who asks when, for what, at which limiter, and what a client does next.
 //!
-//! Open loop: arrivals are decided by the seed alone and wait for no answer. It sends nothing itself: [`Say`] tells
+//! Open loop: arrivals are decided by the seed alone and wait for no answer. It sends nothing itself: [`ClientAction`] tells
 //! what a client does, and the host, a virtual network or sockets, carries it out.
 
 use std::cmp::Reverse;
@@ -14,11 +14,11 @@
 use crate::draws::{self, Stream};
 use crate::scenario::{Repeats, Scenario, MOST_FIRMS};
 
-/// A member firm.
+/// A member customer.
 #[derive(Debug, Clone)]
-pub struct Firm {
+pub struct Customer {
     /// Its number, the same at every limiter.
-    pub customer: CustomerId,
+    pub id: CustomerId,
     /// Its plan.
     pub plan: usize,
     /// How many limiters get its requests...
@@ -55,7 +55,7 @@
     /// Which request: the same for a client's further tries.
     pub job: u64,
     /// Whose.
-    pub firm: usize,
+    pub customer: usize,
     /// Its class.
     pub class: usize,
     /// At which limiter.
@@ -72,7 +72,7 @@
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum ClientOutcome {
     /// Served.
     Served,
     /// Refused, and not asked again.
@@ -80,41 +80,41 @@
     /// Failed, or nobody was reached, and not asked again.
     Failed,
     /// The client left without an answer.
-    Left,
+    Disconnected,
 }
 
 /// What a client does.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Say {
+pub enum ClientAction {
     /// Sends a try.
     Send(Try),
     /// Closes the connection of a try.
-    Leave(u64),
+    Disconnect(u64),
     /// A request is over.
-    Over {
+    Finished {
         /// Its last try.
         last: Try,
         /// How.
-        how: End,
+        outcome: ClientOutcome,
     },
 }
 
 /// What came of a try.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Got {
+pub enum TryResult {
     /// A limiter's final answer.
     Answer(Answer),
     /// No connection, or it broke: no limiter answers.
-    Nothing,
+    NoAnswer,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Moment {
-    Arrives { firm: u32, turn: u32 },
+    Arrives { customer: u32, turn: u32 },
     Again { slot: u32, job: u64 },
     Patience { slot: u32, try_id: u64 },
-    Moody { firm: u32, on: bool },
-    Shift { firm: u32 },
+    Moody { customer: u32, on: bool },
+    Shift { customer: u32 },
     Stranger,
 }
 
@@ -129,7 +129,7 @@
 /// All clients.
 pub struct Clients {
     scenario: Scenario,
-    firms: Vec<Firm>,
+    customers: Vec<Customer>,
     moments: BinaryHeap<Reverse<(u64, u64, Moment)>>,
     number: u64,
     /// Requests that are open, by slot; a slot is used again.
@@ -149,14 +149,14 @@
 const USUAL_USE: [f64; 2] = [0.1, 0.6];
 /// Firms that use nearly all.
 const FULL_USE: f64 = 0.95;
-/// Seconds of a greedy firm's spells, and of the times between.
+/// Seconds of a greedy customer's spells, and of the times between.
 const SPELL_S: [f64; 2] = [10.0, 30.0];
-/// Seconds between the moments of a flash firm.
+/// Seconds between the moments of a flash customer.
 const FLASH_EVERY_S: [f64; 2] = [8.0, 30.0];
 /// An answer that is on its way when the time is up is still taken.
 pub const ANSWER_SLACK_MS: Millis = 50.0;
-/// Numbers of firms begin here; those of strangers at `STRANGERS`.
-const FIRST_FIRM: CustomerId = 1000;
+/// Numbers of customers begin here; those of strangers at `STRANGERS`.
+const FIRST_CUSTOMER: CustomerId = 1000;
 const STRANGERS: CustomerId = 1 << 32;
 
 /// Moments are ordered as whole nanoseconds.
@@ -169,7 +169,7 @@
     pub fn new(scenario: &Scenario, seed: u64, from: Millis) -> Clients {
         let mut clients = Clients {
             scenario: scenario.clone(),
-            firms: Vec::new(),
+            customers: Vec::new(),
             moments: BinaryHeap::new(),
             number: 0,
             open: Vec::new(),
@@ -182,11 +182,11 @@
             usual: 0,
         };
         clients.enlist(seed, from);
-        clients.usual = clients.firms.len();
+        clients.usual = clients.customers.len();
         clients
     }
 
-    /// Draws firms, plan by plan, until their use inside the quotas comes to what the scenario wants.
+    /// Draws customers, plan by plan, until their use inside the quotas comes to what the scenario wants.
     fn enlist(&mut self, seed: u64, from: Millis) {
         let units_per_s = self.scenario.requests_per_s() * self.scenario.mean(|c| c.units);
         let c = self.scenario.clients.clone();
@@ -194,8 +194,8 @@
             let wanted = units_per_s * self.scenario.plan_share(plan);
             let rate = self.scenario.plans[plan].rate;
             let mut used = 0.0;
-            while used < wanted && self.firms.len() < MOST_FIRMS {
-                let index = self.firms.len() as u64;
+            while used < wanted && self.customers.len() < MOST_FIRMS {
+                let index = self.customers.len() as u64;
                 let mut rng = draws::stream(seed, "firm", index);
                 let kind = rng.random::<f64>();
                 let usual = draws::between(&mut rng, USUAL_USE);
@@ -209,7 +209,7 @@
                 } else {
                     (usual, Mood::Even)
                 };
-                // The last firm of a plan asks for what is still wanted.
+                // The last customer of a plan asks for what is still wanted.
                 let asks = (share * rate).min(wanted - used).max(0.02 * rate);
                 used += asks;
                 let spread =
@@ -218,8 +218,8 @@
                 let first = (rng.random::<f64>() * f64::from(limiters)) as u32 % limiters;
                 // A stream of its own: the rest of the draws stay as they are without proxies.
                 let proxied = draws::chance(&mut draws::stream(seed, "proxied", index), c.proxied);
-                self.firms.push(Firm {
-                    customer: FIRST_FIRM + index,
+                self.customers.push(Customer {
+                    id: FIRST_CUSTOMER + index,
                     proxied,
                     plan,
                     spread: spread.min(limiters).min(4),
@@ -234,51 +234,51 @@
                 });
             }
         }
-        for firm in 0..self.firms.len() {
-            self.deal(from, firm);
-            self.draw(from, firm);
-            let every = match self.firms[firm].mood {
+        for customer in 0..self.customers.len() {
+            self.deal(from, customer);
+            self.draw(from, customer);
+            let every = match self.customers[customer].mood {
                 Mood::Even => continue,
                 Mood::Greedy(_) => SPELL_S,
                 Mood::Flash(_) => FLASH_EVERY_S,
             };
-            let wait = draws::between(&mut self.firms[firm].rng, [0.0, every[1]]);
-            self.note(from + wait * 1000.0, Moment::Moody { firm: firm as u32, on: true });
+            let wait = draws::between(&mut self.customers[customer].rng, [0.0, every[1]]);
+            self.note(from + wait * 1000.0, Moment::Moody { customer: customer as u32, on: true });
         }
     }
 
-    /// The firms, by number.
-    pub fn firms(&self) -> &[Firm] {
-        &self.firms
+    /// The customers, by number.
+    pub fn customers(&self) -> &[Customer] {
+        &self.customers
     }
 
     /// Requests that are not over.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.slots.len()
     }
 
-    /// All firms, or those of a plan, ask for so many times as much; 1 ends it.
+    /// All customers, or those of a plan, ask for so many times as much; 1 ends it.
     pub fn surge(&mut self, now: Millis, plan: Option<usize>, times: f64) {
-        for firm in 0..self.usual {
-            if plan.is_none_or(|p| p == self.firms[firm].plan) {
-                self.firms[firm].surge = times;
-                self.draw(now, firm);
+        for customer in 0..self.usual {
+            if plan.is_none_or(|p| p == self.customers[customer].plan) {
+                self.customers[customer].surge = times;
+                self.draw(now, customer);
             }
         }
     }
 
-    /// The last `firms` firms of the list (they are of the last plan) add `share` to all traffic; 0 ends it.
-    pub fn flood(&mut self, now: Millis, firms: u32, share: f64) {
-        let total: f64 = self.firms[..self.usual].iter().map(|f| f.asks).sum();
-        let some: Vec<usize> = (0..self.usual).rev().take(firms as usize).collect();
-        for firm in &some {
-            let asks = self.firms[*firm].asks;
-            self.firms[*firm].surge = 1.0 + total * share / (some.len() as f64 * asks);
-            self.draw(now, *firm);
+    /// The last `customers` customers of the list (they are of the last plan) add `share` to all traffic; 0 ends it.
+    pub fn flood(&mut self, now: Millis, customers: u32, share: f64) {
+        let total: f64 = self.customers[..self.usual].iter().map(|f| f.asks).sum();
+        let some: Vec<usize> = (0..self.usual).rev().take(customers as usize).collect();
+        for customer in &some {
+            let asks = self.customers[*customer].asks;
+            self.customers[*customer].surge = 1.0 + total * share / (some.len() as f64 * asks);
+            self.draw(now, *customer);
         }
     }
 
-    /// Requests of firms that nobody has seen come at a rate, on a plan; nothing ends it.
+    /// Requests of customers that nobody has seen come at a rate, on a plan; nothing ends it.
     pub fn strangers(&mut self, now: Millis, strangers: Option<(f64, usize)>) {
         let before = std::mem::replace(&mut self.strangers, strangers);
         if before.is_none() && strangers.is_some() {
@@ -292,33 +292,33 @@
     }
 
     /// Does what is due.
-    pub fn due(&mut self, now: Millis, out: &mut Vec<Say>) {
+    pub fn due(&mut self, now: Millis, out: &mut Vec<ClientAction>) {
         while self.moments.peek().is_some_and(|Reverse((at, ..))| *at as f64 / 1e6 <= now) {
             let Some(Reverse((_, _, moment))) = self.moments.pop() else { return };
             match moment {
-                Moment::Arrives { firm, turn } => self.arrives(now, firm as usize, turn, out),
+                Moment::Arrives { customer, turn } => self.arrives(now, customer as usize, turn, out),
                 Moment::Again { slot, job } => self.again(now, slot, job, out),
                 Moment::Patience { slot, try_id } => self.leaves(now, slot, try_id, out),
-                Moment::Moody { firm, on } => self.moody(now, firm as usize, on),
-                Moment::Shift { firm } => self.deal(now, firm as usize),
+                Moment::Moody { customer, on } => self.moody(now, customer as usize, on),
+                Moment::Shift { customer } => self.deal(now, customer as usize),
                 Moment::Stranger => self.stranger(now, out),
             }
         }
     }
 
     /// A try has come to its end.
-    pub fn got(&mut self, now: Millis, try_id: u64, got: Got, out: &mut Vec<Say>) {
+    pub fn try_ended(&mut self, now: Millis, try_id: u64, got: TryResult, out: &mut Vec<ClientAction>) {
         let Some(slot) = self.slots.get(&try_id).copied() else { return };
         let Some(open) = self.open[slot as usize].as_ref() else { return };
         let current = open.current.clone();
         let class = &self.scenario.classes[current.class];
-        let (advice, how, may) = match got {
-            Got::Answer(Answer::Served) => return self.over(slot, End::Served, out),
-            Got::Answer(Answer::Refused { retry_ms }) => (retry_ms, End::Refused, true),
+        let (advice, outcome, may) = match got {
+            TryResult::Answer(Answer::Served) => return self.over(slot, ClientOutcome::Served, out),
+            TryResult::Answer(Answer::Refused { retry_ms }) => (retry_ms, ClientOutcome::Refused, true),
             // What may have run is asked again only if a repeat does no harm.
-            Got::Answer(Answer::Failed) | Got::Nothing => {
+            TryResult::Answer(Answer::Failed) | TryResult::NoAnswer => {
                 let keyed = class.repeats == Repeats::Keyed && now - current.asked < class.window_s * 1000.0;
-                (0.0, End::Failed, class.repeats == Repeats::Safe || keyed)
+                (0.0, ClientOutcome::Failed, class.repeats == Repeats::Safe || keyed)
             }
         };
         let until = open.until;
@@ -329,7 +329,7 @@
             wait = wait.max(advice);
         }
         if !may || current.turn >= c.retries || now + wait >= until {
-            return self.over(slot, how, out);
+            return self.over(slot, outcome, out);
         }
         self.slots.remove(&try_id);
         // Kept under a number that no answer names, until it is sent again.
@@ -352,10 +352,10 @@
         self.moments.push(Reverse((nanos(at), self.number, moment)));
     }
 
-    /// Draws a firm's next arrival, in place of one drawn before: Poisson arrivals have no memory.
-    fn draw(&mut self, now: Millis, firm: usize) {
+    /// Draws a customer's next arrival, in place of one drawn before: Poisson arrivals have no memory.
+    fn draw(&mut self, now: Millis, customer: usize) {
         let units = self.scenario.mean(|c| c.units);
-        let f = &mut self.firms[firm];
+        let f = &mut self.customers[customer];
         f.turn = f.turn.wrapping_add(1);
         let per_ms = f.asks * f.times * f.surge / units / 1000.0;
         if per_ms <= 0.0 {
@@ -363,14 +363,14 @@
         }
         let (at, turn) = (now + draws::gap(&mut f.rng, per_ms), f.turn);
         if at < self.end {
-            self.note(at, Moment::Arrives { firm: firm as u32, turn });
+            self.note(at, Moment::Arrives { customer: customer as u32, turn });
         }
     }
 
-    /// Deals a firm's requests out anew: one of its limiters gets the most.
-    fn deal(&mut self, now: Millis, firm: usize) {
+    /// Deals a customer's requests out anew: one of its limiters gets the most.
+    fn deal(&mut self, now: Millis, customer: usize) {
         let shift = self.scenario.clients.shift_s;
-        let f = &mut self.firms[firm];
+        let f = &mut self.customers[customer];
         let spread = f.spread as usize;
         let mut parts = [0.0; 4];
         for part in &mut parts[..spread] {
@@ -385,14 +385,14 @@
         }
         let at = now + draws::between(&mut f.rng, shift) * 1000.0;
         if spread > 1 && at < self.end {
-            self.note(at, Moment::Shift { firm: firm as u32 });
+            self.note(at, Moment::Shift { customer: customer as u32 });
         }
     }
 
-    fn moody(&mut self, now: Millis, firm: usize, on: bool) {
+    fn moody(&mut self, now: Millis, customer: usize, on: bool) {
         let flash_s = self.scenario.clients.flash_s;
-        let rate = self.scenario.plans[self.firms[firm].plan].rate;
-        let f = &mut self.firms[firm];
+        let rate = self.scenario.plans[self.customers[customer].plan].rate;
+        let f = &mut self.customers[customer];
         let (times, lasts, rests) = match f.mood {
             Mood::Even => return,
             Mood::Greedy(times) => (times, SPELL_S, SPELL_S),
@@ -400,21 +400,21 @@
         };
         f.times = if on { times * rate / f.asks } else { 1.0 };
         let next = draws::between(&mut f.rng, if on { lasts } else { rests });
-        self.draw(now, firm);
-        self.note(now + next * 1000.0, Moment::Moody { firm: firm as u32, on: !on });
+        self.draw(now, customer);
+        self.note(now + next * 1000.0, Moment::Moody { customer: customer as u32, on: !on });
     }
 
-    fn stranger(&mut self, now: Millis, out: &mut Vec<Say>) {
+    fn stranger(&mut self, now: Millis, out: &mut Vec<ClientAction>) {
         let Some((per_s, plan)) = self.strangers else { return };
-        if now >= self.end || self.firms.len() >= MOST_FIRMS {
+        if now >= self.end || self.customers.len() >= MOST_FIRMS {
             return;
         }
-        let index = self.firms.len();
+        let index = self.customers.len();
         let limiters = self.scenario.limiters.count;
         let first = (self.rng.random::<f64>() * f64::from(limiters)) as u32 % limiters;
         let rng = draws::stream(self.next, "stranger", index as u64);
-        self.firms.push(Firm {
-            customer: STRANGERS + index as u64,
+        self.customers.push(Customer {
+            id: STRANGERS + index as u64,
             proxied: false,
             plan,
             spread: 1,
@@ -432,15 +432,15 @@
         self.note(at, Moment::Stranger);
     }
 
-    fn arrives(&mut self, now: Millis, firm: usize, turn: u32, out: &mut Vec<Say>) {
-        if self.firms[firm].turn == turn {
-            self.asks(now, firm, out);
-            self.draw(now, firm);
+    fn arrives(&mut self, now: Millis, customer: usize, turn: u32, out: &mut Vec<ClientAction>) {
+        if self.customers[customer].turn == turn {
+            self.asks(now, customer, out);
+            self.draw(now, customer);
         }
     }
 
-    fn asks(&mut self, now: Millis, firm: usize, out: &mut Vec<Say>) {
-        let f = &mut self.firms[firm];
+    fn asks(&mut self, now: Millis, customer: usize, out: &mut Vec<ClientAction>) {
+        let f = &mut self.customers[customer];
         let shares: f64 = self.scenario.classes.iter().map(|c| c.share).sum();
         let mut pick = f.rng.random::<f64>() * shares;
         let class = self.scenario.classes.iter().position(|c| {
@@ -451,7 +451,8 @@
         let work = draws::work(&mut f.rng, self.scenario.nodes.law, self.scenario.classes[class].work_ms);
         let give_up = self.scenario.classes[class].give_up_s * 1000.0;
         let job = self.number_try();
-        let first = Try { id: 0, job, firm, class, limiter: 0, work, budget_ms: 0.0, asked: now, turn: 0 };
+        let first =
+            Try { id: 0, job, customer, class, limiter: 0, work, budget_ms: 0.0, asked: now, turn: 0 };
         let slot = self.free.pop().unwrap_or_else(|| {
             self.open.push(None);
             self.open.len() as u32 - 1
@@ -460,7 +461,7 @@
         self.send(now, slot, out);
     }
 
-    fn again(&mut self, now: Millis, slot: u32, job: u64, out: &mut Vec<Say>) {
+    fn again(&mut self, now: Millis, slot: u32, job: u64, out: &mut Vec<ClientAction>) {
         let Some(open) = self.open[slot as usize].as_mut().filter(|o| o.waits && o.current.job == job) else {
             return;
         };
@@ -470,11 +471,11 @@
         self.send(now, slot, out);
     }
 
-    fn send(&mut self, now: Millis, slot: u32, out: &mut Vec<Say>) {
+    fn send(&mut self, now: Millis, slot: u32, out: &mut Vec<ClientAction>) {
         let id = self.number_try();
         let c = &self.scenario.clients;
         let Some(open) = self.open[slot as usize].as_mut() else { return };
-        let f = &mut self.firms[open.current.firm];
+        let f = &mut self.customers[open.current.customer];
         let pick = f.rng.random::<f64>();
         let at = f.dealt.iter().position(|share| pick < *share).unwrap_or(0) as u32;
         let limiter = (f.first + at.min(f.spread - 1)) % self.scenario.limiters.count;
@@ -490,22 +491,22 @@
         }
         let said = open.current.clone();
         self.slots.insert(id, slot);
-        out.push(Say::Send(said));
+        out.push(ClientAction::Send(said));
         self.note(leaves, Moment::Patience { slot, try_id: id });
     }
 
-    fn leaves(&mut self, _now: Millis, slot: u32, try_id: u64, out: &mut Vec<Say>) {
+    fn leaves(&mut self, _now: Millis, slot: u32, try_id: u64, out: &mut Vec<ClientAction>) {
         if self.slots.get(&try_id) != Some(&slot) {
             return;
         }
-        out.push(Say::Leave(try_id));
-        self.over(slot, End::Left, out);
+        out.push(ClientAction::Disconnect(try_id));
+        self.over(slot, ClientOutcome::Disconnected, out);
     }
 
-    fn over(&mut self, slot: u32, how: End, out: &mut Vec<Say>) {
+    fn over(&mut self, slot: u32, outcome: ClientOutcome, out: &mut Vec<ClientAction>) {
         let Some(open) = self.open[slot as usize].take() else { return };
         self.slots.remove(&open.current.id);
         self.free.push(slot);
-        out.push(Say::Over { last: open.current, how });
+        out.push(ClientAction::Finished { last: open.current, outcome });
     }
 }
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::account::{Added, Control};
-use crate::clients::{End, Try};
-use crate::rules::Broken;
+use crate::clients::{ClientOutcome, Try};
+use crate::rules::Violation;
 use crate::scenario::Scenario;
 
-/// Requests by how they ended.
+/// Number of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ends {
+pub struct OutcomeCounts {
     /// Asked for by clients, each once.
     pub asked: u64,
     /// Served in the wanted time.
@@ -28,13 +28,13 @@
 
 /// A plan's part.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct ByPlan {
+pub struct PlanFigures {
     /// Its name.
     pub plan: String,
     /// Worth served in time inside the quotas over worth asked for inside them.
     pub service: f64,
     /// Its requests.
-    pub ends: Ends,
+    pub ends: OutcomeCounts,
     /// Quantiles of the time to an answer, in milliseconds: 0.5, 0.9, 0.99, 0.999.
     pub latency_ms: [f64; 4],
 }
@@ -54,12 +54,12 @@
     pub worst_10s: f64,
     /// Of its worst-served plan.
     pub worst_plan: f64,
-    /// Deductions, in points of service: over quota, failing late, wasted work, messages, crossing buildings.
+    /// Deductions, in points of service: over quota, failing late, wasted work, messages, crossing zones.
     pub deductions: [f64; 5],
     /// All requests.
-    pub ends: Ends,
+    pub ends: OutcomeCounts,
     /// By plan.
-    pub plans: Vec<ByPlan>,
+    pub plans: Vec<PlanFigures>,
     /// Attempts sent to nodes.
     pub attempts: u64,
     /// Attempts a request that was sent on at all.
@@ -79,7 +79,7 @@
     /// Rules broken, in all.
     pub broken_count: u64,
     /// The first of them.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// Events that the world went through.
     pub events: u64,
     /// Time added to requests; the virtual world fills it.
@@ -96,7 +96,7 @@
     /// By plan: worth asked for inside the quotas in this second, and of that served in time.
     pub worth: Vec<[f64; 2]>,
     /// How requests ended in this second.
-    pub ends: Ends,
+    pub ends: OutcomeCounts,
     /// Time to an answer, in milliseconds: 0.5 and 0.99 quantiles.
     pub latency_ms: [f64; 2],
     /// By node: share of its warm capacity that was worked.
@@ -116,7 +116,7 @@
     seconds: Vec<Second>,
     now_ms: Vec<f64>,
     latencies: Vec<Histogram<u64>>,
-    ends: Vec<Ends>,
+    ends: Vec<OutcomeCounts>,
     over_cost: f64,
     asked_worth: f64,
     late_fails: f64,
@@ -125,17 +125,17 @@
     /// Tries that were sent on.
     pub tries_sent: u64,
     /// Attempts that left their limiter's building.
-    pub crossing: u64,
+    pub cross_zone_attempts: u64,
     /// Messages sent, and those that did not arrive.
     pub messages: [u64; 2],
     /// Their bytes.
     pub message_bytes: u64,
     /// Work whose answer was taken.
-    pub useful_ms: f64,
+    pub useful_work_ms: f64,
     /// Work done.
-    pub done_ms: f64,
+    pub completed_work_ms: f64,
     /// Work done for clients who had left by then.
-    pub nobody_ms: f64,
+    pub abandoned_work_ms: f64,
     /// Connections opened.
     pub connections: u64,
     /// Nodes fallen over.
@@ -166,18 +166,18 @@
             seconds: Vec::new(),
             now_ms: Vec::new(),
             latencies: (0..plans).map(|_| histogram()).collect(),
-            ends: vec![Ends::default(); plans],
+            ends: vec![OutcomeCounts::default(); plans],
             over_cost: 0.0,
             asked_worth: 0.0,
             late_fails: 0.0,
             attempts: 0,
             tries_sent: 0,
-            crossing: 0,
+            cross_zone_attempts: 0,
             messages: [0; 2],
             message_bytes: 0,
-            useful_ms: 0.0,
-            done_ms: 0.0,
-            nobody_ms: 0.0,
+            useful_work_ms: 0.0,
+            completed_work_ms: 0.0,
+            abandoned_work_ms: 0.0,
             connections: 0,
             falls: 0,
             scenario: scenario.clone(),
@@ -198,7 +198,7 @@
     }
 
     /// A client asks, for the first time; `inside`: one bucket that saw all would let it in.
-    pub fn asked(&mut self, now: Millis, plan: usize, class: usize, inside: bool) {
+    pub fn request_made(&mut self, now: Millis, plan: usize, class: usize, inside: bool) {
         let worth = self.scenario.classes[class].worth * self.scenario.plans[plan].price;
         self.ends[plan].asked += 1;
         self.asked_worth += worth;
@@ -210,12 +210,12 @@
     }
 
     /// A limiter takes a try.
-    pub fn taken(&mut self, now: Millis, limiter: usize) {
+    pub fn try_accepted(&mut self, now: Millis, limiter: usize) {
         self.second(now).taken[limiter] += 1.0;
     }
 
     /// A try is sent on for the first time.
-    pub fn sent(&mut self, plan: usize, class: usize, inside: bool) {
+    pub fn try_sent_on(&mut self, plan: usize, class: usize, inside: bool) {
         self.tries_sent += 1;
         if !inside {
             let p = &self.scenario.plans[plan];
@@ -224,7 +224,7 @@
     }
 
     /// A message goes to a limiter.
-    pub fn mailed(&mut self, now: Millis, bytes: usize, arrives: bool) {
+    pub fn message_sent(&mut self, now: Millis, bytes: usize, arrives: bool) {
         self.messages[0] += 1;
         self.messages[1] += u64::from(!arrives);
         self.message_bytes += bytes as u64;
@@ -232,21 +232,21 @@
     }
 
     /// A request is over for its client; `inside`: the try that was sent on was inside the quota.
-    pub fn over(&mut self, now: Millis, plan: usize, last: &Try, how: End, inside: bool) {
+    pub fn finished(&mut self, now: Millis, plan: usize, last: &Try, outcome: ClientOutcome, inside: bool) {
         let class = &self.scenario.classes[last.class];
         let worth = class.worth * self.scenario.plans[plan].price;
         let took = now - last.asked;
         let in_time = took <= class.aim_s * 1000.0;
-        let count = |ends: &mut Ends| match how {
-            End::Served if in_time => ends.in_time += 1,
-            End::Served => ends.late += 1,
-            End::Refused => ends.refused += 1,
-            End::Failed => ends.failed += 1,
-            End::Left => ends.left += 1,
+        let count = |ends: &mut OutcomeCounts| match outcome {
+            ClientOutcome::Served if in_time => ends.in_time += 1,
+            ClientOutcome::Served => ends.late += 1,
+            ClientOutcome::Refused => ends.refused += 1,
+            ClientOutcome::Failed => ends.failed += 1,
+            ClientOutcome::Disconnected => ends.left += 1,
         };
         count(&mut self.ends[plan]);
         count(&mut self.second(now).ends);
-        if how == End::Served {
+        if outcome == ClientOutcome::Served {
             let us = (took * 1000.0).round() as u64;
             let _ = self.latencies[plan].record(us.clamp(1, LONGEST_US));
             self.now_ms.push(took);
@@ -274,7 +274,7 @@
     pub fn finish(
         self,
         seed: u64,
-        broken: &[Broken],
+        broken: &[Violation],
         broken_count: u64,
         events: u64,
     ) -> (Figures, Vec<Second>) {
@@ -292,11 +292,11 @@
         let busy = (self.scenario.seconds.ceil() as usize).min(self.seconds.len());
         let window = 10.min(busy.max(1));
         let worst_10s = self.seconds[..busy].windows(window).map(|w| service(w).1).fold(whole, f64::min);
-        let by_plan: Vec<ByPlan> = (0..plans)
+        let by_plan: Vec<PlanFigures> = (0..plans)
             .map(|p| {
                 let (asked, served) = capped(&self.seconds, p);
                 let at = |q| self.latencies[p].value_at_quantile(q) as f64 / 1000.0;
-                ByPlan {
+                PlanFigures {
                     plan: self.scenario.plans[p].name.clone(),
                     service: over(served, asked),
                     ends: self.ends[p],
@@ -306,7 +306,7 @@
             .collect();
         let used = by_plan.iter().filter(|p| p.ends.asked > 0);
         let worst_plan = used.map(|p| p.service).fold(1.0, f64::min);
-        let ends = self.ends.iter().fold(Ends::default(), |s, e| Ends {
+        let ends = self.ends.iter().fold(OutcomeCounts::default(), |s, e| OutcomeCounts {
             asked: s.asked + e.asked,
             in_time: s.in_time + e.in_time,
             late: s.late + e.late,
@@ -319,9 +319,9 @@
         let deductions = [
             100.0 * if asked > 0.0 { self.over_cost / asked } else { 0.0 },
             5.0 * if self.asked_worth > 0.0 { self.late_fails / self.asked_worth } else { 0.0 },
-            3.0 * ((self.done_ms - self.useful_ms).max(0.0) / work),
+            3.0 * ((self.completed_work_ms - self.useful_work_ms).max(0.0) / work),
             2.0 * (self.message_bytes as f64 / FULL_MESSAGE / requests),
-            0.5 * (self.crossing as f64 / requests),
+            0.5 * (self.cross_zone_attempts as f64 / requests),
         ];
         let weighted = 0.65 * whole + 0.20 * worst_10s + 0.15 * worst_plan;
         let score = weighted - deductions.iter().sum::<f64>() / 100.0;
@@ -339,8 +339,16 @@
             attempts_a_try: over(self.attempts as f64, self.tries_sent as f64),
             messages: self.messages,
             message_bytes: self.message_bytes,
-            wasted: if self.done_ms > 0.0 { 1.0 - (self.useful_ms / self.done_ms).min(1.0) } else { 0.0 },
-            for_nobody: if self.done_ms > 0.0 { self.nobody_ms / self.done_ms } else { 0.0 },
+            wasted: if self.completed_work_ms > 0.0 {
+                1.0 - (self.useful_work_ms / self.completed_work_ms).min(1.0)
+            } else {
+                0.0
+            },
+            for_nobody: if self.completed_work_ms > 0.0 {
+                self.abandoned_work_ms / self.completed_work_ms
+            } else {
+                0.0
+            },
             connections: self.connections,
             falls: self.falls,
             broken_count,
--- a/crates/rehearsal/src/post.rs
+++ b/crates/rehearsal/src/network.rs
@@ -1,11 +1,11 @@
-//! What becomes of each datagram between two limiters: lost, late, twice, spoilt, or cut off. Each ordered pair is a way of
+//! What becomes of each datagram between two limiters: lost, late, twice, corruption, or cut off. Each ordered pair is a way of
 //! its own. No I/O and no clock: the virtual world and real processes ask the same machine.
 
 use fawnhill::Millis;
 use rand::RngExt;
 
 use crate::draws::{self, Stream};
-use crate::rules::Store;
+use crate::rules::TokenBucket;
 use crate::scenario::{Scenario, Trouble, What};
 
 /// One arrival of a datagram.
@@ -13,12 +13,12 @@
 pub struct Arrival {
     /// After so many milliseconds.
     pub after_ms: Millis,
-    /// One of its bytes is spoilt: which, as a share of its length, and by what.
-    pub spoilt: Option<(f64, u8)>,
+    /// One of its bytes is corruption: which, as a share of its length, and by what.
+    pub corruption: Option<(f64, u8)>,
 }
 
 /// The ways between limiters, and what is wrong with them now.
-pub struct Post {
+pub struct Network {
     mail_ms: [f64; 2],
     loss: f64,
     per_s: f64,
@@ -31,14 +31,14 @@
     /// What is wrong now, by its number in the timeline.
     wrong: Vec<(usize, Trouble)>,
     /// What each limiter may still take in.
-    room: Vec<Store>,
+    room: Vec<TokenBucket>,
 }
 
-impl Post {
+impl Network {
     /// The post of a scenario that begins at `from`.
-    pub fn new(scenario: &Scenario, from: Millis) -> Post {
+    pub fn new(scenario: &Scenario, from: Millis) -> Network {
         let per_s = scenario.limiters.messages_per_s;
-        Post {
+        Network {
             mail_ms: scenario.net.mail_ms,
             loss: scenario.net.mail_loss,
             per_s,
@@ -47,12 +47,12 @@
             cut: vec![0; scenario.buildings as usize],
             parted: vec![0; scenario.regions as usize],
             wrong: Vec::new(),
-            room: vec![Store::full(from, per_s); scenario.limiters.count as usize],
+            room: vec![TokenBucket::full(from, per_s); scenario.limiters.count as usize],
         }
     }
 
     /// A trouble of the timeline begins; those that have nothing to do with datagrams are passed over.
-    pub fn begins(&mut self, number: usize, trouble: &Trouble) {
+    pub fn begin_fault(&mut self, number: usize, trouble: &Trouble) {
         match trouble.what {
             What::Cut => self.cut[trouble.building.unwrap_or(0) as usize] += 1,
             What::Part => self.parted[trouble.region.unwrap_or(0) as usize] += 1,
@@ -64,7 +64,7 @@
     }
 
     /// It ends.
-    pub fn ends(&mut self, number: usize, trouble: &Trouble) {
+    pub fn end_fault(&mut self, number: usize, trouble: &Trouble) {
         if trouble.what == What::Cut {
             self.cut[trouble.building.unwrap_or(0) as usize] -= 1;
         }
@@ -91,18 +91,18 @@
     }
 
     /// Two buildings stand in different regions.
-    pub fn far(&self, a: u32, b: u32) -> bool {
+    pub fn in_different_regions(&self, a: u32, b: u32) -> bool {
         self.region(a) != self.region(b)
     }
 
     /// Discovery reaches a building.
-    pub fn told(&self, building: u32) -> bool {
+    pub fn discovery_reaches(&self, building: u32) -> bool {
         self.cut[building as usize] == 0
     }
 
     /// Discovery reaches a building with news of a node in another: not from a region that is parted from its own.
-    pub fn told_of(&self, building: u32, node: u32) -> bool {
-        self.told(building) && self.near(building, node)
+    pub fn discovery_reports(&self, building: u32, node: u32) -> bool {
+        self.discovery_reaches(building) && self.near(building, node)
     }
 
     /// The arrivals of a datagram that `from` sends to `to` now; none if it is lost.
@@ -127,21 +127,21 @@
         let copies = if draws::chance(rng, share(What::Twice)) { 2 } else { 1 };
         for _ in 0..copies {
             let mut after_ms = draws::between(rng, self.mail_ms);
-            if self.far(building(from), building(to)) {
+            if self.in_different_regions(building(from), building(to)) {
                 after_ms += draws::between(rng, self.far_ms);
             }
             for late in wrong(What::Late) {
                 after_ms += draws::between(rng, late.late_ms.unwrap_or([0.0, 0.0]));
             }
             // Never by 0: that would leave it whole.
-            let spoilt = draws::chance(rng, share(What::Garble))
+            let corruption = draws::chance(rng, share(What::Garble))
                 .then(|| (rng.random::<f64>(), 1 + (rng.random::<f64>() * 255.0) as u8));
-            out.push(Arrival { after_ms, spoilt });
+            out.push(Arrival { after_ms, corruption });
         }
     }
 
     /// A datagram has come to a limiter: false if that has taken in as many as it may.
-    pub fn takes_in(&mut self, now: Millis, to: usize) -> bool {
+    pub fn accepts(&mut self, now: Millis, to: usize) -> bool {
         self.room[to].take(now, self.per_s, self.per_s, 1.0)
     }
 }
@@ -149,7 +149,7 @@
 impl Arrival {
     /// What arrives of it.
     pub fn body(&self, mut body: Vec<u8>) -> Vec<u8> {
-        if let Some((place, by)) = self.spoilt {
+        if let Some((place, by)) = self.corruption {
             let at = (place * body.len() as f64) as usize;
             if let Some(byte) = body.get_mut(at) {
                 *byte ^= by;
@@ -165,18 +165,18 @@
 
     const MANY: usize = 4000;
 
-    fn post(timeline: &str) -> Post {
+    fn post(timeline: &str) -> Network {
         let text = format!("[limiters]\ncount = 6\n[net]\nmail_loss = 0.0\n{timeline}");
         let scenario = Scenario::read(&text).unwrap_or_else(|wrong| panic!("{wrong:?}"));
-        let mut post = Post::new(&scenario, 0.0);
+        let mut post = Network::new(&scenario, 0.0);
         for (n, t) in scenario.timeline.iter().enumerate() {
-            post.begins(n, t);
+            post.begin_fault(n, t);
         }
         post
     }
 
     /// Share of the datagrams that arrive, and the mean of their arrivals.
-    fn arrive(post: &Post, from: usize, to: usize) -> (f64, Vec<Arrival>) {
+    fn arrive(post: &Network, from: usize, to: usize) -> (f64, Vec<Arrival>) {
         let mut rng = draws::stream(3, "post", 0);
         let mut all = Vec::new();
         let mut came = 0;
@@ -215,11 +215,11 @@
         let (_, all) = arrive(&post, 0, 1);
         assert_eq!(all.len(), 2 * MANY);
         assert!(all.iter().all(|a| (501.0..=713.0).contains(&a.after_ms)));
-        let spoilt = all.iter().filter(|a| a.spoilt.is_some()).count() as f64 / all.len() as f64;
-        assert!((0.22..0.28).contains(&spoilt), "{spoilt}");
+        let corruption = all.iter().filter(|a| a.corruption.is_some()).count() as f64 / all.len() as f64;
+        assert!((0.22..0.28).contains(&corruption), "{corruption}");
         let whole = vec![7; 40];
         let differ = |a: &Arrival| a.body(whole.clone()).iter().filter(|b| **b != 7).count();
-        assert!(all.iter().all(|a| differ(a) == usize::from(a.spoilt.is_some())));
+        assert!(all.iter().all(|a| differ(a) == usize::from(a.corruption.is_some())));
     }
 
     #[test]
@@ -227,17 +227,22 @@
         let text = "buildings = 4\nregions = 2\n[limiters]\ncount = 8\n[net]\nmail_loss = 0.0\n\
                     mail_ms = [1.0, 2.0]\nfar_ms = [30.0, 40.0]\n[[timeline]]\nwhat = \"part\"\nregion = 1\nat_s = 0\nfor_s = 9\n";
         let scenario = Scenario::read(text).unwrap_or_else(|wrong| panic!("{wrong:?}"));
-        let mut post = Post::new(&scenario, 0.0);
+        let mut post = Network::new(&scenario, 0.0);
         // Buildings 0 and 2 stand in region 0, 1 and 3 in region 1.
         let (share, all) = arrive(&post, 0, 1);
         assert!(share == 1.0 && all.iter().all(|a| (31.0..=42.0).contains(&a.after_ms)));
         assert!(arrive(&post, 0, 2).1.iter().all(|a| a.after_ms <= 2.0));
-        post.begins(0, &scenario.timeline[0]);
+        post.begin_fault(0, &scenario.timeline[0]);
         assert_eq!((arrive(&post, 0, 1).0, arrive(&post, 1, 3).0, arrive(&post, 0, 2).0), (0.0, 1.0, 1.0));
         assert!(!post.reachable(0, 3) && post.reachable(1, 3) && post.reachable(0, 2));
-        assert!(post.told_of(1, 3) && !post.told_of(1, 2) && !post.told_of(0, 1) && post.told_of(0, 2));
-        post.ends(0, &scenario.timeline[0]);
-        assert!(post.reachable(0, 3) && post.told_of(1, 2) && arrive(&post, 0, 1).0 == 1.0);
+        assert!(
+            post.discovery_reports(1, 3)
+                && !post.discovery_reports(1, 2)
+                && !post.discovery_reports(0, 1)
+                && post.discovery_reports(0, 2)
+        );
+        post.end_fault(0, &scenario.timeline[0]);
+        assert!(post.reachable(0, 3) && post.discovery_reports(1, 2) && arrive(&post, 0, 1).0 == 1.0);
     }
 
     #[test]
@@ -247,10 +252,15 @@
              [[timeline]]\nwhat = \"lossy\"\nshare = 1.0\nat_s = 0\nfor_s = 9\n",
         )
         .expect("a scenario");
-        let mut post = Post::new(&scenario, 0.0);
-        scenario.timeline.iter().enumerate().for_each(|(n, t)| post.begins(n, t));
-        assert!(!post.reachable(0, 1) && post.reachable(0, 2) && !post.told(1) && post.told(2));
-        scenario.timeline.iter().enumerate().for_each(|(n, t)| post.ends(n, t));
+        let mut post = Network::new(&scenario, 0.0);
+        scenario.timeline.iter().enumerate().for_each(|(n, t)| post.begin_fault(n, t));
+        assert!(
+            !post.reachable(0, 1)
+                && post.reachable(0, 2)
+                && !post.discovery_reaches(1)
+                && post.discovery_reaches(2)
+        );
+        scenario.timeline.iter().enumerate().for_each(|(n, t)| post.end_fault(n, t));
         assert!(post.reachable(0, 1) && arrive(&post, 0, 1).0 > 0.9);
     }
 }
--- a/crates/rehearsal/src/observe.rs
+++ b/crates/rehearsal/src/observe.rs
@@ -8,7 +8,7 @@
 
 /// One thing that was seen from outside, or that a limiter told in its log.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Seen<'a> {
+pub enum Observation<'a> {
     /// An attempt has come whole to a node.
     Arrived {
         /// At which node.
@@ -22,14 +22,14 @@
         /// Its limiter was stopped, or starved, at some time since it took the try.
         stopped: bool,
     },
-    /// A datagram between limiters that the relay has taken from its sender, or given to its receiver.
-    Words {
+    /// A datagram between limiters that the relay has taken from its sender, or delivered to its receiver.
+    Datagram {
         /// Who sent it.
         from: usize,
         /// To whom.
         to: usize,
-        /// It was given to its receiver; else taken from its sender.
-        given: bool,
+        /// It was delivered to its receiver; else taken from its sender.
+        delivered: bool,
         /// What it says.
         lines: &'a [LineKind],
     },
@@ -38,7 +38,7 @@
         /// Which node.
         node: usize,
         /// It takes work, and is warm.
-        fit: bool,
+        ready: bool,
         /// Requests in work and waiting.
         held: usize,
         /// Requests that it works on side by side.
@@ -67,7 +67,7 @@
         until: Millis,
     },
     /// A limiter's process has ended.
-    Died {
+    LimiterExited {
         /// Which limiter.
         limiter: usize,
     },
@@ -89,12 +89,12 @@
     /// Its name, in words.
     fn name(&self) -> &'static str;
     /// Something was seen; what breaks the invariant, if it does.
-    fn see(&mut self, now: Millis, seen: &Seen<'_>) -> Option<String>;
+    fn observe(&mut self, now: Millis, seen: &Observation<'_>) -> Option<String>;
 }
 
 /// Several invariants and what was broken of them.
 #[derive(Default)]
-pub struct Judges {
+pub struct InvariantSet {
     all: Vec<Box<dyn Invariant>>,
     breaches: Vec<Breach>,
     count: u64,
@@ -103,16 +103,16 @@
 /// Most breaches that are written down.
 const MOST: usize = 100;
 
-impl Judges {
+impl InvariantSet {
     /// With these invariants.
-    pub fn new(all: Vec<Box<dyn Invariant>>) -> Judges {
-        Judges { all, ..Judges::default() }
+    pub fn new(all: Vec<Box<dyn Invariant>>) -> InvariantSet {
+        InvariantSet { all, ..InvariantSet::default() }
     }
 
     /// Tells all of them.
-    pub fn see(&mut self, now: Millis, seen: &Seen<'_>) {
+    pub fn observe(&mut self, now: Millis, seen: &Observation<'_>) {
         for judge in &mut self.all {
-            if let Some(what) = judge.see(now, seen) {
+            if let Some(what) = judge.observe(now, seen) {
                 self.count += 1;
                 if self.breaches.len() < MOST {
                     self.breaches.push(Breach { invariant: judge.name().into(), at_ms: now, what });
@@ -142,8 +142,8 @@
     fn name(&self) -> &'static str {
         "nothing is sent on after its deadline"
     }
-    fn see(&mut self, now: Millis, seen: &Seen<'_>) -> Option<String> {
-        let Seen::Arrived { node, try_id, limiter, deadline, stopped } = seen else { return None };
+    fn observe(&mut self, now: Millis, seen: &Observation<'_>) -> Option<String> {
+        let Observation::Arrived { node, try_id, limiter, deadline, stopped } = seen else { return None };
         let late = now - deadline;
         (late > self.slack_ms).then(|| {
             let how = if *stopped { ", which had been stopped" } else { "" };
@@ -156,7 +156,7 @@
 
 /// Each question that reaches a keeper is answered once at most: what was asked before a partition is not answered again.
 #[derive(Default)]
-pub struct OneWordAnAsk {
+pub struct OneReplyPerAsk {
     /// By keeper, asker and request: questions that reached the keeper and are not answered yet, and when the last did.
     asked: BTreeMap<(usize, usize, RequestId), (u32, Millis)>,
     swept: Millis,
@@ -165,20 +165,20 @@
 /// A question that is so old is answered no more: no request waits so long.
 const ASK_KEPT_MS: Millis = 60_000.0;
 
-impl Invariant for OneWordAnAsk {
+impl Invariant for OneReplyPerAsk {
     fn name(&self) -> &'static str {
         "each question is answered once"
     }
-    fn see(&mut self, now: Millis, seen: &Seen<'_>) -> Option<String> {
-        let Seen::Words { from, to, given, lines } = seen else { return None };
+    fn observe(&mut self, now: Millis, seen: &Observation<'_>) -> Option<String> {
+        let Observation::Datagram { from, to, delivered, lines } = seen else { return None };
         let mut broken = None;
         for line in *lines {
             match line {
-                LineKind::Ask(id) if *given => {
+                LineKind::Ask(id) if *delivered => {
                     let asked = self.asked.entry((*to, *from, *id)).or_insert((0, now));
                     *asked = (asked.0 + 1, now);
                 }
-                LineKind::Reply(id) if !given => match self.asked.get_mut(&(*from, *to, *id)) {
+                LineKind::Reply(id) if !delivered => match self.asked.get_mut(&(*from, *to, *id)) {
                     Some((waiting @ 1.., _)) => *waiting -= 1,
                     _ => {
                         let what = format!(
@@ -200,16 +200,16 @@
 
 /// At most one limiter acts for a duty under a number, and numbers never fall.
 #[derive(Default)]
-pub struct OneUnderANumber {
+pub struct OneActorPerNumber {
     last: BTreeMap<String, (u64, usize)>,
 }
 
-impl Invariant for OneUnderANumber {
+impl Invariant for OneActorPerNumber {
     fn name(&self) -> &'static str {
         "at most one acts under a number"
     }
-    fn see(&mut self, _: Millis, seen: &Seen<'_>) -> Option<String> {
-        let Seen::Acts { limiter, duty, number } = seen else { return None };
+    fn observe(&mut self, _: Millis, seen: &Observation<'_>) -> Option<String> {
+        let Observation::Acts { limiter, duty, number } = seen else { return None };
         let last = self.last.get(*duty).copied();
         match last {
             Some((n, who)) if *number == n && who != *limiter => {
@@ -228,20 +228,20 @@
 
 /// The parts of a budget that limiters may act on at one moment never sum to more than the whole.
 #[derive(Default)]
-pub struct PartsWithinWhole {
+pub struct SharesWithinTotal {
     held: BTreeMap<String, BTreeMap<usize, (f64, Millis)>>,
 }
 
 /// Rounding of sums.
 const NOTHING: f64 = 1e-6;
 
-impl Invariant for PartsWithinWhole {
+impl Invariant for SharesWithinTotal {
     fn name(&self) -> &'static str {
         "parts never sum to more than the whole"
     }
-    fn see(&mut self, now: Millis, seen: &Seen<'_>) -> Option<String> {
+    fn observe(&mut self, now: Millis, seen: &Observation<'_>) -> Option<String> {
         match seen {
-            Seen::Holds { limiter, budget, part, whole, until } => {
+            Observation::Holds { limiter, budget, part, whole, until } => {
                 let parts = self.held.entry((*budget).to_string()).or_default();
                 parts.insert(*limiter, (*part, *until));
                 parts.retain(|_, (part, until)| *part > 0.0 && *until > now);
@@ -250,7 +250,7 @@
                     .then(|| format!("{budget}: {} limiters hold {sum:.3} of {whole:.3}", parts.len()))
             }
             // What it held is lost until its end: nobody acts on it.
-            Seen::Died { limiter } => {
+            Observation::LimiterExited { limiter } => {
                 for parts in self.held.values_mut() {
                     parts.remove(limiter);
                 }
@@ -261,34 +261,34 @@
     }
 }
 
-/// No fit server is idle for long while others queue.
-pub struct NoneIdle {
+/// No ready server is idle for long while others queue.
+pub struct NoIdleServer {
     /// For how long it may be.
     pub for_ms: Millis,
     nodes: BTreeMap<usize, (bool, usize, usize, Option<Millis>)>,
 }
 
-impl NoneIdle {
+impl NoIdleServer {
     /// One that allows so many milliseconds.
-    pub fn new(for_ms: Millis) -> NoneIdle {
-        NoneIdle { for_ms, nodes: BTreeMap::new() }
+    pub fn new(for_ms: Millis) -> NoIdleServer {
+        NoIdleServer { for_ms, nodes: BTreeMap::new() }
     }
 }
 
-impl Invariant for NoneIdle {
+impl Invariant for NoIdleServer {
     fn name(&self) -> &'static str {
         "no server idle while others queue"
     }
-    fn see(&mut self, now: Millis, seen: &Seen<'_>) -> Option<String> {
-        let Seen::Load { node, fit, held, slots } = seen else { return None };
+    fn observe(&mut self, now: Millis, seen: &Observation<'_>) -> Option<String> {
+        let Observation::Load { node, ready, held, slots } = seen else { return None };
         let queues = self.nodes.iter().any(|(n, (_, held, slots, _))| n != node && held > slots);
-        let idle = *fit && *held == 0 && queues;
+        let idle = *ready && *held == 0 && queues;
         let since = self.nodes.get(node).and_then(|n| n.3);
         let since = if idle { since.or(Some(now)) } else { None };
         let broken = since.filter(|s| now - s > self.for_ms);
         // Told once; it counts anew from here.
         let kept = if broken.is_some() { Some(now) } else { since };
-        self.nodes.insert(*node, (*fit, *held, *slots, kept));
+        self.nodes.insert(*node, (*ready, *held, *slots, kept));
         broken.map(|s| format!("node {node} has been idle for {:.0} ms while others queue", now - s))
     }
 }
@@ -297,32 +297,34 @@
 mod tests {
     use super::*;
 
-    fn told(judge: &mut dyn Invariant, seen: &[(Millis, Seen<'_>)]) -> Vec<String> {
-        seen.iter().filter_map(|(at, seen)| judge.see(*at, seen)).collect()
+    fn told(judge: &mut dyn Invariant, seen: &[(Millis, Observation<'_>)]) -> Vec<String> {
+        seen.iter().filter_map(|(at, seen)| judge.observe(*at, seen)).collect()
     }
 
     #[test]
     fn two_under_one_number_and_a_number_that_falls_are_seen() {
-        let acts = |limiter, number| (0.0, Seen::Acts { limiter, duty: "registry", number });
+        let acts = |limiter, number| (0.0, Observation::Acts { limiter, duty: "registry", number });
         let good = [acts(1, 4), acts(1, 4), acts(2, 5), acts(1, 6)];
-        assert!(told(&mut OneUnderANumber::default(), &good).is_empty());
-        let bad = told(&mut OneUnderANumber::default(), &[acts(1, 4), acts(2, 4), acts(2, 5), acts(1, 4)]);
+        assert!(told(&mut OneActorPerNumber::default(), &good).is_empty());
+        let bad = told(&mut OneActorPerNumber::default(), &[acts(1, 4), acts(2, 4), acts(2, 5), acts(1, 4)]);
         assert_eq!(bad.len(), 2, "{bad:?}");
         assert!(bad[0].contains("both act under 4") && bad[1].contains("acts under 4 after"), "{bad:?}");
     }
 
     #[test]
     fn a_question_that_came_twice_may_be_answered_twice_and_no_more() {
-        let words = |at: Millis, from, to, given, lines| (at, Seen::Words { from, to, given, lines });
+        let words = |at: Millis, from, to, delivered, lines| {
+            (at, Observation::Datagram { from, to, delivered, lines })
+        };
         let (ask, word) = ([LineKind::Ask(7)], [LineKind::Reply(7)]);
         let good =
             [words(0.0, 1, 2, true, &ask), words(1.0, 1, 2, true, &ask), words(2.0, 2, 1, false, &word)];
-        let mut judge = OneWordAnAsk::default();
+        let mut judge = OneReplyPerAsk::default();
         assert!(told(&mut judge, &good).is_empty());
         assert!(told(&mut judge, &[words(3.0, 2, 1, false, &word)]).is_empty());
         assert_eq!(told(&mut judge, &[words(4.0, 2, 1, false, &word)]).len(), 1);
         // A question that was lost on its way is no question.
-        let mut judge = OneWordAnAsk::default();
+        let mut judge = OneReplyPerAsk::default();
         let lost = [words(0.0, 1, 2, false, &ask), words(1.0, 2, 1, false, &word)];
         assert_eq!(told(&mut judge, &lost).len(), 1);
     }
@@ -330,31 +332,31 @@
     #[test]
     fn parts_count_until_their_end_and_no_longer() {
         let holds = |at, limiter, part, until| {
-            (at, Seen::Holds { limiter, budget: "retries", part, whole: 10.0, until })
+            (at, Observation::Holds { limiter, budget: "retries", part, whole: 10.0, until })
         };
-        let mut judge = PartsWithinWhole::default();
+        let mut judge = SharesWithinTotal::default();
         assert!(told(&mut judge, &[holds(0.0, 1, 6.0, 100.0), holds(50.0, 2, 4.0, 500.0)]).is_empty());
         assert_eq!(told(&mut judge, &[holds(99.0, 3, 1.0, 900.0)]).len(), 1);
         assert!(told(&mut judge, &[holds(101.0, 3, 6.0, 900.0)]).is_empty(), "the first has ended");
-        let mut judge = PartsWithinWhole::default();
-        let died = (1.0, Seen::Died { limiter: 1 });
+        let mut judge = SharesWithinTotal::default();
+        let died = (1.0, Observation::LimiterExited { limiter: 1 });
         assert!(told(&mut judge, &[holds(0.0, 1, 9.0, 1e9), died, holds(2.0, 2, 9.0, 1e9)]).is_empty());
     }
 
     #[test]
     fn an_idle_node_counts_only_while_another_queues() {
-        let load = |at, node, held| (at, Seen::Load { node, fit: true, held, slots: 4 });
+        let load = |at, node, held| (at, Observation::Load { node, ready: true, held, slots: 4 });
         let calm = [load(0.0, 0, 0), load(0.0, 1, 3), load(9000.0, 0, 0), load(9000.0, 1, 4)];
-        assert!(told(&mut NoneIdle::new(2000.0), &calm).is_empty());
+        assert!(told(&mut NoIdleServer::new(2000.0), &calm).is_empty());
         let bad =
             [load(0.0, 1, 9), load(0.0, 0, 0), load(1000.0, 0, 0), load(3000.0, 0, 0), load(4000.0, 0, 1)];
-        assert_eq!(told(&mut NoneIdle::new(2000.0), &bad).len(), 1);
+        assert_eq!(told(&mut NoIdleServer::new(2000.0), &bad).len(), 1);
     }
 
     #[test]
     fn an_attempt_after_its_deadline_is_seen_beyond_the_slack() {
         let arrived = |at: Millis| {
-            (at, Seen::Arrived { node: 0, try_id: 7, limiter: 2, deadline: 100.0, stopped: true })
+            (at, Observation::Arrived { node: 0, try_id: 7, limiter: 2, deadline: 100.0, stopped: true })
         };
         let mut judge = NothingAfterDeadline { slack_ms: 50.0 };
         assert!(told(&mut judge, &[arrived(149.0)]).is_empty());
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -29,7 +29,7 @@
 
 /// A rule that was broken.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Broken {
+pub struct Violation {
     /// Which.
     pub rule: Rule,
     /// When, in seconds of the scenario.
@@ -40,15 +40,15 @@
 
 /// A store of units that starts full, fills at a rate and holds so much at most.
 #[derive(Debug, Clone, Copy)]
-pub struct Store {
+pub struct TokenBucket {
     level: f64,
     at: Millis,
 }
 
-impl Store {
+impl TokenBucket {
     /// A store that is full.
-    pub fn full(now: Millis, level: f64) -> Store {
-        Store { level, at: now }
+    pub fn full(now: Millis, level: f64) -> TokenBucket {
+        TokenBucket { level, at: now }
     }
 
     fn filled(&self, now: Millis, rate: f64, most: f64) -> f64 {
@@ -59,28 +59,28 @@
     pub fn take(&mut self, now: Millis, rate: f64, most: f64, units: f64) -> bool {
         let level = self.filled(now, rate, most);
         let holds = level + 1e-9 >= units;
-        *self = Store { level: level - if holds { units } else { 0.0 }, at: now };
+        *self = TokenBucket { level: level - if holds { units } else { 0.0 }, at: now };
         holds
     }
 
     /// Takes units whether it holds them or not; what is left.
     pub fn draw(&mut self, now: Millis, rate: f64, most: f64, units: f64) -> f64 {
-        *self = Store { level: self.filled(now, rate, most) - units, at: now };
+        *self = TokenBucket { level: self.filled(now, rate, most) - units, at: now };
         self.level
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Firm {
+struct Customer {
     plan: u32,
-    quota: Store,
-    ceiling: Store,
+    quota: TokenBucket,
+    ceiling: TokenBucket,
 }
 
 #[derive(Debug, Clone)]
 struct Open {
     class: usize,
-    firm: usize,
+    customer: usize,
     limiter: usize,
     deadline: Millis,
     sent: bool,
@@ -105,7 +105,7 @@
 /// Rule 1.1 of the brief: grace after the notice.
 const DRAIN_GRACE_MS: Millis = 1000.0;
 /// How much later an oracle on sockets may see what a limiter did.
-pub const AFAR_MS: Millis = 150.0;
+pub const OBSERVATION_DELAY_MS: Millis = 150.0;
 /// Share of the pushes by limiters who were told of the start, from which a fall is theirs.
 const TOLD_SHARE: f64 = 2.0 / 3.0;
 
@@ -113,15 +113,15 @@
 pub struct Oracle {
     scenario: Scenario,
     from: Millis,
-    firms: Vec<Firm>,
+    customers: Vec<Customer>,
     tries: FxHashMap<u64, Open>,
     effects: FxHashMap<u64, Effect>,
     /// By limiter and node: since when it is told that the node takes nothing new.
     told: Vec<Vec<Option<Millis>>>,
-    broken: Vec<Broken>,
+    broken: Vec<Violation>,
     count: u64,
     /// Attempts are seen where they arrive, a little late and not always in their order.
-    from_afar: bool,
+    delayed_observation: bool,
 }
 
 impl Oracle {
@@ -130,36 +130,36 @@
         let nodes = scenario.nodes.count as usize;
         Oracle {
             from,
-            firms: Vec::new(),
+            customers: Vec::new(),
             tries: FxHashMap::default(),
             effects: FxHashMap::default(),
             told: vec![vec![None; nodes]; scenario.limiters.count as usize],
             broken: Vec::new(),
             count: 0,
-            from_afar: false,
+            delayed_observation: false,
             scenario: scenario.clone(),
         }
     }
 
-    /// An oracle that sees attempts when they arrive at nodes: its clock is wider by [`AFAR_MS`], and it does not judge
+    /// An oracle that sees attempts when they arrive at nodes: its clock is wider by [`OBSERVATION_DELAY_MS`], and it does not judge
     /// whether one attempt was over before the next began.
-    pub fn from_afar(scenario: &Scenario, from: Millis) -> Oracle {
-        Oracle { from_afar: true, ..Oracle::new(scenario, from) }
+    pub fn with_delayed_observation(scenario: &Scenario, from: Millis) -> Oracle {
+        Oracle { delayed_observation: true, ..Oracle::new(scenario, from) }
     }
 
-    fn afar_ms(&self) -> Millis {
-        if self.from_afar {
-            AFAR_MS
+    fn observation_delay_ms(&self) -> Millis {
+        if self.delayed_observation {
+            OBSERVATION_DELAY_MS
         } else {
             0.0
         }
     }
 
-    /// The next firm, in the order of their numbers, is on that plan; its stores are full.
-    pub fn enlist(&mut self, now: Millis, plan: usize) {
-        let quota = Store::full(now, self.scenario.quota(plan).1);
-        let ceiling = Store::full(now, self.ceiling(plan).1);
-        self.firms.push(Firm { plan: plan as u32, quota, ceiling });
+    /// The next customer, in the order of their numbers, is on that plan; its stores are full.
+    pub fn add_customer(&mut self, now: Millis, plan: usize) {
+        let quota = TokenBucket::full(now, self.scenario.quota(plan).1);
+        let ceiling = TokenBucket::full(now, self.ceiling(plan).1);
+        self.customers.push(Customer { plan: plan as u32, quota, ceiling });
     }
 
     fn ceiling(&self, plan: usize) -> (f64, f64, f64) {
@@ -172,30 +172,37 @@
     fn breaks(&mut self, rule: Rule, now: Millis, what: String) {
         self.count += 1;
         if self.broken.len() < MOST {
-            self.broken.push(Broken { rule, at_s: (now - self.from) / 1000.0, what });
+            self.broken.push(Violation { rule, at_s: (now - self.from) / 1000.0, what });
         }
     }
 
     /// Somebody else has seen that a rule was broken.
-    pub fn saw(&mut self, rule: Rule, now: Millis, what: String) {
+    pub fn record_violation(&mut self, rule: Rule, now: Millis, what: String) {
         self.breaks(rule, now, what);
     }
 
     /// What was broken so far, the first ones.
-    pub fn broken(&self) -> &[Broken] {
+    pub fn violations(&self) -> &[Violation] {
         &self.broken
     }
 
     /// How often a rule was broken.
-    pub fn count(&self) -> u64 {
+    pub fn violation_count(&self) -> u64 {
         self.count
     }
 
     /// A limiter has taken a try.
-    pub fn taken(&mut self, try_id: u64, firm: usize, class: usize, limiter: usize, deadline: Millis) {
+    pub fn try_accepted(
+        &mut self,
+        try_id: u64,
+        customer: usize,
+        class: usize,
+        limiter: usize,
+        deadline: Millis,
+    ) {
         let open = Open {
             class,
-            firm,
+            customer,
             limiter,
             deadline,
             sent: false,
@@ -208,16 +215,16 @@
     }
 
     /// An attempt goes out; true if the try's units were inside the quota, nothing for a further attempt.
-    pub fn sent(&mut self, now: Millis, try_id: u64, node: usize) -> Option<bool> {
-        if self.from_afar && !self.tries.contains_key(&try_id) {
+    pub fn attempt_sent(&mut self, now: Millis, try_id: u64, node: usize) -> Option<bool> {
+        if self.delayed_observation && !self.tries.contains_key(&try_id) {
             return None;
         }
         let Some(open) = self.tries.get_mut(&try_id) else {
             self.breaks(Rule::Answer, now, format!("try {try_id}: sent on though it is over"));
             return None;
         };
-        let (limiter, firm, class) = (open.limiter, open.firm, open.class);
-        let excused = open.excused || self.from_afar;
+        let (limiter, customer, class) = (open.limiter, open.customer, open.class);
+        let excused = open.excused || self.delayed_observation;
         let (answered, beside, since) = (open.answered && !excused, open.out > 0, open.may_have_run);
         let first = !std::mem::replace(&mut open.sent, true);
         open.out += 1;
@@ -228,7 +235,7 @@
                 format!("limiter {limiter}, try {try_id}: sent on after its answer"),
             );
         }
-        if beside && !self.from_afar {
+        if beside && !self.delayed_observation {
             self.breaks(
                 Rule::Effect,
                 now,
@@ -248,24 +255,26 @@
             );
             self.breaks(Rule::Effect, now, what);
         }
-        if let Some(told) = self.told[limiter][node].filter(|t| now - t > DRAIN_GRACE_MS + self.afar_ms()) {
+        if let Some(told) =
+            self.told[limiter][node].filter(|t| now - t > DRAIN_GRACE_MS + self.observation_delay_ms())
+        {
             let what =
                 format!("limiter {limiter}: sends to node {node} {:.0} ms after the notice", now - told);
             self.breaks(Rule::Drain, now, what);
         }
-        first.then(|| self.draw(now, firm, class))
+        first.then(|| self.draw(now, customer, class))
     }
 
-    fn draw(&mut self, now: Millis, firm: usize, class: usize) -> bool {
-        let plan = self.firms[firm].plan as usize;
+    fn draw(&mut self, now: Millis, customer: usize, class: usize) -> bool {
+        let plan = self.customers[customer].plan as usize;
         let units = self.scenario.classes[class].units;
         let (rate, most) = self.scenario.quota(plan);
-        let inside = self.firms[firm].quota.take(now, rate, most, units);
+        let inside = self.customers[customer].quota.take(now, rate, most, units);
         if self.scenario.plans[plan].ceiling > 0.0 {
             let (rate, most, slack) = self.ceiling(plan);
-            let left = self.firms[firm].ceiling.draw(now, rate, most, units);
-            if left < -slack - rate * self.afar_ms() / 1000.0 - 1e-6 {
-                let what = format!("firm {firm}: {:.1} units past its ceiling, slack {slack:.1}", -left);
+            let left = self.customers[customer].ceiling.draw(now, rate, most, units);
+            if left < -slack - rate * self.observation_delay_ms() / 1000.0 - 1e-6 {
+                let what = format!("firm {customer}: {:.1} units past its ceiling, slack {slack:.1}", -left);
                 self.breaks(Rule::Ceiling, now, what);
             }
         }
@@ -273,7 +282,7 @@
     }
 
     /// An attempt's outcome has come to its limiter.
-    pub fn ended(&mut self, try_id: u64, sent: Millis, outcome: Outcome) {
+    pub fn attempt_ended(&mut self, try_id: u64, sent: Millis, outcome: Outcome) {
         let Some(open) = self.tries.get_mut(&try_id) else { return };
         open.out = open.out.saturating_sub(1);
         if !matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent) {
@@ -283,7 +292,7 @@
     }
 
     /// A limiter gives its final answer. `excused`: it has stood still, and could not in time.
-    pub fn answered(&mut self, now: Millis, try_id: u64, answer: Answer, excused: bool) {
+    pub fn try_answered(&mut self, now: Millis, try_id: u64, answer: Answer, excused: bool) {
         let Some(open) = self.tries.get_mut(&try_id) else {
             if excused {
                 return;
@@ -299,7 +308,7 @@
         if again {
             self.breaks(Rule::Answer, now, format!("limiter {limiter}, try {try_id}: a second final answer"));
         }
-        if late > ANSWER_SLACK_MS + self.afar_ms() && !excused {
+        if late > ANSWER_SLACK_MS + self.observation_delay_ms() && !excused {
             self.breaks(
                 Rule::Answer,
                 now,
@@ -318,11 +327,11 @@
 
     /// The client closes its connection. `excused`: its limiter was killed, or did not run in that time. What the limiter
     /// does until it hears of that is not its fault.
-    pub fn leaves_now(&mut self, now: Millis, try_id: u64, excused: bool) {
-        let afar_ms = self.afar_ms();
+    pub fn client_disconnected(&mut self, now: Millis, try_id: u64, excused: bool) {
+        let observation_delay_ms = self.observation_delay_ms();
         let Some(open) = self.tries.get_mut(&try_id) else { return };
         let (limiter, late) = (open.limiter, now - open.deadline);
-        let overdue = !open.answered && !excused && late >= ANSWER_SLACK_MS + afar_ms - 1.0;
+        let overdue = !open.answered && !excused && late >= ANSWER_SLACK_MS + observation_delay_ms - 1.0;
         open.excused = true;
         if overdue {
             self.breaks(
@@ -334,7 +343,7 @@
     }
 
     /// The limiter hears that the client is gone.
-    pub fn gone(&mut self, try_id: u64) {
+    pub fn disconnect_received(&mut self, try_id: u64) {
         let Some(open) = self.tries.get_mut(&try_id) else { return };
         (open.answered, open.excused) = (true, false);
         self.close(try_id);
@@ -347,29 +356,29 @@
     }
 
     /// A limiter has died: what it held is the clients' to ask again.
-    pub fn died(&mut self, limiter: usize) {
+    pub fn limiter_exited(&mut self, limiter: usize) {
         self.tries.retain(|_, open| open.limiter != limiter);
     }
 
     /// A limiter is told whether a node takes new work.
-    pub fn told(&mut self, now: Millis, limiter: usize, node: usize, takes: bool) {
+    pub fn server_notice(&mut self, now: Millis, limiter: usize, node: usize, takes: bool) {
         let told = &mut self.told[limiter][node];
         *told = if takes { None } else { told.or(Some(now)) };
     }
 
     /// A node has fallen over.
-    pub fn fell(&mut self, now: Millis, node: usize, told_share: f64) {
-        if told_share >= TOLD_SHARE {
+    pub fn server_overloaded(&mut self, now: Millis, node: usize, notified_share: f64) {
+        if notified_share >= TOLD_SHARE {
             let what = format!(
                 "node {node}: pushed over while cold, {:.0}% by limiters who knew",
-                told_share * 100.0
+                notified_share * 100.0
             );
             self.breaks(Rule::Cold, now, what);
         }
     }
 
     /// A request reaches a node: true if the node drops it as the repeat of one that it, or another, has or had.
-    pub fn arrives(&mut self, now: Millis, job: u64, class: usize) -> bool {
+    pub fn attempt_arrived(&mut self, now: Millis, job: u64, class: usize) -> bool {
         let kind = &self.scenario.classes[class];
         if kind.repeats == Repeats::Safe {
             return false;
@@ -386,7 +395,7 @@
     }
 
     /// A node has done a request, or has let go of one (`ran` is false then).
-    pub fn leaves(&mut self, now: Millis, job: u64, repeat: bool, ran: bool) {
+    pub fn attempt_left_server(&mut self, now: Millis, job: u64, repeat: bool, ran: bool) {
         let Some(effect) = self.effects.get_mut(&job) else { return };
         effect.held = effect.held.saturating_sub(1);
         let twice = ran && !repeat && effect.ran;
@@ -401,7 +410,7 @@
     }
 
     /// Forgets effects that are too old to matter.
-    pub fn sweep(&mut self, now: Millis) {
+    pub fn expire_effects(&mut self, now: Millis) {
         let window =
             self.scenario.classes.iter().map(|c| c.window_s.max(c.give_up_s)).fold(0.0, f64::max) * 2000.0;
         self.effects.retain(|_, e| e.held > 0 || now - e.first < window);
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::draws::Law;
-use crate::node::Model;
+use crate::server_model::ServerParameters;
 
 /// A whole scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
@@ -529,9 +529,9 @@
     }
 
     /// A node of this scenario.
-    pub fn model(&self, speed: f64) -> Model {
+    pub fn model(&self, speed: f64) -> ServerParameters {
         let n = &self.nodes;
-        Model {
+        ServerParameters {
             cores: n.cores,
             slots: n.slots as usize,
             queue: n.queue as usize,
--- a/crates/rehearsal/src/node.rs
+++ b/crates/rehearsal/src/server_model.rs
@@ -1,4 +1,4 @@
-//! The model of a booking node: cores that share their time among requests in work, a bounded waiting room, a cold start
+//! The parameters of a booking node: cores that share their time among requests in work, a bounded waiting room, a cold start
 //! with falling over, pauses, and a table of connections.
 //!
 //! It knows no clock, no network and no limiter: the time is an argument. While `n` requests are in work, each gets
@@ -13,7 +13,7 @@
 
 /// What a node is made of.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Model {
+pub struct ServerParameters {
     /// Requests that progress at full speed side by side.
     pub cores: f64,
     /// Requests in work at most.
@@ -42,7 +42,7 @@
     pub cancel_stops: bool,
 }
 
-impl Model {
+impl ServerParameters {
     /// Work that it can do in a millisecond when warm.
     pub fn capacity(&self) -> f64 {
         self.cores * self.speed
@@ -57,23 +57,23 @@
     /// Milliseconds of work on one core.
     pub work: Millis,
     /// The sender had been told that this node started: counts for whose fault a fall is.
-    pub told: bool,
+    pub sender_notified: bool,
 }
 
 /// Why a request was not taken in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turned {
+pub enum Rejection {
     /// No room, or it drains: turned away unseen.
     Full,
     /// It has fallen over by this very request, and all that it held is lost.
-    Fell,
+    Overloaded,
     /// It does not run.
     Down,
 }
 
 /// What became of a request that was called off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CalledOff {
+pub enum Cancellation {
     /// It had not begun.
     Waiting,
     /// It had begun and stopped.
@@ -86,22 +86,22 @@
 
 /// A request that is done.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Done {
+pub struct Completion {
     /// Which.
     pub key: u64,
     /// The work that it took.
     pub work: Millis,
     /// It had been called off and ran on.
-    pub in_vain: bool,
+    pub cancelled: bool,
 }
 
 /// A fall: who had pushed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Fall {
+pub struct OverloadFailure {
     /// When.
     pub at: Millis,
     /// Share of the work that came from senders who had been told of its start.
-    pub told_share: f64,
+    pub notified_share: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -113,8 +113,8 @@
 
 /// One booking node.
 #[derive(Debug, Clone)]
-pub struct Node {
-    model: Model,
+pub struct ServerModel {
+    parameters: ServerParameters,
     running: bool,
     /// When it started; nothing for long ago (warm).
     started: Option<Millis>,
@@ -130,8 +130,8 @@
     at: Millis,
     connections: usize,
     pushes: VecDeque<(Millis, Millis, bool)>,
-    fall: Option<Fall>,
-    done_ms: f64,
+    fall: Option<OverloadFailure>,
+    completed_work_ms: f64,
 }
 
 /// Slack of the fall-over budget: this many mean pushes, "for chance".
@@ -139,11 +139,11 @@
 /// Rounding: a request with less work left than this is done.
 const NOTHING_MS: f64 = 1e-6;
 
-impl Node {
+impl ServerModel {
     /// A node that has run for long.
-    pub fn warm(model: Model, now: Millis) -> Node {
-        Node {
-            model,
+    pub fn warm(parameters: ServerParameters, now: Millis) -> ServerModel {
+        ServerModel {
+            parameters,
             running: true,
             started: None,
             drains: false,
@@ -156,13 +156,13 @@
             connections: 0,
             pushes: VecDeque::new(),
             fall: None,
-            done_ms: 0.0,
+            completed_work_ms: 0.0,
         }
     }
 
     /// What it is made of.
-    pub fn model(&self) -> &Model {
-        &self.model
+    pub fn parameters(&self) -> &ServerParameters {
+        &self.parameters
     }
 
     /// Its process runs.
@@ -181,12 +181,12 @@
     }
 
     /// Work done so far, in milliseconds of one core.
-    pub fn done_ms(&self) -> f64 {
-        self.done_ms
+    pub fn completed_work_ms(&self) -> f64 {
+        self.completed_work_ms
     }
 
     /// Its fall, if it fell since its last start.
-    pub fn fall(&self) -> Option<Fall> {
+    pub fn overload_failure(&self) -> Option<OverloadFailure> {
         self.fall
     }
 
@@ -228,13 +228,13 @@
     /// Share of its warm capacity that it has by its age alone.
     pub fn share(&self, now: Millis) -> f64 {
         let Some(age) = self.started.map(|s| now - s) else { return 1.0 };
-        let Model { cold_share, cold_ms, .. } = self.model;
+        let ServerParameters { cold_share, cold_ms, .. } = self.parameters;
         (cold_share + (1.0 - cold_share) * (age / cold_ms).clamp(0.0, 1.0)).min(1.0)
     }
 
     /// A new connection: false if its table is full or nobody listens. Costs it work.
     pub fn connect(&mut self, now: Millis) -> bool {
-        if !self.running || self.connections >= self.model.connections {
+        if !self.running || self.connections >= self.parameters.connections {
             return false;
         }
         self.settle(now);
@@ -249,19 +249,21 @@
     }
 
     /// A request has come whole; `handshake` adds the cost of its connection.
-    pub fn arrive(&mut self, now: Millis, mut job: Job, handshake: bool) -> Result<(), Turned> {
+    pub fn arrive(&mut self, now: Millis, mut job: Job, handshake: bool) -> Result<(), Rejection> {
         if !self.running {
-            return Err(Turned::Down);
+            return Err(Rejection::Down);
         }
         self.settle(now);
         if handshake {
-            job.work += self.model.handshake_ms;
+            job.work += self.parameters.handshake_ms;
         }
         if self.pushed(now, job) {
-            return Err(Turned::Fell);
+            return Err(Rejection::Overloaded);
         }
-        if self.drains || (self.working.len() >= self.model.slots && self.waiting.len() >= self.model.queue) {
-            return Err(Turned::Full);
+        if self.drains
+            || (self.working.len() >= self.parameters.slots && self.waiting.len() >= self.parameters.queue)
+        {
+            return Err(Rejection::Full);
         }
         self.waiting.push_back(job);
         self.fill();
@@ -269,31 +271,31 @@
     }
 
     /// Work that is still to be done for a request, 0 if it is not held.
-    pub fn work_left(&mut self, now: Millis, key: u64) -> Millis {
+    pub fn remaining_work(&mut self, now: Millis, key: u64) -> Millis {
         self.settle(now);
         let working = self.working.iter().find(|w| w.job.key == key).map(|w| (w.ends - self.total).max(0.0));
         working.or(self.waiting.iter().find(|j| j.key == key).map(|j| j.work)).unwrap_or(0.0)
     }
 
     /// Takes back a request: its client has left or its limiter waits no longer.
-    pub fn call_off(&mut self, now: Millis, key: u64) -> CalledOff {
+    pub fn cancel(&mut self, now: Millis, key: u64) -> Cancellation {
         self.settle(now);
         if let Some(at) = self.waiting.iter().position(|j| j.key == key) {
             self.waiting.remove(at);
-            return CalledOff::Waiting;
+            return Cancellation::Waiting;
         }
         let Some(at) = self.working.iter().position(|w| w.job.key == key && !w.called_off) else {
-            return CalledOff::Unknown;
+            return Cancellation::Unknown;
         };
-        if self.model.cancel_stops && !self.halted {
+        if self.parameters.cancel_stops && !self.halted {
             let left = (self.working[at].ends - self.total).max(0.0);
-            self.done_ms += (self.working[at].job.work - left).max(0.0);
+            self.completed_work_ms += (self.working[at].job.work - left).max(0.0);
             self.working.swap_remove(at);
             self.fill();
-            return CalledOff::Stopped;
+            return Cancellation::Stopped;
         }
         self.working[at].called_off = true;
-        CalledOff::RunsOn
+        Cancellation::RunsOn
     }
 
     /// When the next request is done, if nothing else happens.
@@ -304,7 +306,7 @@
     }
 
     /// Gives out what is done by now.
-    pub fn due(&mut self, now: Millis, out: &mut Vec<Done>) {
+    pub fn due(&mut self, now: Millis, out: &mut Vec<Completion>) {
         self.settle(now);
         // Of several that end at one moment the order is that of their keys, not of the table.
         let from = out.len();
@@ -316,15 +318,15 @@
                 continue;
             }
             let Working { job, called_off, .. } = self.working.swap_remove(at);
-            self.done_ms += job.work;
-            out.push(Done { key: job.key, work: job.work, in_vain: called_off });
+            self.completed_work_ms += job.work;
+            out.push(Completion { key: job.key, work: job.work, cancelled: called_off });
         }
         out[from..].sort_by_key(|d| d.key);
         self.fill();
     }
 
     fn fill(&mut self) {
-        while self.working.len() < self.model.slots {
+        while self.working.len() < self.parameters.slots {
             let Some(job) = self.waiting.pop_front() else { return };
             self.working.push(Working { job, ends: self.total + job.work, called_off: false });
         }
@@ -335,7 +337,7 @@
         if self.halted || !self.running || self.working.is_empty() {
             return 0.0;
         }
-        let m = &self.model;
+        let m = &self.parameters;
         let fullness = self.held() as f64 / (m.slots + m.queue) as f64;
         let table = self.connections as f64 / m.connections.max(1) as f64;
         let efficiency = (1.0 - m.thrash * fullness) * (1.0 - m.table_tax * table);
@@ -354,7 +356,7 @@
     /// Integral of the share of capacity from the start (or from 0 for a warm node) to `t`.
     fn grown(&self, t: Millis) -> f64 {
         let Some(started) = self.started else { return t };
-        let Model { cold_share: a, cold_ms, .. } = self.model;
+        let ServerParameters { cold_share: a, cold_ms, .. } = self.parameters;
         let age = t - started;
         let ramp = age.clamp(0.0, cold_ms);
         let grown = if cold_ms > 0.0 { a * ramp + (1.0 - a) * ramp * ramp / (2.0 * cold_ms) } else { 0.0 };
@@ -364,7 +366,7 @@
     /// When the integral has grown by `more` since the total was brought up to date.
     fn after(&self, more: f64) -> Millis {
         let Some(started) = self.started else { return self.at + more };
-        let Model { cold_share: a, cold_ms, .. } = self.model;
+        let ServerParameters { cold_share: a, cold_ms, .. } = self.parameters;
         let goal = self.grown(self.at) + more;
         let whole = cold_ms * (1.0 + a) / 2.0;
         if goal >= whole {
@@ -382,11 +384,11 @@
     /// of the first whole one after its start: multiple × capacity over the window, and some slack.
     fn pushed(&mut self, now: Millis, job: Job) -> bool {
         let Some(started) = self.started else { return false };
-        let Model { cold_ms, fall_ms, fall_multiple, .. } = self.model;
+        let ServerParameters { cold_ms, fall_ms, fall_multiple, .. } = self.parameters;
         if fall_ms <= 0.0 || now - started > cold_ms {
             return false;
         }
-        self.pushes.push_back((now, job.work, job.told));
+        self.pushes.push_back((now, job.work, job.sender_notified));
         let end = now.max(started + fall_ms);
         while self.pushes.front().is_some_and(|p| p.0 < end - fall_ms) {
             self.pushes.pop_front();
@@ -394,11 +396,11 @@
         let sent: f64 = self.pushes.iter().map(|p| p.1).sum();
         let told: f64 = self.pushes.iter().filter(|p| p.2).map(|p| p.1).sum();
         let mean = sent / self.pushes.len() as f64;
-        let could = self.model.capacity() * (self.grown(end) - self.grown(end - fall_ms));
+        let could = self.parameters.capacity() * (self.grown(end) - self.grown(end - fall_ms));
         if sent <= fall_multiple * could + FALL_SLACK_PUSHES * mean {
             return false;
         }
-        self.fall = Some(Fall { at: now, told_share: told / sent });
+        self.fall = Some(OverloadFailure { at: now, notified_share: told / sent });
         true
     }
 }
--- a/crates/rehearsal/src/world/clients.rs
+++ b/crates/rehearsal/src/world/clients.rs
@@ -3,25 +3,25 @@
 use super::*;
 
 impl World {
-    pub(super) fn hear(&mut self, mut said: Vec<Say>) {
+    pub(super) fn hear(&mut self, mut said: Vec<ClientAction>) {
         for say in said.drain(..) {
             match say {
-                Say::Send(sent) => self.client_sends(sent),
-                Say::Leave(try_id) => {
+                ClientAction::Send(sent) => self.client_sends(sent),
+                ClientAction::Disconnect(try_id) => {
                     let Some(sent) = self.tries.get(&try_id) else { continue };
                     let limiter = sent.limiter;
                     let l = &self.limiters[limiter];
                     let held = l.ids.contains_key(&try_id) || l.presented.contains(&try_id);
                     let excused = l.excused(self.now) || !held;
                     self.notes_departure(limiter, try_id);
-                    self.oracle.leaves_now(self.now, try_id, excused);
+                    self.oracle.client_disconnected(self.now, try_id, excused);
                     let at = self.now + draws::between(&mut self.rng, CLIENT_MS);
                     self.note(at, Event::Left { limiter, try_id });
                 }
-                Say::Over { last, how } => {
-                    let plan = self.clients.firms()[last.firm].plan;
+                ClientAction::Finished { last, outcome } => {
+                    let plan = self.clients.customers()[last.customer].plan;
                     let inside = self.inside.remove(&last.job).unwrap_or(false);
-                    self.recorder.over(self.now, plan, &last, how, inside);
+                    self.recorder.finished(self.now, plan, &last, outcome, inside);
                 }
             }
         }
@@ -43,27 +43,27 @@
         let Some(key) = direct.map(|(_, key)| *key).or(l.carried.get(&try_id).copied()) else { return };
         let Some(a) = self.attempts.get_mut(&key) else { return };
         let node = &mut self.machines[a.node].node;
-        a.left_with = Some(if a.at_node { node.work_left(self.now, key) } else { a.work });
+        a.left_with = Some(if a.at_node { node.remaining_work(self.now, key) } else { a.work });
     }
 
     pub(super) fn client_sends(&mut self, sent: Try) {
-        let firm = &self.clients.firms()[sent.firm];
-        let (plan, class) = (firm.plan, &self.scenario.classes[sent.class]);
+        let customer = &self.clients.customers()[sent.customer];
+        let (plan, class) = (customer.plan, &self.scenario.classes[sent.class]);
         if sent.turn == 0 {
             let (rate, most) = self.scenario.quota(plan);
-            while self.asked.len() <= sent.firm {
-                let firm = self.asked.len();
-                self.asked.push(Store::full(self.now, f64::INFINITY));
-                self.oracle.enlist(self.now, self.clients.firms()[firm].plan);
+            while self.asked.len() <= sent.customer {
+                let customer = self.asked.len();
+                self.asked.push(TokenBucket::full(self.now, f64::INFINITY));
+                self.oracle.add_customer(self.now, self.clients.customers()[customer].plan);
             }
             // What strangers ask for is a flood, not service that anybody was promised.
-            let usual = sent.firm < self.usual;
-            let inside = usual && self.asked[sent.firm].take(self.now, rate, most, class.units);
-            self.recorder.asked(self.now, plan, sent.class, inside);
+            let usual = sent.customer < self.usual;
+            let inside = usual && self.asked[sent.customer].take(self.now, rate, most, class.units);
+            self.recorder.request_made(self.now, plan, sent.class, inside);
         }
         let at = self.now + draws::between(&mut self.rng, CLIENT_MS);
-        let Try { id, job, firm, class, limiter, work, .. } = sent;
-        self.tries.insert(id, Sent { job, firm, class, limiter, work });
+        let Try { id, job, customer, class, limiter, work, .. } = sent;
+        self.tries.insert(id, Sent { job, customer, class, limiter, work });
         self.note(at, Event::TryArrives(Box::new(sent)));
     }
 
@@ -71,23 +71,23 @@
         if !self.limiters[sent.limiter].listening {
             let at = self.now + draws::between(&mut self.rng, CLIENT_MS);
             self.tries.remove(&sent.id);
-            return self.note(at, Event::Answered { try_id: sent.id, got: Got::Nothing });
+            return self.note(at, Event::Answered { try_id: sent.id, got: TryResult::NoAnswer });
         }
-        let firm = &self.clients.firms()[sent.firm];
+        let customer = &self.clients.customers()[sent.customer];
         let request = Request {
             id: 0,
             class: sent.class,
-            plan: firm.plan,
-            customer: firm.customer,
+            plan: customer.plan,
+            customer: customer.id,
             budget_ms: sent.budget_ms,
             units: self.scenario.classes[sent.class].units,
-            spread: firm.spread,
-            first: firm.first,
+            spread: customer.spread,
+            first: customer.first,
         };
-        let proxied = firm.proxied;
+        let proxied = customer.proxied;
         let correlation_id: marldeal_engine::CorrelationId = sent.id.to_be_bytes().as_slice().into();
-        self.oracle.taken(sent.id, sent.firm, sent.class, sent.limiter, self.now + sent.budget_ms);
-        self.recorder.taken(self.now, sent.limiter);
+        self.oracle.try_accepted(sent.id, sent.customer, sent.class, sent.limiter, self.now + sent.budget_ms);
+        self.recorder.try_accepted(self.now, sent.limiter);
         if proxied {
             let keyed = self.scenario.classes[sent.class].repeats == Repeats::Keyed;
             let key = keyed.then(|| sent.job.to_be_bytes().as_slice().into());
@@ -98,24 +98,24 @@
         let limiter = &mut self.limiters[sent.limiter];
         let Some(engine) = limiter.engine.as_mut() else { return };
         let mut outputs = std::mem::take(&mut self.outputs);
-        let began = self.deciding.map(|_| std::time::Instant::now());
+        let began = self.decision_time.map(|_| std::time::Instant::now());
         let id = engine.handle(self.now, Input::Request { correlation_id, request }, &mut outputs);
         self.took(began);
         let limiter = &mut self.limiters[sent.limiter];
         if let Some(id) = id {
             limiter.open.insert(id, sent.id);
             limiter.ids.insert(sent.id, id);
-            self.account.taken(self.now, sent.limiter, id);
+            self.account.request_received(self.now, sent.limiter, id);
         }
         self.perform(sent.limiter, outputs);
     }
 
     pub(super) fn left(&mut self, limiter: usize, try_id: u64) {
         self.tries.remove(&try_id);
-        self.oracle.gone(try_id);
+        self.oracle.disconnect_received(try_id);
         if let Some(id) = self.limiters[limiter].ids.remove(&try_id) {
             self.limiters[limiter].open.remove(&id);
-            self.account.over(self.now, limiter, id, false);
+            self.account.request_finished(self.now, limiter, id, false);
             self.tell(limiter, Input::ClientDisconnected { id });
         }
         if self.limiters[limiter].presented.remove(&try_id) {
--- a/crates/rehearsal/src/world/limiters.rs
+++ b/crates/rehearsal/src/world/limiters.rs
@@ -6,14 +6,14 @@
     pub(super) fn tell(&mut self, limiter: usize, input: Input) {
         let Some(engine) = self.limiters[limiter].engine.as_mut() else { return };
         let mut outputs = std::mem::take(&mut self.outputs);
-        let began = self.deciding.map(|_| std::time::Instant::now());
+        let began = self.decision_time.map(|_| std::time::Instant::now());
         engine.handle(self.now, input, &mut outputs);
         self.took(began);
         self.perform(limiter, outputs);
     }
 
     pub(super) fn took(&mut self, began: Option<std::time::Instant>) {
-        if let (Some(sum), Some(began)) = (&mut self.deciding, began) {
+        if let (Some(sum), Some(began)) = (&mut self.decision_time, began) {
             *sum += began.elapsed();
         }
     }
@@ -70,16 +70,16 @@
         let l = &mut self.limiters[limiter];
         let Some(try_id) = l.open.remove(&id) else { return };
         l.ids.remove(&try_id);
-        self.account.over(self.now, limiter, id, matches!(answer, Answer::Refused { .. }));
+        self.account.request_finished(self.now, limiter, id, matches!(answer, Answer::Refused { .. }));
         self.answered(limiter, try_id, answer);
     }
 
     pub(super) fn answered(&mut self, limiter: usize, try_id: u64, answer: Answer) {
         let excused = self.limiters[limiter].excused(self.now);
         self.tries.remove(&try_id);
-        self.oracle.answered(self.now, try_id, answer, excused);
+        self.oracle.try_answered(self.now, try_id, answer, excused);
         let at = self.now + draws::between(&mut self.rng, CLIENT_MS);
-        self.note(at, Event::Answered { try_id, got: Got::Answer(answer) });
+        self.note(at, Event::Answered { try_id, got: TryResult::Answer(answer) });
     }
 
     pub(super) fn mails(&mut self, from: usize, to: Option<u32>, body: &[u8]) {
@@ -87,10 +87,10 @@
         let peers = all.filter(|peer| *peer != from && to.is_none_or(|to| to as usize == *peer));
         let lines = fawnhill::line_kinds(body).unwrap_or_default();
         for peer in peers.collect::<Vec<_>>() {
-            self.account.sent(self.now, from, body.len(), &lines);
+            self.account.message_sent(self.now, from, body.len(), &lines);
             let mut arrivals = Vec::new();
             self.post.arrivals(from, peer, &mut self.rng, &mut arrivals);
-            self.recorder.mailed(self.now, body.len(), !arrivals.is_empty());
+            self.recorder.message_sent(self.now, body.len(), !arrivals.is_empty());
             for arrival in arrivals {
                 let (at, body) = (self.now + arrival.after_ms, arrival.body(body.to_vec()));
                 self.note(at, Event::Mail { limiter: peer, from: from as u32, body });
@@ -99,9 +99,9 @@
     }
 
     pub(super) fn mail_arrives(&mut self, limiter: usize, from: u32, body: Vec<u8>) {
-        if self.post.takes_in(self.now, limiter) {
+        if self.post.accepts(self.now, limiter) {
             let lines = fawnhill::line_kinds(&body).unwrap_or_default();
-            self.account.heard(self.now, limiter, body.len(), &lines);
+            self.account.message_received(self.now, limiter, body.len(), &lines);
             self.tell(limiter, Input::MessageReceived { from, body });
         } else {
             self.recorder.messages[1] += 1;
@@ -130,7 +130,7 @@
         let view = l.view.clone();
         for entry in &view {
             let node = self.by_id[&entry.server];
-            self.oracle.told(self.now, limiter, node, entry.condition == Condition::Serving);
+            self.oracle.server_notice(self.now, limiter, node, entry.condition == Condition::Serving);
         }
         self.tell(limiter, Input::Servers { whole: true, entries });
     }
@@ -167,7 +167,7 @@
         l.open.clear();
         l.external = None;
         for id in l.ids.values() {
-            self.account.over(self.now, limiter, *id, false);
+            self.account.request_finished(self.now, limiter, *id, false);
         }
         let mut held: Vec<u64> = l.ids.drain().map(|(try_id, _)| try_id).collect();
         held.extend(l.presented.drain());
@@ -179,11 +179,11 @@
         for (node, connections) in idle.into_iter().enumerate().filter(|(_, n)| *n > 0) {
             self.machines[node].node.disconnect(self.now, connections);
         }
-        self.oracle.died(limiter);
+        self.oracle.limiter_exited(limiter);
         for try_id in held {
             self.tries.remove(&try_id);
             let at = self.now + draws::between(&mut self.rng, CLIENT_MS);
-            self.note(at, Event::Answered { try_id, got: Got::Nothing });
+            self.note(at, Event::Answered { try_id, got: TryResult::NoAnswer });
         }
         for key in out {
             self.abandon(key);
@@ -200,6 +200,6 @@
             self.machines[node].node.disconnect(self.now, 1);
             self.rearm(node);
         }
-        self.note(at, Event::CalledOff { node, key });
+        self.note(at, Event::CancelArrives { node, key });
     }
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -24,13 +24,13 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::account::Account;
-use crate::clients::{Clients, Got, Say, Try};
+use crate::clients::{ClientAction, Clients, Try, TryResult};
 use crate::draws::{self, Stream};
 use crate::figures::{Figures, Recorder, Second};
-use crate::node::{CalledOff, Done, Job, Node, Turned};
-use crate::post::Post;
-use crate::rules::{Oracle, Store};
+use crate::network::Network;
+use crate::rules::{Oracle, TokenBucket};
 use crate::scenario::{Repeats, Scenario, Trouble, What};
+use crate::server_model::{Cancellation, Completion, Job, Rejection, ServerModel};
 
 /// When a scenario begins on the world's clock: a steady clock that no limiter may take for 0.
 pub const BEGIN_MS: Millis = 10_000_000.0;
@@ -53,14 +53,14 @@
     TryArrives(Box<Try>),
     Left { limiter: usize, try_id: u64 },
     GivenUp { key: u64 },
-    Answered { try_id: u64, got: Got },
+    Answered { try_id: u64, got: TryResult },
     Due { limiter: usize, epoch: u32, at: u64 },
     Roster { limiter: usize, entries: Arc<[ServerEntry]> },
     Mail { limiter: usize, from: u32, body: Vec<u8> },
     Connects { key: u64 },
     ConnectTimeout { key: u64 },
     Reaches { key: u64 },
-    CalledOff { node: usize, key: u64 },
+    CancelArrives { node: usize, key: u64 },
     NodeDue { node: usize, turn: u32 },
     Ended { key: u64, outcome: Outcome },
     Stopped { key: u64, outcome: Outcome },
@@ -124,7 +124,7 @@
 }
 
 struct Machine {
-    node: Node,
+    node: ServerModel,
     id: ServerId,
     zone: u32,
     turn: u32,
@@ -162,7 +162,7 @@
 
 struct Sent {
     job: u64,
-    firm: usize,
+    customer: usize,
     class: usize,
     limiter: usize,
     work: Millis,
@@ -184,11 +184,11 @@
     tries: FxHashMap<u64, Sent>,
     /// Requests of which a try was inside the quota when it was sent on.
     inside: FxHashMap<u64, bool>,
-    /// All-seeing stores of what is asked for, by firm.
-    asked: Vec<Store>,
+    /// All-seeing stores of what is asked for, by customer.
+    asked: Vec<TokenBucket>,
     /// Firms that are not strangers.
     usual: usize,
-    post: Post,
+    post: Network,
     /// How often each limiter hears nothing of the roster now.
     roster_silent: Vec<u32>,
     /// Roster changes that a limiter cannot hear of now.
@@ -200,15 +200,15 @@
     events: u64,
     rng: Stream,
     outputs: Vec<Output>,
-    said: Vec<Say>,
-    done: Vec<Done>,
-    tap: Option<Tap>,
+    said: Vec<ClientAction>,
+    done: Vec<Completion>,
+    tap: Option<OutputHook>,
     /// Time that the limiters took for their own work, where it is measured.
-    deciding: Option<std::time::Duration>,
+    decision_time: Option<std::time::Duration>,
 }
 
 /// Tampers with what a limiter asks to be done, for tests of the oracle: what it returns is done instead.
-pub type Tap = Box<dyn FnMut(Millis, usize, Output) -> Vec<Output> + Send>;
+pub type OutputHook = Box<dyn FnMut(Millis, usize, Output) -> Vec<Output> + Send>;
 
 /// What a run leaves.
 pub struct Run {
@@ -217,7 +217,7 @@
     /// Each second.
     pub seconds: Vec<Second>,
     /// Time that the limiters took for their own work, as this machine has it; nothing unless it was measured.
-    pub deciding: Option<std::time::Duration>,
+    pub decision_time: Option<std::time::Duration>,
 }
 
 impl World {
@@ -240,7 +240,7 @@
             // Ids tell nothing of zone, kind or age.
             let id: ServerId = format!("n-{:08x}", rng.random::<u32>()).into();
             machines.push(Machine {
-                node: Node::warm(scenario.model(speed), start),
+                node: ServerModel::warm(scenario.model(speed), start),
                 id,
                 zone: n as u32 % scenario.buildings,
                 turn: 0,
@@ -287,7 +287,7 @@
             inside: FxHashMap::default(),
             asked: Vec::new(),
             usual: 0,
-            post: Post::new(scenario, start),
+            post: Network::new(scenario, start),
             roster_silent: vec![0; count],
             unheard: vec![Vec::new(); count],
             oracle: Oracle::new(scenario, BEGIN_MS),
@@ -300,10 +300,10 @@
             said: Vec::new(),
             done: Vec::new(),
             tap: None,
-            deciding: None,
+            decision_time: None,
             scenario: scenario.clone(),
         };
-        world.usual = world.clients.firms().len();
+        world.usual = world.clients.customers().len();
         for limiter in 0..count {
             // Not in step: their rounds of work lie apart, as those of real machines do.
             let at = start + 100.0 * world.rng.random::<f64>();
@@ -320,20 +320,20 @@
         Ok(world)
     }
 
-    /// How many firms there are.
-    pub fn firms(&self) -> usize {
-        self.clients.firms().len()
+    /// How many customers there are.
+    pub fn customer_count(&self) -> usize {
+        self.clients.customers().len()
     }
 
     /// Lets `tap` change what limiters ask to be done.
-    pub fn tapped(mut self, tap: Tap) -> World {
+    pub fn with_output_hook(mut self, tap: OutputHook) -> World {
         self.tap = Some(tap);
         self
     }
 
     /// Measures the time that the limiters take for their own work: the one figure that differs from run to run.
-    pub fn timed(mut self) -> World {
-        self.deciding = Some(std::time::Duration::ZERO);
+    pub fn with_decision_time(mut self) -> World {
+        self.decision_time = Some(std::time::Duration::ZERO);
         self
     }
 
@@ -344,7 +344,7 @@
         while let Some(Reverse(Noted(at, _, event))) = self.queue.pop() {
             self.now = self.now.max(at as f64 / 1e6);
             if self.now > last + AFTER_MS
-                || (self.now > last && self.clients.open() == 0 && self.attempts.is_empty())
+                || (self.now > last && self.clients.open_requests() == 0 && self.attempts.is_empty())
             {
                 break;
             }
@@ -359,12 +359,12 @@
     }
 
     fn finish(mut self) -> Run {
-        self.recorder.done_ms = self.machines.iter().map(|m| m.node.done_ms()).sum();
-        let broken = self.oracle.broken().to_vec();
+        self.recorder.completed_work_ms = self.machines.iter().map(|m| m.node.completed_work_ms()).sum();
+        let broken = self.oracle.violations().to_vec();
         let (mut figures, seconds) =
-            self.recorder.finish(self.seed, &broken, self.oracle.count(), self.events);
+            self.recorder.finish(self.seed, &broken, self.oracle.violation_count(), self.events);
         (figures.added, figures.control) = self.account.finish();
-        Run { figures, seconds, deciding: self.deciding }
+        Run { figures, seconds, decision_time: self.decision_time }
     }
 
     fn note(&mut self, at: Millis, event: Event) {
@@ -404,7 +404,7 @@
             Event::GivenUp { key } => self.given_up(key),
             Event::Answered { try_id, got } => {
                 let mut said = std::mem::take(&mut self.said);
-                self.clients.got(self.now, try_id, got, &mut said);
+                self.clients.try_ended(self.now, try_id, got, &mut said);
                 self.hear(said);
             }
             Event::Due { limiter, epoch, at } => {
@@ -424,7 +424,7 @@
                 }
             }
             Event::Reaches { key } => self.reaches(key),
-            Event::CalledOff { node, key } => self.called_off(node, key),
+            Event::CancelArrives { node, key } => self.called_off(node, key),
             Event::NodeDue { node, turn } => {
                 if self.machines[node].turn == turn {
                     self.node_due(node);
@@ -452,13 +452,13 @@
         let mut busy = Vec::with_capacity(self.machines.len());
         let mut held = Vec::with_capacity(self.machines.len());
         for m in &mut self.machines {
-            let done = m.node.done_ms();
-            busy.push(((done - m.before_ms) / (m.node.model().capacity() * 1000.0)) as f32);
+            let done = m.node.completed_work_ms();
+            busy.push(((done - m.before_ms) / (m.node.parameters().capacity() * 1000.0)) as f32);
             held.push(m.node.held() as f32);
             m.before_ms = done;
         }
         self.recorder.tick(now, busy, held);
-        self.oracle.sweep(now);
+        self.oracle.expire_effects(now);
         self.note(now + 1000.0, Event::Tick);
     }
 }
--- a/crates/rehearsal/src/world/nodes.rs
+++ b/crates/rehearsal/src/world/nodes.rs
@@ -19,8 +19,8 @@
             let Some(a) = self.attempts.get_mut(&d.key) else { continue };
             a.at_node = false;
             let (limiter, way, job, repeat, over) = (a.limiter, a.way, a.job, a.repeat, a.over);
-            self.recorder.nobody_ms += a.left_with.unwrap_or(0.0);
-            self.oracle.leaves(self.now, job, repeat, true);
+            self.recorder.abandoned_work_ms += a.left_with.unwrap_or(0.0);
+            self.oracle.attempt_left_server(self.now, job, repeat, true);
             let m = &mut self.machines[node];
             let outcome = if draws::chance(&mut m.rng, m.errors) {
                 Outcome::Error
@@ -54,7 +54,7 @@
             let Some(a) = self.attempts.get_mut(&key) else { continue };
             a.at_node = false;
             let (limiter, way, job, repeat, over) = (a.limiter, a.way, a.job, a.repeat, a.over);
-            self.oracle.leaves(self.now, job, repeat, false);
+            self.oracle.attempt_left_server(self.now, job, repeat, false);
             if over {
                 self.attempts.remove(&key);
             } else if !silent && self.reaches_node(limiter, node) {
@@ -73,8 +73,8 @@
     }
 
     pub(super) fn falls(&mut self, node: usize) {
-        let told_share = self.machines[node].node.fall().map_or(0.0, |f| f.told_share);
-        self.oracle.fell(self.now, node, told_share);
+        let notified_share = self.machines[node].node.overload_failure().map_or(0.0, |f| f.notified_share);
+        self.oracle.server_overloaded(self.now, node, notified_share);
         self.recorder.falls += 1;
         // It stays down.
         self.node_exits(node);
@@ -89,7 +89,8 @@
     }
 
     pub(super) fn roster_to(&mut self, limiter: usize, entries: Arc<[ServerEntry]>) {
-        if self.roster_silent[limiter] > 0 || !self.post.told_of(self.limiters[limiter].zone, entries[0].zone)
+        if self.roster_silent[limiter] > 0
+            || !self.post.discovery_reports(self.limiters[limiter].zone, entries[0].zone)
         {
             return self.unheard[limiter].push(entries);
         }
@@ -102,12 +103,12 @@
     }
 
     pub(super) fn roster_heard(&mut self, limiter: usize, entries: Arc<[ServerEntry]>) {
-        self.account.changed(self.now, limiter, entries.len());
+        self.account.server_list_changed(self.now, limiter, entries.len());
         for entry in entries.iter() {
             let node = self.by_id[&entry.server];
             self.limiters[limiter].view[node] = entry.clone();
             if self.limiters[limiter].engine.is_some() {
-                self.oracle.told(self.now, limiter, node, entry.condition == Condition::Serving);
+                self.oracle.server_notice(self.now, limiter, node, entry.condition == Condition::Serving);
             }
             if entry.condition != Condition::Serving {
                 self.close_idle(limiter, node);
--- a/crates/rehearsal/src/world/proxies.rs
+++ b/crates/rehearsal/src/world/proxies.rs
@@ -53,7 +53,7 @@
         if let Some(key) = self.limiters[limiter].carried.remove(&try_id) {
             if self.attempts.get(&key).is_some_and(|a| !a.over) {
                 self.abandon(key);
-                self.oracle.ended(try_id, self.now, Outcome::Cancelled);
+                self.oracle.attempt_ended(try_id, self.now, Outcome::Cancelled);
             }
         }
     }
--- a/crates/rehearsal/src/world/timeline.rs
+++ b/crates/rehearsal/src/world/timeline.rs
@@ -8,7 +8,7 @@
         let nodes = self.scenario.nodes_of(&t);
         let until = self.now + t.for_s * 1000.0;
         let limiters: Vec<usize> = t.limiters.iter().flatten().map(|l| *l as usize).collect();
-        self.post.begins(trouble, &t);
+        self.post.begin_fault(trouble, &t);
         match t.what {
             What::Surge => {
                 let plan = t.plan.as_deref().and_then(|p| self.scenario.plan(p));
@@ -68,7 +68,7 @@
     pub(super) fn ends(&mut self, trouble: usize) {
         let t: Trouble = self.scenario.timeline[trouble].clone();
         let nodes = self.scenario.nodes_of(&t);
-        self.post.ends(trouble, &t);
+        self.post.end_fault(trouble, &t);
         match t.what {
             What::Surge => {
                 let plan = t.plan.as_deref().and_then(|p| self.scenario.plan(p));
--- a/crates/rehearsal/src/world/way.rs
+++ b/crates/rehearsal/src/world/way.rs
@@ -19,17 +19,19 @@
     ) -> Option<u64> {
         let node = self.by_id.get(server).copied()?;
         let sent = self.tries.get(&try_id)?;
-        let (job, firm, class, work) = (sent.job, sent.firm, sent.class, sent.work);
-        if let Some(inside) = self.oracle.sent(self.now, try_id, node) {
-            self.recorder.sent(self.clients.firms()[firm].plan, class, inside);
+        let (job, customer, class, work) = (sent.job, sent.customer, sent.class, sent.work);
+        if let Some(inside) = self.oracle.attempt_sent(self.now, try_id, node) {
+            self.recorder.try_sent_on(self.clients.customers()[customer].plan, class, inside);
             *self.inside.entry(job).or_insert(false) |= inside;
         }
         self.recorder.attempts += 1;
         let crosses = self.limiters[limiter].zone != self.machines[node].zone;
-        self.recorder.crossing += u64::from(crosses);
+        self.recorder.cross_zone_attempts += u64::from(crosses);
         let net = &self.scenario.net;
         let span = match crosses {
-            true if self.post.far(self.limiters[limiter].zone, self.machines[node].zone) => net.far_ms,
+            true if self.post.in_different_regions(self.limiters[limiter].zone, self.machines[node].zone) => {
+                net.far_ms
+            }
             true => net.cross_ms,
             false => net.same_ms,
         };
@@ -43,7 +45,7 @@
             self.machines[node].node.disconnect(self.now, stale);
         }
         if let Some(id) = id.filter(|_| attempt == 0) {
-            self.account.goes_out(self.now, limiter, id, (!kept).then_some(2.0 * way));
+            self.account.first_attempt_sent(self.now, limiter, id, (!kept).then_some(2.0 * way));
         }
         self.next_attempt += 1;
         let key = self.next_attempt;
@@ -109,14 +111,14 @@
         if !self.reaches_node(limiter, node) {
             return;
         }
-        let told = {
+        let sender_notified = {
             let m = &self.machines[node];
             let started = m.node.started();
             self.limiters[limiter].view[node].started >= started && started > 0.0
         };
-        let repeat = self.machines[node].node.running() && self.oracle.arrives(self.now, job, class);
+        let repeat = self.machines[node].node.running() && self.oracle.attempt_arrived(self.now, job, class);
         let work = if repeat { REPEAT_MS } else { work };
-        let taken = self.machines[node].node.arrive(self.now, Job { key, work, told }, fresh);
+        let taken = self.machines[node].node.arrive(self.now, Job { key, work, sender_notified }, fresh);
         match taken {
             Ok(()) => {
                 if let Some(a) = self.attempts.get_mut(&key) {
@@ -125,12 +127,12 @@
                 self.rearm(node);
             }
             Err(turned) => {
-                if turned != Turned::Down {
-                    self.oracle.leaves(self.now, job, repeat, false);
+                if turned != Rejection::Down {
+                    self.oracle.attempt_left_server(self.now, job, repeat, false);
                 }
-                let outcome = if turned == Turned::Full { Outcome::Full } else { Outcome::Severed };
+                let outcome = if turned == Rejection::Full { Outcome::Full } else { Outcome::Severed };
                 self.note(self.now + way, Event::Ended { key, outcome });
-                if turned == Turned::Fell {
+                if turned == Rejection::Overloaded {
                     self.falls(node);
                 }
             }
@@ -168,7 +170,7 @@
             let l = &self.limiters[limiter];
             let wanted = a.id.map_or(l.presented.contains(&a.try_id), |id| l.open.contains_key(&id));
             let useful = if a.repeat { REPEAT_MS } else { a.work };
-            self.recorder.useful_ms += if wanted { useful } else { 0.0 };
+            self.recorder.useful_work_ms += if wanted { useful } else { 0.0 };
         }
         self.hear_end(key, outcome);
         self.attempts.remove(&key);
@@ -182,7 +184,7 @@
         if self.limiters[limiter].epoch != epoch {
             return;
         }
-        self.oracle.ended(try_id, sent, outcome);
+        self.oracle.attempt_ended(try_id, sent, outcome);
         match id {
             Some(id) => {
                 self.limiters[limiter].attempts.remove(&(id, attempt));
@@ -204,14 +206,14 @@
             return;
         }
         let (job, repeat, left_with) = (a.job, a.repeat, a.left_with);
-        let left = self.machines[node].node.work_left(self.now, key);
-        let how = self.machines[node].node.call_off(self.now, key);
-        if matches!(how, CalledOff::Waiting | CalledOff::Stopped) {
-            self.recorder.nobody_ms += left_with.map_or(0.0, |with| with - left);
-        }
-        if matches!(how, CalledOff::Waiting | CalledOff::Stopped | CalledOff::Unknown) {
-            if how != CalledOff::Unknown {
-                self.oracle.leaves(self.now, job, repeat, false);
+        let left = self.machines[node].node.remaining_work(self.now, key);
+        let how = self.machines[node].node.cancel(self.now, key);
+        if matches!(how, Cancellation::Waiting | Cancellation::Stopped) {
+            self.recorder.abandoned_work_ms += left_with.map_or(0.0, |with| with - left);
+        }
+        if matches!(how, Cancellation::Waiting | Cancellation::Stopped | Cancellation::Unknown) {
+            if how != Cancellation::Unknown {
+                self.oracle.attempt_left_server(self.now, job, repeat, false);
             }
             self.attempts.remove(&key);
         }
--- a/crates/rehearsal/tests/oracle.rs
+++ b/crates/rehearsal/tests/oracle.rs
@@ -4,11 +4,11 @@
 use marldeal_engine::{Answer, Output};
 use marldeal_rehearsal::rules::Rule;
 use marldeal_rehearsal::scenario::Scenario;
-use marldeal_rehearsal::world::{Tap, World, BEGIN_MS};
+use marldeal_rehearsal::world::{OutputHook, World, BEGIN_MS};
 use marldeal_rehearsal::{library, shrink};
 
-fn tampered(scenario: &Scenario, tap: Tap) -> Vec<Rule> {
-    let run = World::new(scenario, 1).expect("legal settings").tapped(tap).play(|_| {});
+fn tampered(scenario: &Scenario, tap: OutputHook) -> Vec<Rule> {
+    let run = World::new(scenario, 1).expect("legal settings").with_output_hook(tap).play(|_| {});
     let mut rules: Vec<Rule> = run.figures.broken.iter().map(|b| b.rule).collect();
     rules.sort();
     rules.dedup();
@@ -50,7 +50,7 @@
 }
 
 /// From a second of the scenario on, all that limiters send goes to the first node that one chose, whatever becomes of that.
-fn to_one_node(from_s: f64) -> Tap {
+fn to_one_node(from_s: f64) -> OutputHook {
     let mut first = None;
     Box::new(move |now, _, output| match output {
         Output::Send { id, attempt, server, deadline } if now > BEGIN_MS + from_s * 1000.0 => {
--- a/crates/rehearsal/tests/queueing.rs
+++ b/crates/rehearsal/tests/queueing.rs
@@ -1,10 +1,10 @@
 //! The node model against known results of queueing theory: within 2%.
 
 use marldeal_rehearsal::draws::{self, gap, work, Law};
-use marldeal_rehearsal::node::{Done, Job, Model, Node};
+use marldeal_rehearsal::server_model::{Completion, Job, ServerModel, ServerParameters};
 
-fn model(cores: f64, slots: usize) -> Model {
-    Model {
+fn model(cores: f64, slots: usize) -> ServerParameters {
+    ServerParameters {
         cores,
         slots,
         queue: 1_000_000,
@@ -22,14 +22,14 @@
 }
 
 /// Mean time in the node and mean wait, of Poisson arrivals at a load.
-fn sojourn(model: Model, law: Law, load: f64, jobs: u64, seed: u64) -> f64 {
+fn sojourn(model: ServerParameters, law: Law, load: f64, jobs: u64, seed: u64) -> f64 {
     let mean = 100.0;
     let per_ms = load * model.cores / mean;
-    let mut node = Node::warm(model, 0.0);
+    let mut node = ServerModel::warm(model, 0.0);
     let (mut arrivals, mut works) = (draws::stream(seed, "arrivals", 0), draws::stream(seed, "work", 0));
     let (mut came, mut sum, mut counted) = (vec![0.0; jobs as usize], 0.0, 0u64);
     let mut next = gap(&mut arrivals, per_ms);
-    let (mut done, mut key) = (Vec::<Done>::new(), 0);
+    let (mut done, mut key) = (Vec::<Completion>::new(), 0);
     while key < jobs || node.held() > 0 {
         match node.next_due().filter(|due| key >= jobs || *due <= next) {
             Some(due) => {
@@ -41,7 +41,7 @@
             }
             None => {
                 came[key as usize] = next;
-                let job = Job { key, work: work(&mut works, law, mean), told: false };
+                let job = Job { key, work: work(&mut works, law, mean), sender_notified: false };
                 node.arrive(next, job, false).expect("room");
                 key += 1;
                 next += gap(&mut arrivals, per_ms);
@@ -92,11 +92,12 @@
 /// Jobs without end for a node that has just started: what it has done follows the ramp's integral.
 #[test]
 fn a_cold_node_warms_along_its_ramp() {
-    let mut node = Node::warm(model(4.0, 4), 0.0);
+    let mut node = ServerModel::warm(model(4.0, 4), 0.0);
     node.exit(0.0);
     node.start(1000.0);
-    (0..100_000)
-        .for_each(|key| node.arrive(1000.0, Job { key, work: 1.0, told: false }, false).expect("room"));
+    (0..100_000).for_each(|key| {
+        node.arrive(1000.0, Job { key, work: 1.0, sender_notified: false }, false).expect("room")
+    });
     let mut done = Vec::new();
     for (seconds, known) in [
         (1.0, 0.17 + 0.83 / 28.0),
@@ -118,7 +119,8 @@
 #[test]
 fn a_cold_node_falls_at_the_stated_multiple_and_not_below() {
     let fallen = |multiple: f64| {
-        let mut node = Node::warm(Model { fall_ms: 2000.0, slots: 100_000, ..model(4.0, 4) }, 0.0);
+        let mut node =
+            ServerModel::warm(ServerParameters { fall_ms: 2000.0, slots: 100_000, ..model(4.0, 4) }, 0.0);
         node.exit(0.0);
         node.start(0.0);
         // What the node can do in its first two seconds, times the multiple, in even pieces of 10 ms.
@@ -126,7 +128,7 @@
         let pieces = (could * multiple / 10.0) as u64;
         (0..pieces).any(|key| {
             let at = key as f64 * 2000.0 / pieces as f64;
-            node.arrive(at, Job { key, work: 10.0, told: true }, false).is_err()
+            node.arrive(at, Job { key, work: 10.0, sender_notified: true }, false).is_err()
         })
     };
     assert!(!fallen(3.9));
--- a/marldeal/src/command/faults.rs
+++ b/marldeal/src/command/faults.rs
@@ -7,7 +7,7 @@
 use marldeal_faults::processes::Program;
 use marldeal_faults::{environment, plans};
 use marldeal_rehearsal::figures::Figures;
-use marldeal_rehearsal::observe::{Invariant, NoneIdle};
+use marldeal_rehearsal::observe::{Invariant, NoIdleServer};
 use marldeal_rehearsal::report::{self, Extra};
 use marldeal_rehearsal::scenario::Scenario;
 use marldeal_rehearsal::world::World;
@@ -157,7 +157,7 @@
         let progress_bar = bar.clone();
         let mut invariants: Vec<Box<dyn Invariant>> = Vec::new();
         if options.none_idle {
-            invariants.push(Box::new(NoneIdle::new(MAX_IDLE_MS)));
+            invariants.push(Box::new(NoIdleServer::new(MAX_IDLE_MS)));
         }
         let run = environment::run_scenario(&plan, seed, &program, invariants, move |s| {
             progress_bar.set_position(s as u64)
--- a/marldeal/src/command/scale.rs
+++ b/marldeal/src/command/scale.rs
@@ -46,10 +46,10 @@
         }
         let started = Instant::now();
         let world = World::new(&sized, seed)?;
-        let customers = world.firms();
-        let run = world.timed().play(|_| {});
+        let customers = world.customer_count();
+        let run = world.with_decision_time().play(|_| {});
         let elapsed_s = started.elapsed().as_secs_f64();
-        let total_decision_us = run.deciding.unwrap_or_default().as_secs_f64() * 1e6;
+        let total_decision_us = run.decision_time.unwrap_or_default().as_secs_f64() * 1e6;
         let mut figures = figures(&sized, customers, &run.figures, elapsed_s);
         figures.push((DECISION_TIME, total_decision_us / run.figures.ends.asked.max(1) as f64));
         println!("{count} limiters");
--- a/marldeal/tests/faults.rs
+++ b/marldeal/tests/faults.rs
@@ -9,7 +9,7 @@
 use marldeal_faults::figures::Run;
 use marldeal_faults::processes::Program;
 use marldeal_faults::{environment, plans};
-use marldeal_rehearsal::observe::{Invariant, Seen};
+use marldeal_rehearsal::observe::{Invariant, Observation};
 use marldeal_rehearsal::scenario::Scenario;
 
 fn program() -> Program {
@@ -128,8 +128,8 @@
         "asks ahead"
     }
 
-    fn see(&mut self, _: f64, seen: &Seen<'_>) -> Option<String> {
-        if let Seen::Words { lines, given: false, .. } = seen {
+    fn observe(&mut self, _: f64, seen: &Observation<'_>) -> Option<String> {
+        if let Observation::Datagram { lines, delivered: false, .. } = seen {
             let ahead = |line: &&LineKind| matches!(line, LineKind::Ask(id) if id >> 31 == 1);
             self.0.fetch_add(lines.iter().filter(ahead).count() as u64, Ordering::Relaxed);
         }
@@ -207,14 +207,14 @@
 }
 
 /// Panics at the first thing of its kind that is seen.
-struct Panics(fn(&Seen<'_>) -> bool);
+struct Panics(fn(&Observation<'_>) -> bool);
 
 impl Invariant for Panics {
     fn name(&self) -> &'static str {
         "panics"
     }
 
-    fn see(&mut self, _: f64, seen: &Seen<'_>) -> Option<String> {
+    fn observe(&mut self, _: f64, seen: &Observation<'_>) -> Option<String> {
         assert!(!(self.0)(seen), "a judge of the test's own");
         None
     }
@@ -232,7 +232,7 @@
     let path = env!("CARGO_BIN_EXE_marldeal").into();
     let program = Program { path, variables: vec![(MARK.to_string(), "1".to_string())] };
     let scenario = plans::find("calm").expect("a plan");
-    let judged = |when: fn(&Seen<'_>) -> bool| {
+    let judged = |when: fn(&Observation<'_>) -> bool| {
         let judges: Vec<Box<dyn Invariant>> = vec![Box::new(Panics(when))];
         let run = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             environment::run_scenario(&scenario, 1, &program, judges, |_| {})
@@ -240,8 +240,11 @@
         marldeal_standin::wait_for("none of them", || marked() == 0);
         run
     };
-    assert!(judged(|seen| matches!(seen, Seen::Load { .. })).is_err(), "the loop's own panic goes on up");
-    let ended = judged(|seen| matches!(seen, Seen::Arrived { .. }));
+    assert!(
+        judged(|seen| matches!(seen, Observation::Load { .. })).is_err(),
+        "the loop's own panic goes on up"
+    );
+    let ended = judged(|seen| matches!(seen, Observation::Arrived { .. }));
     let why = ended.expect("kept").err().expect("a run that ends with an error");
     assert!(why.contains("the test environment panicked: a judge of the test's own"), "{why}");
 }
