--- a/marldeal/tests/sockets.rs
+++ b/marldeal/tests/sockets.rs
@@ -327,7 +327,7 @@
     node.wait_log("51 servers beyond 10000 were passed over");
     let long = "n".repeat(300);
     node.discovery.push(&update_line(3, false, &[(&long, one.addr, "active")]));
-    node.wait_log("its id has 300 bytes, 256 at most");
+    node.wait_log("its id has 300 bytes, the maximum is 256");
     assert_eq!(ask(&node, &get("look", "")).body, "one");
 }
 
