--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -1,4 +1,5 @@
-//! The host of the engine: gives it the time and does what it asks. Owns neither clients' nor servers' sockets.
+//! Runs the engine: passes it events with the time and carries out its outputs. The sockets of clients and servers
+//! belong to the fronts and to [`Upstream`].
 
 mod clock;
 mod permission;
@@ -32,23 +33,23 @@
 use crate::settings::server_list::{self, DiscoverySource, ServerUpdate, MAX_SERVERS};
 use crate::socket::SharedSocket;
 use clock::Clock;
-use proxied::Proxied;
 pub use proxied::ProxyReply;
+use proxied::ProxyRequests;
 
 /// The final answer to a client of the direct front.
 #[derive(Debug)]
 pub enum Answer {
     /// A server's body.
     Served(Bytes),
-    /// A server's body that is too long to be read whole first, of so many bytes if that was told.
+    /// A server's body that is too long to be buffered, and its length in bytes if the server announced one.
     Streamed(mpsc::Receiver<Chunk>, Option<u64>),
-    /// Trying again is harmless, after so many milliseconds if not 0.
+    /// The request was refused and may be retried safely, after so many milliseconds if not 0.
     Refused(f64),
-    /// No promise.
+    /// The request failed; it may or may not have been executed.
     Failed,
 }
 
-/// What of a request goes on to a server unchanged.
+/// The parts of a request that are forwarded to a server unchanged, and what the driver keeps with them.
 pub struct RequestContent {
     /// `GET` or `POST`.
     pub method: hyper::Method,
@@ -60,179 +61,185 @@
     pub idempotency_key: Option<HeaderValue>,
     /// The body.
     pub body: Payload,
-    /// The client's whole time, in milliseconds.
+    /// The client's whole time budget, in milliseconds.
     pub budget_ms: f64,
-    /// How long its final answer is kept by its key, in milliseconds; nothing for one that is not.
+    /// How long the final answer is cached under the idempotency key, in milliseconds; `None` if it is not cached.
     pub answer_retention_ms: Option<f64>,
-    /// What a second execution would do.
+    /// What a second execution of the request would do.
     pub effect: marldeal_permit::Effect,
-    /// When the first attempt that may have run went out.
+    /// When the first attempt that may have run was sent.
     pub may_have_run_since: Cell<Option<f64>>,
-    /// When the present attempt went out.
+    /// When the current attempt was sent.
     pub attempt_sent_at: Cell<Option<f64>>,
 }
 
 impl RequestContent {
-    /// What was asked under its key: the path names class and firm.
-    fn question(&self) -> Option<KeyedRequest<'_>> {
+    /// The request under which its answer is cached: the path names class and customer.
+    fn keyed_request(&self) -> Option<KeyedRequest<'_>> {
         let key = self.idempotency_key.as_ref()?.as_bytes();
         Some(KeyedRequest { scope: self.target.path().as_bytes(), key, content: self.body.small()? })
     }
 }
 
-/// One attempt that this program makes itself.
+/// One attempt that this process sends to a server itself.
 pub struct AttemptJob {
-    /// Which request.
+    /// The request.
     pub id: RequestId,
-    /// Which of its attempts.
+    /// The number of the attempt within the request.
     pub attempt: u32,
-    /// Where to.
+    /// The server to send it to.
     pub server: ServerId,
-    /// What.
+    /// What to send.
     pub content: Rc<RequestContent>,
-    /// When it is given up, in the module's milliseconds.
+    /// When the attempt is abandoned, in milliseconds of the decision module's clock.
     pub deadline: f64,
 }
 
-/// Carries attempts to servers.
+/// Sends attempts to servers.
 pub trait Upstream {
-    /// Starts an attempt, and reports its end with [`Driver::attempt_ended`]. `stopped` calls it off.
+    /// Starts an attempt and reports its end with [`Driver::attempt_ended`]. A message on `stopped` cancels it.
     fn start(&self, driver: Rc<Driver>, job: AttemptJob, stopped: oneshot::Receiver<Outcome>);
     /// Closes the idle connections to a server.
     fn close_idle(&self, server: &ServerId);
-    /// Closes idle connections until no more than so many are open, where that can be.
-    fn trim(&self, most: usize);
+    /// Closes idle connections until at most `limit` connections are open, as far as idle ones suffice.
+    fn trim(&self, limit: usize);
 }
 
-/// A request of the direct front, until its final answer.
-struct Direct {
+/// A request of the direct front that has no final answer yet.
+struct DirectRequest {
     content: Rc<RequestContent>,
     answer: oneshot::Sender<Answer>,
     client: SharedSocket,
-    /// When its client was last seen to be connected.
-    seen: Cell<f64>,
+    /// When the client was last seen to be connected.
+    connected_at: Cell<f64>,
 }
 
-/// An attempt that is out.
-struct Out {
-    /// Calls it off.
+/// An attempt that has been started and has not ended.
+struct OutstandingAttempt {
+    /// Cancels the attempt.
     cancel: oneshot::Sender<Outcome>,
-    /// It is given up then; infinite where a body goes on as it comes.
+    /// When it is abandoned; infinite where the body is streamed.
     deadline: f64,
 }
 
 struct State {
     engine: Engine,
-    proxied: Option<Proxied>,
+    proxy_requests: Option<ProxyRequests>,
     outputs: VecDeque<Output>,
-    /// Keeps its room from call to call.
-    spare: Vec<Output>,
-    direct: HashMap<RequestId, Direct>,
-    out: HashMap<(RequestId, u32), Out>,
+    /// Reused between calls to save allocations.
+    output_buffer: Vec<Output>,
+    direct_requests: HashMap<RequestId, DirectRequest>,
+    outstanding: HashMap<(RequestId, u32), OutstandingAttempt>,
     addresses: HashMap<ServerId, SocketAddr>,
-    /// When the engine is to be called again, as last told to the timers.
-    armed: Option<f64>,
+    /// When the engine is to be called again, as last set for [`Driver::run_timers`].
+    next_timer: Option<f64>,
 }
 
 impl State {
-    /// Notes when the engine is due next; true if that has changed.
-    fn rearm(&mut self) -> bool {
+    /// Updates the time of the next call to the engine; true if it has changed.
+    fn update_next_timer(&mut self) -> bool {
         let mut next = self.engine.next_due();
-        if let Some(proxied) = &mut self.proxied {
-            next = next.into_iter().chain(proxied.machine.next_due()).min_by(f64::total_cmp);
+        if let Some(proxy_requests) = &mut self.proxy_requests {
+            next = next.into_iter().chain(proxy_requests.processor.next_due()).min_by(f64::total_cmp);
         }
-        std::mem::replace(&mut self.armed, next) != next
+        std::mem::replace(&mut self.next_timer, next) != next
     }
 }
 
-/// How often the configuration was read again, with what result.
+/// How often the configuration was reloaded, by result.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReloadCounts {
-    /// It took effect, or told nothing new.
+    /// The new configuration was valid, changed or not.
     pub applied: u64,
-    /// It had a mistake, and nothing changed.
+    /// The new configuration was invalid, and nothing changed.
     pub rejected: u64,
 }
 
-/// What operators are told.
+/// Statistics for operators.
 #[derive(Debug, Clone)]
 pub struct DriverStats {
-    /// Requests and attempts.
+    /// Counts of requests and attempts.
     pub request_counters: RequestCounters,
     /// Servers in the list.
     pub discovered: usize,
-    /// Of these, those that the module avoids now.
+    /// How many of these are ejected at present.
     pub ejected: usize,
-    /// Reloads.
+    /// Reloads of the configuration.
     pub reloads: ReloadCounts,
-    /// Attempts that were not sent, since something had changed after the decision.
+    /// Attempts that were not sent, because conditions had changed after the decision.
     pub denied: u64,
-    /// Rules that this process broke, as far as it can see.
+    /// Violations of the rules that this process has detected in itself.
     pub violations: u64,
 }
 
-/// The engine with all that surrounds it; one thread, so that nothing is locked.
+/// The engine and everything around it. Single-threaded, so nothing is locked.
 pub struct Driver {
-    /// As told at the start.
+    /// The configuration as read at the start.
     pub config: Arc<Config>,
     /// Where the list of servers comes from.
     pub sources: DiscoverySource,
-    /// The module wants the list anew; how often it has asked for all of it. Each watch hears of it, whatever it is at.
+    /// Signals that the decision module wants its list of servers refreshed. The value counts the requests for the
+    /// whole list. Every watch is woken, whatever it is doing.
     pub list_refresh: watch::Sender<u64>,
-    told: Cell<bool>,
-    /// The sockets over which sources of the list are watched, by the sources' numbers.
-    watches: RefCell<BTreeMap<u32, SharedSocket>>,
-    /// All that discovery had told by then has been read, also what came while the process stood still.
-    list_read: Cell<f64>,
+    list_received: Cell<bool>,
+    /// The sockets over which sources of the list are watched, by number of the source.
+    watch_sockets: RefCell<BTreeMap<u32, SharedSocket>>,
+    /// Everything that discovery had sent by then has been read, including what arrived while the process was
+    /// stalled.
+    list_current_at: Cell<f64>,
     violations: Cell<ViolationCounts>,
-    denied: Cell<u64>,
-    life: RefCell<Lifecycle>,
-    /// Whether the process stood still of late.
-    pauses: RefCell<StallDetector>,
-    /// A command has changed the phase.
+    denied_attempts: Cell<u64>,
+    lifecycle: RefCell<Lifecycle>,
+    /// Detects that the process did not run for a while.
+    stall_detector: RefCell<StallDetector>,
+    /// Notified when the phase changes, and when the first server list arrives.
     pub phase_changed: Notify,
-    reloads: Cell<ReloadCounts>,
+    reload_counts: Cell<ReloadCounts>,
     clock: Clock,
-    /// Where peers are told and heard; nowhere while another process of this limiter does.
-    mail: RefCell<Option<Rc<UdpSocket>>>,
-    /// The mail has been closed.
+    /// The socket for messages between peers; `None` while another process of this limiter holds the address.
+    peer_socket: RefCell<Option<Rc<UdpSocket>>>,
+    /// Notified when the peer socket has been closed.
     pub peer_socket_closed: Notify,
-    /// A predecessor has told what it knows.
-    follows: Cell<bool>,
-    /// Another process of this limiter lives: each holds half of what one may.
-    overlaps: Cell<bool>,
+    /// A snapshot of a predecessor has been restored.
+    snapshot_restored: Cell<bool>,
+    /// Another process of this limiter is running: each may use half of each limit.
+    overlapping: Cell<bool>,
     upstream: Rc<dyn Upstream>,
     state: RefCell<State>,
-    /// Final answers by key, where they are kept.
-    record: RefCell<Option<AnswerCache>>,
+    /// Final answers by idempotency key, where caching is enabled.
+    answer_cache: RefCell<Option<AnswerCache>>,
     timers_changed: Notify,
-    /// Bytes of requests' bodies that are held.
+    /// Limits the bytes of request bodies that are held in memory.
     pub body_budget: Rc<Budget>,
 }
 
-/// Longest datagram between limiters.
+/// Longest datagram between limiters, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// A list that was handed over at the start counts as good after this long without word from discovery.
-const UNTOLD_MS: f64 = 2000.0;
+/// A server list from the configuration counts as current after this time without an update from discovery.
+const DISCOVERY_TIMEOUT_MS: f64 = 2000.0;
 
 impl Driver {
-    /// A limiter with the list of servers that it last had; `beside` one that serves in its place still.
-    pub fn new(config: Arc<Config>, upstream: Rc<dyn Upstream>, beside: bool) -> Result<Rc<Driver>, String> {
+    /// Creates a limiter that starts with the configured list of servers. `second` says that a predecessor,
+    /// another process of the same limiter, is still serving.
+    ///
+    /// # Errors
+    /// The settings are invalid.
+    pub fn new(config: Arc<Config>, upstream: Rc<dyn Upstream>, second: bool) -> Result<Rc<Driver>, String> {
         let clock = Clock::start();
         let engine = Engine::new(config.settings.clone(), config.seed, clock.now())
             .map_err(|e| format!("settings: {e}"))?;
         let state = State {
             engine,
-            proxied: None,
+            proxy_requests: None,
             outputs: VecDeque::new(),
-            spare: Vec::new(),
-            direct: HashMap::new(),
-            out: HashMap::new(),
+            output_buffer: Vec::new(),
+            direct_requests: HashMap::new(),
+            outstanding: HashMap::new(),
             addresses: HashMap::new(),
-            armed: None,
+            next_timer: None,
         };
-        let life = match beside {
+        let life = match second {
             true => Lifecycle::beside_predecessor(config.timings),
             false => Lifecycle::new(config.timings),
         };
@@ -241,120 +248,121 @@
             body_budget: Budget::new(config.max_body_bytes),
             config,
             list_refresh: watch::Sender::new(0),
-            told: Cell::new(false),
-            watches: RefCell::default(),
-            list_read: Cell::new(f64::NEG_INFINITY),
+            list_received: Cell::new(false),
+            watch_sockets: RefCell::default(),
+            list_current_at: Cell::new(f64::NEG_INFINITY),
             violations: Cell::default(),
-            denied: Cell::new(0),
-            life: RefCell::new(life),
-            pauses: RefCell::default(),
+            denied_attempts: Cell::new(0),
+            lifecycle: RefCell::new(life),
+            stall_detector: RefCell::default(),
             phase_changed: Notify::new(),
-            reloads: Cell::default(),
+            reload_counts: Cell::default(),
             clock,
-            mail: RefCell::default(),
+            peer_socket: RefCell::default(),
             peer_socket_closed: Notify::new(),
-            follows: Cell::new(false),
-            overlaps: Cell::new(beside),
+            snapshot_restored: Cell::new(false),
+            overlapping: Cell::new(second),
             upstream,
             state: RefCell::new(state),
-            record: RefCell::new(None),
+            answer_cache: RefCell::new(None),
             timers_changed: Notify::new(),
         });
         if let Some(mut known) = driver.config.known_servers.clone() {
             known.set_full();
-            let (news, notes) = server_list::server_update(known, &driver.config.names);
+            let (update, notes) = server_list::server_update(known, &driver.config.names);
             notes.iter().for_each(|note| info!("{note}"));
-            driver.apply(news);
+            driver.apply_server_list(update);
         }
         Ok(driver)
     }
 
-    /// Milliseconds of the module's clock.
+    /// The time on the decision module's clock, in milliseconds.
     pub fn now(&self) -> f64 {
         self.clock.now()
     }
 
-    /// A request could be served: a server takes work, discovery has spoken or had its chance, and the module is
-    /// ready to let requests in.
+    /// Whether a request could be served: a server accepts requests, discovery has sent a list or had time to, and
+    /// the decision module is ready to admit requests.
     pub fn can_serve(&self) -> bool {
-        let told = self.told.get() || self.since_start_ms() > UNTOLD_MS;
+        let received = self.list_received.get() || self.elapsed_ms() > DISCOVERY_TIMEOUT_MS;
         let now = self.now();
         let engine = &self.state.borrow().engine;
-        // Beside a predecessor its accounts are still to come, as full as they are: nothing has to fill here first.
-        let follows = self.follows.get() && self.phase() == Phase::Warming && engine.has_servers();
-        let able = told && (follows || engine.is_ready(now));
-        self.life.borrow_mut().set_can_serve(now, able);
+        // The predecessor's accounts replace these later, as full as they are then: there is nothing to wait for
+        // here.
+        let follows = self.snapshot_restored.get() && self.phase() == Phase::Warming && engine.has_servers();
+        let able = received && (follows || engine.is_ready(now));
+        self.lifecycle.borrow_mut().set_can_serve(now, able);
         able
     }
 
-    fn since_start_ms(&self) -> f64 {
-        self.clock.began.elapsed().as_secs_f64() * 1000.0
+    fn elapsed_ms(&self) -> f64 {
+        self.clock.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Clients may come.
+    /// Whether clients may be sent to this limiter.
     pub fn is_ready(&self) -> bool {
-        self.can_serve() && self.life.borrow().is_ready()
+        self.can_serve() && self.lifecycle.borrow().is_ready()
     }
 
-    /// What this limiter is at.
+    /// The phase of this process in its lifecycle.
     pub fn phase(&self) -> Phase {
-        self.life.borrow().phase()
+        self.lifecycle.borrow().phase()
     }
 
-    /// Asks the lifecycle something, at this moment.
+    /// Queries the lifecycle at the present time.
     pub fn with_lifecycle<T>(&self, ask: impl Fn(&Lifecycle, f64) -> T) -> T {
-        ask(&self.life.borrow(), self.now())
+        ask(&self.lifecycle.borrow(), self.now())
     }
 
-    /// Takes a command of the operator, the platform or a successor.
+    /// Carries out a command of the operator, the platform or a successor.
     ///
     /// # Errors
-    /// The process is ending.
+    /// The process is already ending.
     pub fn handle_command(&self, command: Command) -> Result<Phase, AlreadyEnding> {
         self.can_serve();
         let before = self.phase();
         let now = self.now();
-        let said = self.life.borrow_mut().handle(now, command);
+        let result = self.lifecycle.borrow_mut().handle(now, command);
         if self.phase() != before {
-            let waited_ms = self.pauses.borrow_mut().max_queued_ms(now);
-            self.life.borrow_mut().backdate_command(waited_ms);
+            let waited_ms = self.stall_detector.borrow_mut().max_queued_ms(now);
+            self.lifecycle.borrow_mut().backdate_command(waited_ms);
             let phase = self.phase();
-            info!(event = "phase", from = %before, to = %phase, "{before} until now, {phase} from now on");
+            info!(event = "phase", from = %before, to = %phase, "phase changed from {before} to {phase}");
             self.phase_changed.notify_waiters();
         }
-        said
+        result
     }
 
-    /// Binds the address for peers' datagrams, where there is one.
+    /// Binds the address for messages from peers, if one is configured.
     ///
     /// # Errors
-    /// It cannot be bound, as while another process has it.
+    /// The address cannot be bound, for instance because another process holds it.
     pub async fn open_peer_socket(&self) -> std::io::Result<Option<Rc<UdpSocket>>> {
         let Some(at) = self.config.peer_listen else { return Ok(None) };
         let socket = Rc::new(UdpSocket::bind(at).await?);
-        *self.mail.borrow_mut() = Some(socket.clone());
+        *self.peer_socket.borrow_mut() = Some(socket.clone());
         Ok(Some(socket))
     }
 
-    /// Tells and hears peers no more: nothing is granted from here on.
+    /// Stops sending and receiving messages between peers: no quota is granted to peers from here on.
     pub fn close_peer_socket(&self) {
-        drop(self.mail.borrow_mut().take());
+        drop(self.peer_socket.borrow_mut().take());
         self.peer_socket_closed.notify_waiters();
     }
 
-    /// Another process of this limiter lives, or none does any more.
-    pub fn set_overlapping(&self, overlaps: bool) {
-        self.overlaps.set(overlaps);
+    /// Sets whether another process of this limiter is running, and adapts the limits.
+    pub fn set_overlapping(&self, overlapping: bool) {
+        self.overlapping.set(overlapping);
         self.body_budget.set_max_bytes(self.share_of(self.config.max_body_bytes));
         self.upstream.trim(self.share_of(self.config.max_server_connections));
     }
 
-    /// How much of a bound this process may use.
-    pub fn share_of(&self, most: usize) -> usize {
-        if self.overlaps.get() {
-            most / 2
+    /// The part of a limit that this process may use.
+    pub fn share_of(&self, limit: usize) -> usize {
+        if self.overlapping.get() {
+            limit / 2
         } else {
-            most
+            limit
         }
     }
 
@@ -363,258 +371,266 @@
         self.upstream.trim(0);
     }
 
-    /// What is known now, as bytes.
-    pub fn snapshot(&self, grade: SnapshotKind) -> Vec<u8> {
-        self.state.borrow().engine.snapshot(self.now(), grade).to_bytes(&self.config.settings)
+    /// The present state, encoded.
+    pub fn snapshot(&self, kind: SnapshotKind) -> Vec<u8> {
+        self.state.borrow().engine.snapshot(self.now(), kind).to_bytes(&self.config.settings)
     }
 
-    /// Learns what another process of this limiter knew; tells what was made of it.
+    /// Restores the state that another process of this limiter has sent. Returns a description of the result for
+    /// the log.
     pub fn restore_snapshot(self: &Rc<Self>, bytes: &[u8]) -> String {
-        let read = match Snapshot::from_bytes(bytes, &self.config.settings) {
-            Ok(read) => read,
-            Err(why) => return format!("{why}; it starts as if alone"),
+        let snapshot = match Snapshot::from_bytes(bytes, &self.config.settings) {
+            Ok(snapshot) => snapshot,
+            Err(why) => return format!("{why}; starting without the predecessor's state"),
         };
         let now = self.now();
-        let belief = marldeal_snapshot::assess(read, now);
-        let said = match &belief {
+        let assessment = marldeal_snapshot::assess(snapshot, now);
+        let result = match &assessment {
             Assessment::SameLimiter { state, .. } => format!(
                 "goes on as the same limiter with {} servers, {} customers, {} accounts",
                 state.servers.len(),
                 state.customers.len(),
                 state.accounts.len()
             ),
-            Assessment::Hints { .. } => "knows the servers; ceilings start as if spent".to_string(),
-            Assessment::Expired { age_ms } => format!("a snapshot {age_ms} ms old is not believed"),
+            Assessment::Hints { .. } => "the servers are known; ceilings start as spent".to_string(),
+            Assessment::Expired { age_ms } => format!("the snapshot is {age_ms} ms old and was ignored"),
         };
-        self.follows.set(!matches!(belief, Assessment::Expired { .. }));
+        self.snapshot_restored.set(!matches!(assessment, Assessment::Expired { .. }));
         let mut state = self.state.borrow_mut();
-        state.engine.restore(now, belief);
-        if state.rearm() {
+        state.engine.restore(now, assessment);
+        if state.update_next_timer() {
             self.timers_changed.notify_one();
         }
-        said
+        result
     }
 
-    /// What has been counted, and how things stand.
+    /// Counters and present values for operators.
     pub fn stats(&self) -> DriverStats {
         let state = self.state.borrow();
         DriverStats {
             request_counters: state.engine.counters().clone(),
             discovered: state.addresses.len(),
             ejected: state.engine.ejected_servers(self.now()),
-            reloads: self.reloads.get(),
-            denied: self.denied.get(),
+            reloads: self.reload_counts.get(),
+            denied: self.denied_attempts.get(),
             violations: self.violations().total(),
         }
     }
 
-    /// Counts something that happens outside the engine.
-    pub fn update_counters(&self, what: impl Fn(&mut RequestCounters)) {
-        what(self.state.borrow_mut().engine.counters_mut());
+    /// Updates counters for something that happens outside the engine.
+    pub fn update_counters(&self, update: impl Fn(&mut RequestCounters)) {
+        update(self.state.borrow_mut().engine.counters_mut());
     }
 
-    /// New names come so fast that the module refuses those it has never seen.
+    /// Whether the decision module refuses customers that it has not seen before, since new ones arrive too fast.
     pub fn refuses_new_customers(&self) -> bool {
         self.state.borrow().engine.refuses_new_customers()
     }
 
-    /// Reads the configuration again; of what it says only where discovery is can change while serving. One that cannot be
-    /// read, or makes no sense, changes nothing: false. What is counted is signals, not readings.
+    /// Reads the configuration again. Only the address of discovery can change while serving. Returns false if the
+    /// configuration cannot be read or is invalid; then nothing changes. The counts are of signals, not of read
+    /// attempts.
     pub fn reload(&self, trigger: ReloadTrigger) -> bool {
         let new = match Config::reload() {
             Ok(new) => new,
             Err(why) => {
                 if trigger == ReloadTrigger::Signal {
-                    self.count_reload(|reloads| reloads.rejected += 1);
+                    self.update_reload_counts(|reloads| reloads.rejected += 1);
                     info!(
                         event = "reload",
                         read = false,
-                        "reload: {why}; the old configuration stands, and it is tried again"
+                        "reload: {why}; the old configuration stands; reading it again"
                     );
                 }
                 return false;
             }
         };
-        self.count_reload(|reloads| reloads.applied += 1);
+        self.update_reload_counts(|reloads| reloads.applied += 1);
         match self.sources.switch_to(new.discovery) {
-            true => info!(event = "reload", read = true, "reload: discovery is at {} now", new.discovery),
-            false => info!(event = "reload", read = true, "reload: nothing new"),
+            true => info!(event = "reload", read = true, "reload: discovery is now at {}", new.discovery),
+            false => info!(event = "reload", read = true, "reload: no change"),
         }
         true
     }
 
-    fn count_reload(&self, count: impl Fn(&mut ReloadCounts)) {
-        let mut reloads = self.reloads.get();
-        count(&mut reloads);
-        self.reloads.set(reloads);
+    fn update_reload_counts(&self, update: impl Fn(&mut ReloadCounts)) {
+        let mut reloads = self.reload_counts.get();
+        update(&mut reloads);
+        self.reload_counts.set(reloads);
     }
 
-    /// A peer has told something.
+    /// Handles a message from a peer.
     pub fn receive_peer_message(self: &Rc<Self>, from: u32, body: Vec<u8>) {
         let mut state = self.state.borrow_mut();
-        self.input(&mut state, Input::MessageReceived { from, body });
-        self.perform(&mut state, None);
+        self.handle_input(&mut state, Input::MessageReceived { from, body });
+        self.execute_outputs(&mut state, None);
     }
 
-    /// Discovery's news.
-    pub fn update_servers(self: &Rc<Self>, news: ServerUpdate) {
-        let first = !self.told.replace(true);
-        self.apply(news);
+    /// Handles an update of the server list from discovery.
+    pub fn update_servers(self: &Rc<Self>, update: ServerUpdate) {
+        let first = !self.list_received.replace(true);
+        self.apply_server_list(update);
         if first {
             self.phase_changed.notify_waiters();
         }
     }
 
-    fn apply(self: &Rc<Self>, mut news: ServerUpdate) {
+    fn apply_server_list(self: &Rc<Self>, mut update: ServerUpdate) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
-        let told = news.entries.len();
-        let mut room = MAX_SERVERS - if news.full { 0 } else { state.addresses.len() };
-        news.entries.retain(|(entry, _)| {
-            let known = !news.full && state.addresses.contains_key(&entry.server);
-            let stays = known || entry.condition == Condition::Gone || room > 0;
-            room -= usize::from(stays && !known && entry.condition != Condition::Gone);
-            stays
+        let received = update.entries.len();
+        let mut free_places = MAX_SERVERS - if update.full { 0 } else { state.addresses.len() };
+        update.entries.retain(|(entry, _)| {
+            let known = !update.full && state.addresses.contains_key(&entry.server);
+            let keep = known || entry.condition == Condition::Gone || free_places > 0;
+            free_places -= usize::from(keep && !known && entry.condition != Condition::Gone);
+            keep
         });
-        if news.entries.len() < told {
-            let over = told - news.entries.len();
+        if update.entries.len() < received {
+            let over = received - update.entries.len();
             info!("discovery: {over} servers beyond {MAX_SERVERS} were passed over");
         }
-        if news.full {
+        if update.full {
             state.addresses.retain(|id, _| {
-                let stays = news.entries.iter().any(|(e, _)| e.server == *id);
-                if !stays {
+                let keep = update.entries.iter().any(|(e, _)| e.server == *id);
+                if !keep {
                     self.upstream.close_idle(id);
                 }
-                stays
+                keep
             });
         }
-        for (entry, addr) in &news.entries {
-            let (id, gone) = (&entry.server, entry.condition == Condition::Gone);
-            let took = state.engine.accepts_requests(id);
-            let old =
-                if gone { state.addresses.remove(id) } else { state.addresses.insert(id.clone(), *addr) };
-            let changed = match old {
-                Some(old) => gone || took != (entry.condition == Condition::Serving) || old != *addr,
-                None => !gone,
+        for (entry, addr) in &update.entries {
+            let (id, removed) = (&entry.server, entry.condition == Condition::Gone);
+            let was_accepting = state.engine.accepts_requests(id);
+            let previous =
+                if removed { state.addresses.remove(id) } else { state.addresses.insert(id.clone(), *addr) };
+            let changed = match previous {
+                Some(previous) => {
+                    removed || was_accepting != (entry.condition == Condition::Serving) || previous != *addr
+                }
+                None => !removed,
             };
             if changed {
                 let state = entry.condition;
                 info!(event = "server", server = %id, %addr, ?state, "server {id} at {addr}: {state:?}");
             }
-            if old.is_some_and(|old| entry.condition != Condition::Serving || old != *addr) {
+            if previous.is_some_and(|previous| entry.condition != Condition::Serving || previous != *addr) {
                 self.upstream.close_idle(id);
             }
         }
-        let entries = news.entries.into_iter().map(|(e, _)| e).collect();
-        self.input(state, Input::Servers { whole: news.full, entries });
-        self.perform(state, None);
+        let entries = update.entries.into_iter().map(|(e, _)| e).collect();
+        self.handle_input(state, Input::Servers { whole: update.full, entries });
+        self.execute_outputs(state, None);
     }
 
-    /// A client's request that has come whole: its id, and where its final answer will come from. Nothing if
-    /// one with the same `X-Correlation-Id` is open.
+    /// Submits a client's request. Returns its id and the receiver of its final answer, or `None` if a request
+    /// with the same `X-Correlation-Id` is open.
     pub fn submit(
         self: &Rc<Self>,
         content: RequestContent,
         mut request: Request,
         client: SharedSocket,
     ) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
-        // Its client counts from when it was sent: while this process stood still, it may have lain here. The clock of
-        // one whose body is still to come has not begun.
+        // The client's time runs from when it sent the request, which may have waited in the socket while this
+        // process was stalled. The time of a request whose body is still arriving has not begun.
         if !matches!(content.body, Payload::Streamed(_)) {
-            request.budget_ms -= self.pauses.borrow_mut().max_queued_ms(self.now());
+            request.budget_ms -= self.stall_detector.borrow_mut().max_queued_ms(self.now());
         }
-        // Past that nobody is left to answer.
+        // The process exits then, so a longer budget is of no use.
         request.budget_ms = request.budget_ms.min(self.with_lifecycle(Lifecycle::remaining_ms));
         let mut state = self.state.borrow_mut();
         let correlation_id = content.correlation_id.as_bytes().into();
-        let id = self.input(&mut state, Input::Request { correlation_id, request })?;
+        let id = self.handle_input(&mut state, Input::Request { correlation_id, request })?;
         if matches!(content.body, Payload::Streamed(_)) {
-            self.input(&mut state, Input::Uploading { id });
+            self.handle_input(&mut state, Input::Uploading { id });
         }
         let (answer, answered) = oneshot::channel();
-        let seen = Cell::new(self.now());
-        state.direct.insert(id, Direct { content: Rc::new(content), answer, client, seen });
-        self.perform(&mut state, None);
+        let connected_at = Cell::new(self.now());
+        state
+            .direct_requests
+            .insert(id, DirectRequest { content: Rc::new(content), answer, client, connected_at });
+        self.execute_outputs(&mut state, None);
         Some((id, answered))
     }
 
-    /// Final answers to keyed requests are kept from now on.
-    pub fn enable_answer_cache(&self, bounds: marldeal_outcomes::Limits) {
-        *self.record.borrow_mut() = Some(AnswerCache::new(bounds));
+    /// Caches final answers to requests with an idempotency key from now on.
+    pub fn enable_answer_cache(&self, limits: marldeal_outcomes::Limits) {
+        *self.answer_cache.borrow_mut() = Some(AnswerCache::new(limits));
     }
 
-    /// Holds units of quotas ahead of need, for so many customers at most.
-    pub fn enable_prefetch(&self, most: usize) {
-        self.state.borrow_mut().engine.enable_prefetch(most);
+    /// Prefetches units of quotas, for at most `limit` customers.
+    pub fn enable_prefetch(&self, limit: usize) {
+        self.state.borrow_mut().engine.enable_prefetch(limit);
     }
 
-    /// How long the answer to a request is kept from when it came: the class's window, in which servers drop its repeats.
+    /// How long the answer to a request is cached, from its arrival: the window of the class, in which servers
+    /// recognise repeats. `None` if it is not cached.
     pub fn answer_retention_ms(&self, request: &Request) -> Option<f64> {
         let class = self.config.settings.classes.get(request.class)?;
-        (class.effect == Effect::Keyed && self.record.borrow().is_some()).then_some(class.window_ms)
+        (class.effect == Effect::Keyed && self.answer_cache.borrow().is_some()).then_some(class.window_ms)
     }
 
-    /// The answer that there was to this very request, asked before under its key.
+    /// The cached answer to an identical earlier request with the same idempotency key.
     pub fn cached_answer(&self, content: &RequestContent) -> Option<Bytes> {
         content.answer_retention_ms?;
-        let found = self.record.borrow_mut().as_mut()?.lookup(self.now(), &content.question()?);
+        let found = self.answer_cache.borrow_mut().as_mut()?.lookup(self.now(), &content.keyed_request()?);
         match found {
             Lookup::Hit(body) => Some(body),
-            // Servers judge what was asked differently under one key: they know the key as well.
+            // A different request under the same key is left to the servers, which know the key as well.
             Lookup::Miss | Lookup::KeyReused => None,
         }
     }
 
-    /// An attempt's last byte has been written.
+    /// Handles that the last byte of an attempt has been written.
     pub fn attempt_written(self: &Rc<Self>, id: RequestId, attempt: u32) {
         let mut state = self.state.borrow_mut();
         self.check_written(&state, id, attempt);
-        self.input(&mut state, Input::Written { id, attempt });
-        self.perform(&mut state, None);
+        self.handle_input(&mut state, Input::Written { id, attempt });
+        self.execute_outputs(&mut state, None);
     }
 
-    /// An attempt's answer is passed on as it comes: where its pieces go; nothing if nobody waits for them any more.
+    /// Starts to stream an attempt's answer to its client. Returns the sender for its pieces, or `None` if nobody
+    /// waits for the answer any more.
     pub fn begin_streaming(
         self: &Rc<Self>,
         job: &AttemptJob,
         length: Option<u64>,
     ) -> Option<mpsc::Sender<Chunk>> {
         let mut state = self.state.borrow_mut();
-        let direct = state.direct.remove(&job.id)?;
-        // One piece waits: the pace is the reader's.
-        let (pieces, read) = mpsc::channel(1);
-        direct.answer.send(Answer::Streamed(read, length)).ok()?;
-        self.input(&mut state, Input::Streaming { id: job.id, attempt: job.attempt });
-        self.perform(&mut state, None);
-        Some(pieces)
+        let direct = state.direct_requests.remove(&job.id)?;
+        // With one piece in the channel the reader sets the pace.
+        let (sender, receiver) = mpsc::channel(1);
+        direct.answer.send(Answer::Streamed(receiver, length)).ok()?;
+        self.handle_input(&mut state, Input::Streaming { id: job.id, attempt: job.attempt });
+        self.execute_outputs(&mut state, None);
+        Some(sender)
     }
 
-    /// The client has gone, or does not read on, in the middle of its answer.
+    /// Handles that the client has disconnected, or has stopped reading, while its answer was streamed.
     pub fn reader_disconnected(self: &Rc<Self>, id: RequestId) {
         let mut state = self.state.borrow_mut();
-        self.input(&mut state, Input::ClientDisconnected { id });
-        self.perform(&mut state, None);
+        self.handle_input(&mut state, Input::ClientDisconnected { id });
+        self.execute_outputs(&mut state, None);
     }
 
-    /// The client has gone before its answer.
+    /// Handles that the client has disconnected before its answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let mut state = self.state.borrow_mut();
-        let waited = state.direct.remove(&id).is_some();
+        let request_open = state.direct_requests.remove(&id).is_some();
         drop(state);
-        if waited {
+        if request_open {
             self.reader_disconnected(id);
         }
     }
 
-    /// Where a server listens, if it takes work at this moment.
+    /// The address of a server that accepts requests at present.
     pub fn server_address(&self, server: &ServerId) -> Option<SocketAddr> {
         let state = self.state.borrow();
         state.addresses.get(server).filter(|_| state.engine.accepts_requests(server)).copied()
     }
 
-    /// An attempt has ended; its connection is closed or back in the pool by now. An answer in time goes to
-    /// the client; one for a request that is over is dropped.
+    /// Handles the end of an attempt; its connection is closed or back in the pool by now. An answer in time goes
+    /// to the client, and one for a request that has ended is dropped.
     pub fn attempt_ended(self: &Rc<Self>, job: &AttemptJob, outcome: Outcome, body: Option<Bytes>) {
         let (id, attempt) = (job.id, job.attempt);
         debug!(
@@ -628,49 +644,53 @@
             let first = job.content.may_have_run_since.get().unwrap_or(sent);
             job.content.may_have_run_since.set(Some(first));
         }
-        // Also where the client has left: its next try under the key gets this answer.
-        if let (Outcome::Ok, Some(body), Some(keep_ms)) = (outcome, &body, job.content.answer_retention_ms) {
-            if let (Some(record), Some(question)) = (&mut *self.record.borrow_mut(), job.content.question()) {
-                record.insert(self.now(), keep_ms, &question, body.clone());
+        // Also if the client has disconnected: its next try under the key gets this answer.
+        if let (Outcome::Ok, Some(body), Some(retention_ms)) =
+            (outcome, &body, job.content.answer_retention_ms)
+        {
+            if let (Some(cache), Some(keyed_request)) =
+                (&mut *self.answer_cache.borrow_mut(), job.content.keyed_request())
+            {
+                cache.insert(self.now(), retention_ms, &keyed_request, body.clone());
             }
         }
         let mut state = self.state.borrow_mut();
-        state.out.remove(&(id, attempt));
-        self.input(&mut state, Input::attempt_ended(id, attempt, outcome));
-        self.perform(&mut state, body);
+        state.outstanding.remove(&(id, attempt));
+        self.handle_input(&mut state, Input::attempt_ended(id, attempt, outcome));
+        self.execute_outputs(&mut state, body);
     }
 
-    fn input(&self, state: &mut State, input: Input) -> Option<RequestId> {
-        let id = state.engine.handle(self.now(), input, &mut state.spare);
-        state.outputs.extend(state.spare.drain(..));
+    fn handle_input(&self, state: &mut State, input: Input) -> Option<RequestId> {
+        let id = state.engine.handle(self.now(), input, &mut state.output_buffer);
+        state.outputs.extend(state.output_buffer.drain(..));
         id
     }
 
-    /// Does what the engine asks. `body` belongs to the attempt that has just ended: the only one that can have
-    /// served its request.
-    fn perform(self: &Rc<Self>, state: &mut State, mut body: Option<Bytes>) {
+    /// Carries out the outputs of the engine. `body` belongs to the attempt that has just ended, which is the only
+    /// one that can have served its request.
+    fn execute_outputs(self: &Rc<Self>, state: &mut State, mut body: Option<Bytes>) {
         while let Some(output) = state.outputs.pop_front() {
-            if state.proxied.as_ref().is_some_and(|p| p.machine.owns(&output)) {
-                self.give(state, external::Input::Engine(output));
+            if state.proxy_requests.as_ref().is_some_and(|p| p.processor.owns(&output)) {
+                self.handle_external_input(state, external::Input::Engine(output));
                 continue;
             }
             match output {
                 Output::Send { id, attempt, server, deadline } => {
-                    let Some(direct) = state.direct.get(&id) else { continue };
+                    let Some(direct) = state.direct_requests.get(&id) else { continue };
                     let job = AttemptJob { id, attempt, server, content: direct.content.clone(), deadline };
                     let (cancel, cancelled) = oneshot::channel();
-                    state.out.insert((id, attempt), Out { cancel, deadline });
+                    state.outstanding.insert((id, attempt), OutstandingAttempt { cancel, deadline });
                     self.upstream.start(self.clone(), job, cancelled);
                 }
                 Output::Stop { id, attempt, outcome } => {
-                    if let Some(out) = state.out.remove(&(id, attempt)) {
+                    if let Some(out) = state.outstanding.remove(&(id, attempt)) {
                         let _ = out.cancel.send(outcome);
                     }
                 }
-                // A client that has left meanwhile gets no answer.
+                // A client that has disconnected meanwhile gets no answer.
                 Output::Answer { id, answer } => {
                     debug!(event = "answered", request = id, ?answer, "request {id}: {answer:?}");
-                    if let Some(direct) = state.direct.remove(&id) {
+                    if let Some(direct) = state.direct_requests.remove(&id) {
                         let _ = direct.answer.send(match answer {
                             marldeal_engine::Answer::Served => {
                                 Answer::Served(body.take().unwrap_or_default())
@@ -680,44 +700,47 @@
                         });
                     }
                 }
-                Output::SendMessage { to, body } => self.tell(to, &body),
+                Output::SendMessage { to, body } => self.send_to_peer(to, &body),
                 Output::CloseIdle { server } => self.upstream.close_idle(&server),
                 Output::RefreshWatch => self.list_refresh.send_modify(|_| {}),
                 Output::FetchServerList => self.list_refresh.send_modify(|times| *times += 1),
                 Output::Log(line) => info!("{line}"),
             }
         }
-        if state.rearm() {
+        if state.update_next_timer() {
             self.timers_changed.notify_one();
         }
     }
 
-    /// Sends a datagram; one that finds no room is lost, as any may be.
-    fn tell(&self, to: Option<u32>, body: &[u8]) {
+    /// Sends a datagram to one peer or to all. It is dropped if the socket's buffer is full, as any datagram may
+    /// be lost.
+    fn send_to_peer(&self, to: Option<u32>, body: &[u8]) {
         let to = match to {
             Some(position) => self.config.peers.get(position as usize).copied(),
             None => self.config.peers_all,
         };
-        if let (Some(socket), Some(to), true) = (&*self.mail.borrow(), to, body.len() <= MAX_DATAGRAM_BYTES) {
+        if let (Some(socket), Some(to), true) =
+            (&*self.peer_socket.borrow(), to, body.len() <= MAX_DATAGRAM_BYTES)
+        {
             let _ = socket.try_send_to(body, to);
         }
     }
 
-    /// Calls the engine when something is due, for ever.
+    /// Calls the engine whenever something is due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let armed = {
+            let next_timer = {
                 let mut state = self.state.borrow_mut();
-                self.input(&mut state, Input::TimerExpired);
-                self.give(&mut state, external::Input::TimerExpired);
-                // Armed here already: what is due next is no news to this loop.
-                state.rearm();
-                self.pauses.borrow_mut().heartbeat(self.now(), state.armed);
-                self.perform(&mut state, None);
-                state.armed.map(|at| self.clock.instant(at))
+                self.handle_input(&mut state, Input::TimerExpired);
+                self.handle_external_input(&mut state, external::Input::TimerExpired);
+                // Updated here, so that the next due time does not wake this loop again.
+                state.update_next_timer();
+                self.stall_detector.borrow_mut().heartbeat(self.now(), state.next_timer);
+                self.execute_outputs(&mut state, None);
+                state.next_timer.map(|at| self.clock.instant(at))
             };
             let changed = self.timers_changed.notified();
-            match armed {
+            match next_timer {
                 Some(at) => tokio::select! {
                     () = tokio::time::sleep_until(at.into()) => {}
                     () = changed => {}
--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -1,4 +1,5 @@
-//! What the driver knows when an attempt is about to go out, and the looks that `marldeal_permit` asks for first.
+//! What the driver knows when an attempt is about to be sent, and the checks that `marldeal_permit` requires
+//! first.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,14 +14,14 @@
 use super::{AttemptJob, Driver, State};
 use crate::socket::{SharedSocket, Unread};
 
-/// How long what discovery has told is waited for after the process stood still, where its watch has ended meanwhile or is
-/// silent; and how often it is looked at.
-const LIST_PATIENCE: Duration = Duration::from_millis(60);
-const LIST_LOOK: Duration = Duration::from_millis(1);
-/// Turns of the event loop in which what has been read from the watch's socket is taken in.
-const LIST_TURNS: usize = 3;
+/// How long to wait for updates from discovery after a stall, where the watch has ended meanwhile or is silent,
+/// and how often to look.
+const LIST_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Turns of the event loop after which the bytes read from the watch's socket have been handled.
+const LIST_WAIT_YIELDS: usize = 3;
 
-/// What a second execution of a request would do, in the terms of the permission.
+/// Converts the effect of a class to the type that the permission uses.
 fn effect_of(effect: Effect, window_ms: f64) -> marldeal_permit::Effect {
     match effect {
         Effect::Safe => marldeal_permit::Effect::Safe,
@@ -29,21 +30,21 @@
     }
 }
 
-/// An attempt that ended so may have run.
+/// Whether an attempt with this outcome may have been executed by the server.
 pub(super) fn may_have_run(outcome: Outcome) -> bool {
     !matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
 }
 
 impl Driver {
-    /// Connections may be accepted.
+    /// Whether client connections may be accepted.
     pub fn may_accept_connections(&self) -> bool {
         let settings = &self.config.settings;
-        let aims = settings.classes.iter().map(|class| class.aim_ms);
+        let target_latencies = settings.classes.iter().map(|class| class.aim_ms);
         may_accept(&StartupState {
-            list_received: self.told.get(),
+            list_received: self.list_received.get(),
             uses_registry: settings.must_subscribe,
-            elapsed_ms: self.since_start_ms(),
-            min_target_latency_ms: aims.fold(f64::INFINITY, f64::min),
+            elapsed_ms: self.elapsed_ms(),
+            min_target_latency_ms: target_latencies.fold(f64::INFINITY, f64::min),
         })
     }
 
@@ -56,19 +57,19 @@
         class.map_or(marldeal_permit::Effect::Unsafe, |c| effect_of(c.effect, c.window_ms))
     }
 
-    /// Whether an attempt may go out, if it does so at once. Looks at the client's socket, and waits for what discovery has
-    /// told, where that is needed.
+    /// Decides whether an attempt may be sent if it is sent at once. Checks the client's socket and waits for
+    /// updates from discovery where that is needed.
     ///
     /// # Errors
-    /// Why it may not; a client that has left is withdrawn.
+    /// The reason why it may not be sent. The request of a client that has disconnected is cancelled.
     pub async fn check_permission(self: &Rc<Self>, job: &AttemptJob) -> Result<(), Denied> {
         loop {
             match self.verdict(job) {
                 Verdict::Allowed => return Ok(()),
-                Verdict::CheckFirst(Check::Client) => self.look_at_client(job.id),
-                Verdict::CheckFirst(Check::ServerList) => self.read_list().await,
+                Verdict::CheckFirst(Check::Client) => self.check_client(job.id),
+                Verdict::CheckFirst(Check::ServerList) => self.wait_for_server_list().await,
                 Verdict::Denied(why) => {
-                    self.denied.set(self.denied.get() + 1);
+                    self.denied_attempts.set(self.denied_attempts.get() + 1);
                     let (request, attempt, server) = (job.id, job.attempt, &job.server);
                     info!(event = "denied", request, attempt, %server, %why, "request {request}: attempt {attempt} is not sent: {why}");
                     return Err(why);
@@ -80,8 +81,8 @@
     fn verdict(&self, job: &AttemptJob) -> Verdict {
         let now = self.now();
         let state = self.state.borrow();
-        let client = match state.direct.get(&job.id) {
-            Some(direct) => ClientState::Connected { checked_at: direct.seen.get() },
+        let client = match state.direct_requests.get(&job.id) {
+            Some(request) => ClientState::Connected { checked_at: request.connected_at.get() },
             None => ClientState::Disconnected,
         };
         may_send(&Attempt {
@@ -89,73 +90,75 @@
             client,
             server_accepts: state.addresses.contains_key(&job.server)
                 && state.engine.accepts_requests(&job.server),
-            server_list_current: self.list_is_read(now),
+            server_list_current: self.server_list_is_current(now),
             deadline: job.deadline,
             effect: job.content.effect,
             may_have_run: job.content.may_have_run_since.get(),
-            another_outstanding: earlier_out(&state, job.id, job.attempt),
+            another_outstanding: earlier_attempt_outstanding(&state, job.id, job.attempt),
         })
     }
 
-    /// Asks the kernel whether a client is still there: the event loop may not have been told yet.
-    fn look_at_client(self: &Rc<Self>, id: RequestId) {
-        let left = {
+    /// Asks the kernel whether a client is still connected: the event loop may not have been notified yet.
+    fn check_client(self: &Rc<Self>, id: RequestId) {
+        let disconnected = {
             let state = self.state.borrow();
-            let Some(direct) = state.direct.get(&id) else { return };
-            direct.seen.set(self.now());
-            direct.client.unread() == Unread::Closed
+            let Some(request) = state.direct_requests.get(&id) else { return };
+            request.connected_at.set(self.now());
+            request.client.unread() == Unread::Closed
         };
-        if left {
+        if disconnected {
             self.client_disconnected(id);
         }
     }
 
-    /// A list that was told while the process stood still may lie unread behind the requests that came meanwhile.
-    fn list_is_read(&self, now: f64) -> bool {
-        let woke = self.pauses.borrow_mut().last_stall_end(now);
-        self.config.settings.must_subscribe || woke.is_none_or(|woke| woke <= self.list_read.get())
+    /// After a stall, a list update may still be unread behind the requests that arrived meanwhile.
+    fn server_list_is_current(&self, now: f64) -> bool {
+        let stall_end = self.stall_detector.borrow_mut().last_stall_end(now);
+        self.config.settings.must_subscribe
+            || stall_end.is_none_or(|stall_end| stall_end <= self.list_current_at.get())
     }
 
-    /// Waits until what discovery has told by now is taken in. A watch that has ended is opened anew meanwhile.
-    async fn read_list(&self) {
-        let woke_at = self.now();
-        let until = Instant::now() + LIST_PATIENCE;
-        while !self.watches_are_empty() && Instant::now() < until {
-            tokio::time::sleep(LIST_LOOK).await;
+    /// Waits until the updates that discovery has sent by now have been handled. A watch that has ended is
+    /// reopened meanwhile.
+    async fn wait_for_server_list(&self) {
+        let started_at = self.now();
+        let deadline = Instant::now() + LIST_WAIT_TIMEOUT;
+        while !self.watch_sockets_are_empty() && Instant::now() < deadline {
+            tokio::time::sleep(LIST_POLL_INTERVAL).await;
         }
-        for _ in 0..LIST_TURNS {
+        for _ in 0..LIST_WAIT_YIELDS {
             tokio::task::yield_now().await;
         }
-        self.list_read.set(woke_at);
+        self.list_current_at.set(started_at);
     }
 
-    /// Each watch stands, and nothing lies in its socket.
-    fn watches_are_empty(&self) -> bool {
-        let watches = self.watches.borrow();
-        !watches.is_empty() && watches.values().all(|socket| socket.unread() == Unread::Nothing)
+    /// Whether at least one watch is open and no socket of a watch holds unread bytes.
+    fn watch_sockets_are_empty(&self) -> bool {
+        let watch_sockets = self.watch_sockets.borrow();
+        !watch_sockets.is_empty() && watch_sockets.values().all(|socket| socket.unread() == Unread::Nothing)
     }
 
-    /// A source of the list is watched over this socket from now on, or over none.
+    /// Sets the socket over which a source of the list is watched; `None` if it is not watched at present.
     pub fn set_watch_socket(&self, source: u32, socket: Option<SharedSocket>) {
         match socket {
-            Some(socket) => drop(self.watches.borrow_mut().insert(source, socket)),
-            None => drop(self.watches.borrow_mut().remove(&source)),
+            Some(socket) => drop(self.watch_sockets.borrow_mut().insert(source, socket)),
+            None => drop(self.watch_sockets.borrow_mut().remove(&source)),
         }
     }
 
-    /// How often each rule was broken.
+    /// How often each rule was violated.
     pub fn violations(&self) -> ViolationCounts {
         self.violations.get()
     }
 
-    /// Holds an attempt that was written whole against the rules.
+    /// Checks an attempt whose last byte has been written against the rules, and records a violation.
     pub(super) fn check_written(&self, state: &State, request: RequestId, attempt: u32) {
-        let Some(out) = state.out.get(&(request, attempt)) else { return };
+        let Some(outstanding) = state.outstanding.get(&(request, attempt)) else { return };
         let written = WrittenAttempt {
             now: self.now(),
-            request_open: state.direct.contains_key(&request),
-            outstanding: 1 + usize::from(earlier_out(state, request, attempt)),
-            deadline: out.deadline,
+            request_open: state.direct_requests.contains_key(&request),
+            outstanding: 1 + usize::from(earlier_attempt_outstanding(state, request, attempt)),
+            deadline: outstanding.deadline,
         };
         if let Some(rule) = written.violation() {
             let mut counts = self.violations.get();
@@ -166,7 +169,7 @@
     }
 }
 
-/// An earlier attempt of a request is out.
-fn earlier_out(state: &State, id: RequestId, attempt: u32) -> bool {
-    (0..attempt).any(|earlier| state.out.contains_key(&(id, earlier)))
+/// Whether an earlier attempt of the request is outstanding.
+fn earlier_attempt_outstanding(state: &State, id: RequestId, attempt: u32) -> bool {
+    (0..attempt).any(|earlier| state.outstanding.contains_key(&(id, earlier)))
 }
--- a/marldeal/src/driver/proxied.rs
+++ b/marldeal/src/driver/proxied.rs
@@ -1,4 +1,5 @@
-//! Requests that proxies carry out: what their streams say goes to the external machine, its verdicts go back.
+//! Requests that proxies carry out: the events of their streams go to the external processor, and its verdicts go
+//! back.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,80 +10,80 @@
 
 use super::{Driver, State};
 
-/// What a stream of a proxy is told.
+/// What the stream of a proxy receives.
 #[derive(Debug)]
 pub struct ProxyReply {
     /// The verdict.
     pub verdict: Verdict,
-    /// Where the granted attempt goes.
-    pub node: Option<SocketAddr>,
-    /// Milliseconds that it may take.
-    pub left_ms: f64,
+    /// The address of the server for a granted attempt.
+    pub server_addr: Option<SocketAddr>,
+    /// Time that the granted attempt may take, in milliseconds.
+    pub remaining_ms: f64,
 }
 
-/// Requests that proxies carry out.
-pub(super) struct Proxied {
-    pub(super) machine: ExternalProcessor,
+/// The external processor and the streams of proxies that wait for its verdicts.
+pub(super) struct ProxyRequests {
+    pub(super) processor: ExternalProcessor,
     pub(super) streams: HashMap<StreamId, mpsc::Sender<ProxyReply>>,
 }
 
 impl Driver {
-    /// Proxies may ask from now on.
+    /// Lets proxies present requests from now on.
     pub fn enable_external_processor(&self, config: ProcessorConfig) {
-        let machine = ExternalProcessor::new(config, &self.config.settings);
-        self.state.borrow_mut().proxied = Some(Proxied { machine, streams: HashMap::new() });
+        let processor = ExternalProcessor::new(config, &self.config.settings);
+        self.state.borrow_mut().proxy_requests = Some(ProxyRequests { processor, streams: HashMap::new() });
     }
 
-    /// Something that a stream said. `words` is where a stream that presents a request hears its verdicts.
+    /// Handles an event of a stream. A stream that presents a request receives its verdicts through `replies`.
     pub fn handle_proxy_input(
         self: &Rc<Self>,
         input: external::Input,
-        words: Option<mpsc::Sender<ProxyReply>>,
+        replies: Option<mpsc::Sender<ProxyReply>>,
     ) {
         let mut state = self.state.borrow_mut();
-        if let (external::Input::Presented { stream, .. }, Some(words), Some(proxied)) =
-            (&input, words, &mut state.proxied)
+        if let (external::Input::Presented { stream, .. }, Some(replies), Some(proxy_requests)) =
+            (&input, replies, &mut state.proxy_requests)
         {
-            proxied.streams.insert(*stream, words);
+            proxy_requests.streams.insert(*stream, replies);
         }
         let closed = match input {
             external::Input::Closed { stream } => Some(stream),
             _ => None,
         };
-        self.give(&mut state, input);
-        if let (Some(stream), Some(proxied)) = (closed, &mut state.proxied) {
-            proxied.streams.remove(&stream);
+        self.handle_external_input(&mut state, input);
+        if let (Some(stream), Some(proxy_requests)) = (closed, &mut state.proxy_requests) {
+            proxy_requests.streams.remove(&stream);
         }
-        self.perform(&mut state, None);
+        self.execute_outputs(&mut state, None);
     }
 
-    /// Requests of proxies that are open, and what has happened since the start.
+    /// The number of open requests of proxies, and the counters since the start.
     pub fn proxied_request_counts(&self) -> (usize, Counts) {
         let state = self.state.borrow();
         state
-            .proxied
+            .proxy_requests
             .as_ref()
-            .map_or((0, Counts::default()), |p| (p.machine.open_requests(), p.machine.counts()))
+            .map_or((0, Counts::default()), |p| (p.processor.open_requests(), p.processor.counts()))
     }
 
-    pub(super) fn give(&self, state: &mut State, input: external::Input) {
-        let State { engine, proxied: Some(proxied), addresses, outputs, .. } = state else { return };
+    pub(super) fn handle_external_input(&self, state: &mut State, input: external::Input) {
+        let State { engine, proxy_requests: Some(proxied), addresses, outputs, .. } = state else { return };
         let now = self.now();
-        let mut out = Vec::new();
-        proxied.machine.handle(now, input, engine, &mut out);
-        for item in out {
-            match item {
+        let mut actions = Vec::new();
+        proxied.processor.handle(now, input, engine, &mut actions);
+        for action in actions {
+            match action {
                 external::Action::Engine(output) => outputs.push_back(output),
                 external::Action::Reply { stream, verdict } => {
                     let grant = match &verdict {
                         Verdict::Admit(grant) | Verdict::Retry(grant) => Some(grant),
                         _ => None,
                     };
-                    let node = grant.and_then(|g| addresses.get(&g.server)).copied();
-                    let left_ms = grant.map_or(0.0, |g| g.deadline - now);
-                    // A stream that is gone, or takes nothing in, has its end told by another way.
-                    if let Some(words) = proxied.streams.get(&stream) {
-                        let _ = words.try_send(ProxyReply { verdict, node, left_ms });
+                    let server_addr = grant.and_then(|g| addresses.get(&g.server)).copied();
+                    let remaining_ms = grant.map_or(0.0, |g| g.deadline - now);
+                    // A stream that has closed, or whose queue is full, learns of its end in another way.
+                    if let Some(replies) = proxied.streams.get(&stream) {
+                        let _ = replies.try_send(ProxyReply { verdict, server_addr, remaining_ms });
                     }
                 }
             }
--- a/marldeal/src/front/accept_queue.rs
+++ b/marldeal/src/front/accept_queue.rs
@@ -1,4 +1,5 @@
-//! The last connections of a process that ends: whoever its machine has accepted is answered, and nobody else is accepted.
+//! The accept queue of a process that is about to exit: connections that the kernel has accepted are answered, and
+//! new ones are blocked.
 
 use std::io;
 
@@ -7,22 +8,23 @@
 
 use crate::transient;
 
-/// A packet filter that lets nothing through: the one instruction `BPF_RET | BPF_K` with 0 bytes to keep.
-const NOTHING: [SockFilter; 1] = [SockFilter::new(0x06, 0, 0, 0)];
-/// Failures in a row of taking from the queue, after which it counts as empty.
-const MOST_FAILURES: usize = 8;
+/// A packet filter that drops everything: the single instruction `BPF_RET | BPF_K` with 0 bytes to keep.
+const DROP_ALL: [SockFilter; 1] = [SockFilter::new(0x06, 0, 0, 0)];
+/// Consecutive failures to accept, after which the queue counts as empty.
+const MAX_CONSECUTIVE_FAILURES: usize = 8;
 
-/// Keeps new connections from coming up at a listener. Their clients hear nothing, or are refused once the process has gone;
-/// the queue stays as it is. Only for a listener that no other process shares. Where the system refuses it nothing changes.
-pub fn shut_out(listener: &TcpListener) {
-    let _ = SockRef::from(listener).attach_filter(&NOTHING);
+/// Blocks new connections at a listener. Their clients get no answer, or are refused once the process has exited;
+/// queued connections stay. Only for a listener that no other process shares. If the system refuses the filter,
+/// nothing changes.
+pub fn block_new_connections(listener: &TcpListener) {
+    let _ = SockRef::from(listener).attach_filter(&DROP_ALL);
 }
 
-/// Takes all connections that lie in the queue of a listener at this moment, whether or not the event loop has been told.
-pub fn in_queue(listener: &TcpListener) -> Vec<TcpStream> {
+/// Accepts all connections in a listener's queue, whether or not the event loop has been notified of them.
+pub fn take_queued(listener: &TcpListener) -> Vec<TcpStream> {
     let mut all = Vec::new();
     let mut failures = 0;
-    while failures < MOST_FAILURES {
+    while failures < MAX_CONSECUTIVE_FAILURES {
         match next(listener) {
             Ok(stream) => all.push(stream),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
--- a/marldeal/src/front/answer.rs
+++ b/marldeal/src/front/answer.rs
@@ -1,4 +1,5 @@
-//! The answer to one request of the direct front: read, taken by the driver, waited for.
+//! Answers one request of the direct front: reads and checks it, submits it to the driver and waits for the
+//! answer.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,131 +21,140 @@
 use crate::payload::{self, Payload, ReceiveError, ResponseBody};
 use crate::socket::SharedSocket;
 
-/// Connections that are turned away at once while this process ends, and how long one of them may take to ask.
-pub(super) const LATE_TIME: Duration = Duration::from_millis(400);
-/// A body that is too large is read on for so long and so far, so that its sender sees the answer.
-const MOST_DISCARDED: usize = 1 << 20;
-const DISCARD_TIME: Duration = Duration::from_secs(1);
+/// How long a request that arrives while this process stops may take to be read before it is refused.
+pub(super) const LATE_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
+/// The rest of a body that is too large is read up to this many bytes and this long, so that its sender sees the
+/// answer.
+const MAX_DISCARDED_BYTES: usize = 1 << 20;
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tells the module that a client has gone, when its connection ends before the answer.
-struct Waiting<'a> {
+/// Notifies the driver of a disconnect when the client's connection ends before the answer.
+struct DisconnectGuard<'a> {
     driver: &'a Rc<Driver>,
     id: RequestId,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         self.driver.client_disconnected(self.id);
     }
 }
 
+/// Answers one request. `socket` is the socket of the client that sent it.
 pub(super) async fn respond(
     driver: &Rc<Driver>,
     client: &Client,
     socket: &SharedSocket,
     request: hyper::Request<Incoming>,
 ) -> Response<ResponseBody> {
-    // What comes from here on, but for this request's body, belongs to the next one.
-    client.begun.set(None);
+    // Bytes that arrive from here on, except this request's body, belong to the next request.
+    client.partial_request_since.set(None);
     if request.uri().path() == "/-/ready" {
         let status = if driver.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        return plain(status, "");
+        return text_response(status, "");
     }
     let (head, body) = request.into_parts();
     if client.late {
-        // Its sender reads the answer once it has sent all.
-        let _ = timeout(LATE_TIME, discard(body)).await;
+        // The client reads the answer only after it has sent everything.
+        let _ = timeout(LATE_REQUEST_TIMEOUT, discard(body)).await;
         if let Some(class) = head::named_class(&driver.config, &client.layout, &head) {
-            driver.update_counters(|ledger| ledger.record_answered_locally(class, RequestOutcome::Declined));
+            driver.update_counters(|counters| {
+                counters.record_answered_locally(class, RequestOutcome::Declined)
+            });
         }
-        let mut answer =
-            refusal(f64::from(driver.config.settings.may_advise) * LATE_TIME.as_secs_f64() * 1000.0);
+        let mut answer = refusal(
+            f64::from(driver.config.settings.may_advise) * LATE_REQUEST_TIMEOUT.as_secs_f64() * 1000.0,
+        );
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         return answer;
     }
-    let mut rested_ms = client.waited.take().as_secs_f64() * 1000.0;
-    if let Some(until) = client.rest.take() {
-        let came = Instant::now();
+    let mut delay_ms = client.queue_wait.take().as_secs_f64() * 1000.0;
+    if let Some(until) = client.delayed_until.take() {
+        let arrived_at = Instant::now();
         tokio::time::sleep_until(until).await;
-        rested_ms += came.elapsed().as_secs_f64() * 1000.0;
+        delay_ms += arrived_at.elapsed().as_secs_f64() * 1000.0;
     }
-    let mut read = match head::parse(&driver.config, &client.layout, &head) {
-        Ok(read) => read,
+    let mut parsed = match head::parse(&driver.config, &client.layout, &head) {
+        Ok(parsed) => parsed,
         Err((status, why)) => {
             if let Some(class) = head::named_class(&driver.config, &client.layout, &head) {
-                driver
-                    .update_counters(|ledger| ledger.record_answered_locally(class, RequestOutcome::Aborted));
+                driver.update_counters(|counters| {
+                    counters.record_answered_locally(class, RequestOutcome::Aborted)
+                });
             }
-            return bad(status, why);
+            return rejection(status, why);
         }
     };
-    let taken = payload::receive(body, &driver.body_budget).await;
-    client.reading.set(false);
-    let body = match taken {
+    let received = payload::receive(body, &driver.body_budget).await;
+    client.reading_body.set(false);
+    let body = match received {
         Ok(body) => body,
         Err(ReceiveError::TooLarge(body)) => {
-            let _ = timeout(DISCARD_TIME, discard(body)).await;
-            return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+            let _ = timeout(DISCARD_TIMEOUT, discard(body)).await;
+            return rejection(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+        }
+        Err(ReceiveError::Incomplete) => {
+            return rejection(StatusCode::BAD_REQUEST, "the body did not come whole")
         }
-        Err(ReceiveError::Incomplete) => return bad(StatusCode::BAD_REQUEST, "the body did not come whole"),
         Err(ReceiveError::TimedOut) => {
-            return bad(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")
+            return rejection(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")
         }
     };
     let empty = matches!(body, Payload::Buffered { length: 0, .. });
     if head.method == Method::GET && !empty {
-        return bad(StatusCode::BAD_REQUEST, "a GET has no body");
+        return rejection(StatusCode::BAD_REQUEST, "a GET has no body");
     }
     let pipe = match &body {
         Payload::Streamed(pipe) => Some(pipe.clone()),
         Payload::Buffered { .. } => None,
     };
-    // The client's time has run while its connection waited to be accepted, or rested.
-    read.request.budget_ms = (read.request.budget_ms - rested_ms).max(0.0);
+    // The client's time ran while its connection waited to be accepted or was delayed.
+    parsed.request.budget_ms = (parsed.request.budget_ms - delay_ms).max(0.0);
     let content = RequestContent {
         method: head.method,
-        target: read.target,
-        correlation_id: read.correlation_id,
-        idempotency_key: read.idempotency_key,
+        target: parsed.target,
+        correlation_id: parsed.correlation_id,
+        idempotency_key: parsed.idempotency_key,
         body,
-        budget_ms: read.request.budget_ms,
-        answer_retention_ms: driver.answer_retention_ms(&read.request),
-        effect: driver.effect(&read.request),
+        budget_ms: parsed.request.budget_ms,
+        answer_retention_ms: driver.answer_retention_ms(&parsed.request),
+        effect: driver.effect(&parsed.request),
         may_have_run_since: Cell::new(None),
         attempt_sent_at: Cell::new(None),
     };
     if let Some(body) = driver.cached_answer(&content) {
-        driver.update_counters(|ledger| {
-            ledger.record_answered_locally(read.request.class, RequestOutcome::Succeeded)
+        driver.update_counters(|counters| {
+            counters.record_answered_locally(parsed.request.class, RequestOutcome::Succeeded)
         });
         return Response::new(ResponseBody::Buffered(body));
     }
-    // It lay behind another one, and its client left while that was open: nothing is owed, and nothing goes out for it.
-    if !client.drained.get() && socket.remote_closed() {
-        return bad(StatusCode::BAD_REQUEST, "its client has left");
+    // The request was queued behind another one, and the client disconnected during that one: no attempt is made.
+    if !client.read_drained.get() && socket.remote_closed() {
+        return rejection(StatusCode::BAD_REQUEST, "its client has left");
     }
-    let class = read.request.class;
+    let class = parsed.request.class;
     let correlation = content.correlation_id.clone();
-    let Some((id, answered)) = driver.submit(content, read.request, socket.clone()) else {
-        driver.update_counters(|ledger| ledger.record_answered_locally(class, RequestOutcome::Aborted));
-        return bad(StatusCode::CONFLICT, "a request with this X-Correlation-Id is open");
+    let Some((id, receiver)) = driver.submit(content, parsed.request, socket.clone()) else {
+        driver.update_counters(|counters| counters.record_answered_locally(class, RequestOutcome::Aborted));
+        return rejection(StatusCode::CONFLICT, "a request with this X-Correlation-Id is open");
     };
-    debug!(event = "taken", request = id, ?correlation, class, "request {id} is taken");
-    let waiting = Waiting { driver, id };
-    let answer = answered.await;
-    drop(waiting);
-    // A sender reads its answer once it has sent all. Of one that streams the server still takes the rest.
+    debug!(event = "taken", request = id, ?correlation, class, "request {id} was accepted");
+    let guard = DisconnectGuard { driver, id };
+    let answer = receiver.await;
+    drop(guard);
+    // A client reads its answer only after it has sent the whole body. If the answer is streamed, the server still
+    // takes the rest of the body.
     let sent_all = match (&pipe, &answer) {
         (None, _) | (_, Ok(Answer::Streamed(..))) => true,
         (Some(pipe), _) => pipe.discard_rest().await,
     };
     let mut answer = match answer {
         Ok(Answer::Served(body)) => Response::new(ResponseBody::Buffered(body)),
-        Ok(Answer::Streamed(pieces, left)) => {
-            Response::new(ResponseBody::Streamed { chunks: pieces, remaining: left, ended: false })
+        Ok(Answer::Streamed(chunks, remaining)) => {
+            Response::new(ResponseBody::Streamed { chunks, remaining, ended: false })
         }
         Ok(Answer::Refused(retry_ms)) => refusal(retry_ms),
-        Ok(Answer::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, ""),
+        Ok(Answer::Failed) | Err(_) => text_response(StatusCode::BAD_GATEWAY, ""),
     };
     if !sent_all {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -152,20 +162,20 @@
     answer
 }
 
-/// Guards against an answer lost in a reset, which closing a socket with unread bytes would cause.
+/// Reads and drops a body. Closing a socket with unread bytes would cause a reset, which could destroy the answer.
 async fn discard(mut body: Incoming) {
-    let mut seen = 0;
+    let mut discarded = 0;
     while let Some(Ok(frame)) = body.frame().await {
-        seen += frame.data_ref().map_or(0, Bytes::len);
-        if seen > MOST_DISCARDED {
+        discarded += frame.data_ref().map_or(0, Bytes::len);
+        if discarded > MAX_DISCARDED_BYTES {
             return;
         }
     }
 }
 
-/// Trying again is harmless, after so many milliseconds if not 0.
+/// A refusal that tells the client when to retry, in milliseconds, unless that is 0.
 fn refusal(retry_ms: f64) -> Response<ResponseBody> {
-    let mut answer = plain(StatusCode::TOO_MANY_REQUESTS, "");
+    let mut answer = text_response(StatusCode::TOO_MANY_REQUESTS, "");
     if retry_ms > 0.0 {
         if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_ms / 1000.0)) {
             answer.headers_mut().insert(RETRY_AFTER, value);
@@ -174,15 +184,15 @@
     answer
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut answer = Response::new(ResponseBody::Buffered(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
     answer
 }
 
-/// Answers what cannot be taken. Its body may be unread, so the connection ends.
-fn bad(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
-    let mut answer = plain(status, why);
+/// Answers a request that cannot be accepted. Its body may be unread, so the connection is closed.
+fn rejection(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
+    let mut answer = text_response(status, why);
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
--- a/marldeal/src/front/clients.rs
+++ b/marldeal/src/front/clients.rs
@@ -1,4 +1,5 @@
-//! The clients of the direct front: accepted, looked after, and let go at the end.
+//! The clients of the direct front: accepts connections, limits and times them out, and drains them when the
+//! process ends.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,120 +19,132 @@
 
 use crate::driver::Driver;
 use crate::front::accept_queue;
-use crate::front::answer::LATE_TIME;
-use crate::front::connection::{connection, Client};
+use crate::front::answer::LATE_REQUEST_TIMEOUT;
+use crate::front::connection::{run_connection, Client};
 use crate::front::head::HeaderLayout;
 use crate::payload::TRANSFER_IDLE_TIMEOUT;
 use crate::transient;
 use crate::upgrade::{SuccessorHandle, TransferredConnection};
 
-/// A client that has sent a part of a head, or has connected and said nothing, is cut off after this time from the
-/// first byte on, however it trickles: the platform's slowest takes 2 s.
-const PART_TIME: Duration = Duration::from_millis(2300);
-/// One that has been answered and stays idle.
-const IDLE_TIME: Duration = Duration::from_secs(30);
-/// How often that is seen to.
-const SWEEP: Duration = Duration::from_millis(250);
-/// Connections beyond the bound that are accepted before one has made way for each.
-const SPARE: usize = 8;
-/// Accepting that fails for want of descriptors is tried again after this time; until it has failed for so long the want may
-/// pass by itself.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
-const ACCEPT_PATIENCE: Duration = Duration::from_millis(100);
-/// How often it is seen whether there is room again, or an end to wait for.
-const TICK: Duration = Duration::from_millis(50);
-/// Connections that are turned away at once while this process ends, and how long one of them may take to ask.
-const MOST_LATE: usize = 64;
-/// Before the process ends it turns away for so long what still comes: clients whose request crossed the close of their
-/// connection come again on a new one. Then nobody can connect any more, and whoever was accepted by then is waited for.
-const LAST_TIME: Duration = Duration::from_millis(100);
-const LAST_MOST: Duration = Duration::from_millis(700);
+/// A connection is closed this long after the first byte of a request whose head is still incomplete, or after it
+/// was opened without sending anything, however slowly bytes keep coming: the platform's slowest client takes 2 s.
+const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
+/// A connection that stays idle after an answer is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often these timeouts are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Connections beyond the limit that may be open until one has been evicted for each.
+const MAX_PENDING_EVICTIONS: usize = 8;
+/// After a failure for lack of file descriptors, accepting is retried after this delay; an idle connection is
+/// evicted only when it has kept failing for `ACCEPT_EVICTION_DELAY`, since the shortage may pass by itself.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+const ACCEPT_EVICTION_DELAY: Duration = Duration::from_millis(100);
+/// How often the limit on connections and the conditions for exit are checked again.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Connections that may be open at a time to be refused while this process stops.
+const MAX_LATE_CONNECTIONS: usize = 64;
+/// Before it exits, the process refuses new requests for this long: clients whose request crossed the close of
+/// their connection try again on a new one. Then it blocks new connections, and waits for those accepted by then
+/// until `FINAL_DRAIN_MAX` at most.
+const FINAL_DRAIN_MIN: Duration = Duration::from_millis(100);
+const FINAL_DRAIN_MAX: Duration = Duration::from_millis(700);
 
 /// The open client connections, by number.
 #[derive(Default)]
 pub(super) struct Clients {
-    pub(super) all: RefCell<BTreeMap<u64, Rc<Client>>>,
-    pub(super) closed: Notify,
+    pub(super) connections: RefCell<BTreeMap<u64, Rc<Client>>>,
+    pub(super) connection_closed: Notify,
     pub(super) layout: Rc<HeaderLayout>,
     pub(super) successor: Rc<SuccessorHandle>,
 }
 
 impl Clients {
-    /// Cuts connections that have asked nothing, or sent a part of a request, for too long. A few passes a
-    /// second cost less than a timer for each request.
+    /// Closes connections that have sent nothing, or only part of a request, for too long. A few passes a second
+    /// cost less than a timer for each request.
     async fn sweep(&self, driver: &Driver) {
         loop {
-            tokio::time::sleep(SWEEP).await;
+            tokio::time::sleep(SWEEP_INTERVAL).await;
             let closes = driver.with_lifecycle(Lifecycle::closes_idle);
-            let idle = if closes { Duration::ZERO } else { IDLE_TIME };
-            for client in self.all.borrow().values().filter(|c| !c.busy.get()) {
+            let idle = if closes { Duration::ZERO } else { IDLE_TIMEOUT };
+            for client in self.connections.borrow().values().filter(|c| !c.request_open.get()) {
                 if client.answering.get() {
-                    // Its reader stands still.
-                    if client.used.get().elapsed() > TRANSFER_IDLE_TIMEOUT {
-                        client.end(CloseReason::Stalled);
+                    // The client does not read its answer.
+                    if client.last_active.get().elapsed() > TRANSFER_IDLE_TIMEOUT {
+                        client.request_close(CloseReason::Stalled);
                     }
                     continue;
                 }
-                // Half a request is waited for also then: its client may count it as taken soon.
-                let most = if client.late { LATE_TIME } else { PART_TIME };
-                let part = client.begun.get().is_some_and(|at| at.elapsed() > most);
-                let says_nothing = client.begun.get().is_none() || !client.spoke.get();
-                if part {
-                    client.end(CloseReason::Stalled);
-                } else if says_nothing && client.used.get().elapsed() >= idle {
-                    client.end(CloseReason::Idle);
+                // A partial request is waited for even then: its client may be about to complete it.
+                let timeout = if client.late { LATE_REQUEST_TIMEOUT } else { PARTIAL_REQUEST_TIMEOUT };
+                let timed_out = client.partial_request_since.get().is_some_and(|at| at.elapsed() > timeout);
+                let no_partial_request =
+                    client.partial_request_since.get().is_none() || !client.bytes_seen.get();
+                if timed_out {
+                    client.request_close(CloseReason::Stalled);
+                } else if no_partial_request && client.last_active.get().elapsed() >= idle {
+                    client.request_close(CloseReason::Idle);
                 }
             }
         }
     }
 
-    /// Sends those on which nothing is owed to another process, and the others once they have their answer.
-    fn pass_on(&self) {
-        self.all.borrow().values().filter(|c| !c.answering.get()).for_each(|c| c.pass.notify_one());
+    /// Tells idle connections to move to the successor; the others follow once they have their answer.
+    fn hand_over(&self) {
+        self.connections
+            .borrow()
+            .values()
+            .filter(|c| !c.answering.get())
+            .for_each(|c| c.hand_over.notify_one());
     }
 
-    /// Whether an answer is owed or on its way. Connections that have not asked are not waited for: bad clients
-    /// open new ones without end, and a limiter that lingers for them is missed.
-    fn owe(&self) -> bool {
-        self.all.borrow().values().any(|c| c.answering.get() || c.begun.get().is_none())
+    /// Whether an answer is outstanding, or a connection that has been answered is still open. Connections that
+    /// have not sent a whole request are not waited for: misbehaving clients keep opening new ones, and would
+    /// delay the exit for ever.
+    fn has_active_connections(&self) -> bool {
+        self.connections
+            .borrow()
+            .values()
+            .any(|c| c.answering.get() || c.partial_request_since.get().is_none())
     }
 
-    /// Connections that came too late and are still there.
-    fn late(&self) -> usize {
-        self.all.borrow().values().filter(|c| c.late).count()
+    /// The number of open connections that came after the process began to refuse new ones.
+    fn late_count(&self) -> usize {
+        self.connections.borrow().values().filter(|c| c.late).count()
     }
 
-    /// Cuts the connection that is worth least. Guards against crowds that hold connections, or send a request's half, in
-    /// place of the clients that ask.
-    fn evict(&self) {
-        let all = self.all.borrow();
-        let standing = all.values().map(|c| Candidate {
+    /// Closes the least valuable connection. Guards against crowds of clients that hold connections, or send
+    /// partial requests, and would keep other clients out.
+    fn evict_one(&self) {
+        let connections = self.connections.borrow();
+        let candidates = connections.values().map(|c| Candidate {
             activity: match () {
-                () if c.answering.get() || c.leaving.get() => Activity::RequestOpen,
-                () if c.begun.get().is_some() => Activity::PartialRequest,
+                () if c.answering.get() || c.evicting.get() => Activity::RequestOpen,
+                () if c.partial_request_since.get().is_some() => Activity::PartialRequest,
                 () => Activity::Idle,
             },
-            inactive_ms: c.used.get().elapsed().as_secs_f64() * 1000.0,
+            inactive_ms: c.last_active.get().elapsed().as_secs_f64() * 1000.0,
         });
-        if let Some(client) = eviction::select_candidate(standing).and_then(|at| all.values().nth(at)) {
-            // It is gone once its task has run: until then it is not chosen again.
-            client.leaving.set(true);
-            client.end(CloseReason::MakesWay);
+        if let Some(client) =
+            eviction::select_candidate(candidates).and_then(|at| connections.values().nth(at))
+        {
+            // Its task still has to run: it is not selected again until then.
+            client.evicting.set(true);
+            client.request_close(CloseReason::MakesWay);
         }
     }
 }
 
-/// Connections that come from a predecessor, and where they go with a successor.
+/// How connections pass between this process and its predecessor or successor.
 pub struct Handover {
-    /// From a predecessor.
+    /// Connections from the predecessor.
     pub arrivals: mpsc::UnboundedReceiver<TransferredConnection>,
-    /// To a successor.
+    /// The successor, which takes over this process's connections.
     pub successor: Rc<SuccessorHandle>,
-    /// No other process shares the listener.
+    /// Whether no other process shares the listener.
     pub own_listener: bool,
 }
 
-/// Accepts and serves until `stop`, then finishes what was taken and returns.
+/// Accepts and serves connections until `stop` completes, then finishes the accepted requests and returns.
 pub async fn serve(
     driver: &Rc<Driver>,
     listener: TcpListener,
@@ -139,95 +152,96 @@
     stop: impl Future<Output = &'static str>,
 ) {
     let clients = Rc::new(Clients { successor: handover.successor, ..Clients::default() });
-    let (sweeping, lives) = (clients.clone(), driver.clone());
-    tokio::task::spawn_local(async move { sweeping.sweep(&lives).await });
+    let (swept_clients, sweep_driver) = (clients.clone(), driver.clone());
+    tokio::task::spawn_local(async move { swept_clients.sweep(&sweep_driver).await });
     let mut listener = Some(listener);
-    let mut number = 0u64;
-    let mut failing: Option<Instant> = None;
-    // Since when connections may have waited in the queue: what comes out of it until it is empty may be as old.
-    let mut unaccepted = Some(Instant::now());
+    let mut connection_id = 0u64;
+    let mut accept_failing_since: Option<Instant> = None;
+    // Since when connections may have been waiting in the accept queue. Until the queue is empty, any accepted
+    // connection may be that old.
+    let mut queued_since = Some(Instant::now());
     tokio::pin!(stop);
     let (mut stopped, mut closing) = (false, false);
-    let (mut away, mut last, mut shut_out) = (false, None, false);
+    let (mut rejection_logged, mut drain_started, mut queue_blocked) = (false, None, false);
     loop {
         let (phase, accepts) = (driver.phase(), driver.with_lifecycle(Lifecycle::accepts_connections));
-        let turns_away = driver.with_lifecycle(Lifecycle::rejects_connections);
-        if turns_away && !std::mem::replace(&mut away, true) {
+        let rejects = driver.with_lifecycle(Lifecycle::rejects_connections);
+        if rejects && !std::mem::replace(&mut rejection_logged, true) {
             info!("new connections are turned away from now on");
         }
-        let over = clients.all.borrow().len() as isize
+        let excess = clients.connections.borrow().len() as isize
             - driver.share_of(driver.config.max_client_connections) as isize;
-        if over >= 0 && accepts {
-            clients.evict();
+        if excess >= 0 && accepts {
+            clients.evict_one();
         }
-        // What waits to be accepted is not held up by those that are on their way out.
-        let room = match turns_away {
-            // They hold no place that those who were here before could miss.
-            true => over < 0 && clients.late() < MOST_LATE,
-            false => over < SPARE as isize && accepts && driver.may_accept_connections(),
+        // Queued connections do not have to wait until evicted ones have closed.
+        let can_accept = match rejects {
+            // Late connections take no place from those that were open before.
+            true => excess < 0 && clients.late_count() < MAX_LATE_CONNECTIONS,
+            false => excess < MAX_PENDING_EVICTIONS as isize && accepts && driver.may_accept_connections(),
         };
-        let tick = over >= 0 || !matches!(phase, Phase::Warming | Phase::Serving);
+        let polls = excess >= 0 || !matches!(phase, Phase::Warming | Phase::Serving);
         let closes = driver.with_lifecycle(Lifecycle::closes_idle);
         if phase == Phase::HandingOver {
             listener = None;
         }
         if phase == Phase::HandingOver && clients.successor.is_accepting() {
-            clients.pass_on();
+            clients.hand_over();
         }
         if closes && !closing {
-            clients.all.borrow().values().for_each(|c| c.close.notify_one());
+            clients.connections.borrow().values().for_each(|c| c.close_gracefully.notify_one());
         }
         closing = closes;
-        if driver
-            .with_lifecycle(|life, now| life.may_exit(now, clients.owe(), !clients.all.borrow().is_empty()))
-        {
-            let since = last.get_or_insert_with(Instant::now).elapsed();
-            let Some(queue) = &listener else { return };
-            if since >= LAST_TIME {
-                if handover.own_listener && !std::mem::replace(&mut shut_out, true) {
-                    accept_queue::shut_out(queue);
+        if driver.with_lifecycle(|life, now| {
+            life.may_exit(now, clients.has_active_connections(), !clients.connections.borrow().is_empty())
+        }) {
+            let since = drain_started.get_or_insert_with(Instant::now).elapsed();
+            let Some(drain_listener) = &listener else { return };
+            if since >= FINAL_DRAIN_MIN {
+                if handover.own_listener && !std::mem::replace(&mut queue_blocked, true) {
+                    accept_queue::block_new_connections(drain_listener);
                 }
-                for stream in accept_queue::in_queue(queue) {
-                    number += 1;
-                    open(driver, &clients, number, stream, Before::default());
+                for stream in accept_queue::take_queued(drain_listener) {
+                    connection_id += 1;
+                    open_connection(driver, &clients, connection_id, stream, PriorState::default());
                 }
-                if clients.late() == 0 || since >= LAST_MOST {
+                if clients.late_count() == 0 || since >= FINAL_DRAIN_MAX {
                     return;
                 }
             }
         }
-        if !room {
-            unaccepted.get_or_insert_with(Instant::now);
+        if !can_accept {
+            queued_since.get_or_insert_with(Instant::now);
         }
         let accept = std::future::poll_fn(|cx| {
             let Some(listener) = &listener else { return Poll::Pending };
             let accepted = listener.poll_accept(cx);
             if accepted.is_pending() {
-                unaccepted = None;
+                queued_since = None;
             }
             accepted
         });
         tokio::select! {
-            accepted = accept, if room => match accepted {
+            accepted = accept, if can_accept => match accepted {
                 Ok((stream, _)) => {
-                    number += 1;
-                    failing = None;
-                    let waited = unaccepted.map_or(Duration::ZERO, |since| since.elapsed());
-                    open(driver, &clients, number, stream, Before { waited, ..Before::default() });
+                    connection_id += 1;
+                    accept_failing_since = None;
+                    let queue_wait = queued_since.map_or(Duration::ZERO, |since| since.elapsed());
+                    open_connection(driver, &clients, connection_id, stream, PriorState { queue_wait, ..PriorState::default() });
                 }
-                // The connection was aborted, or the call interrupted: the next one may do.
+                // The connection was aborted or the call interrupted: the next call may succeed.
                 Err(e) if !transient::is_resource_exhaustion(&e) => tokio::task::yield_now().await,
-                // Out of descriptors: what waits to be accepted is taken a little later, and where that does not pass by
-                // itself an idle connection makes way.
+                // Out of file descriptors: queued connections are accepted a little later, and if the shortage
+                // lasts, an idle connection is evicted.
                 Err(e) => {
-                    let since = *failing.get_or_insert_with(|| {
+                    let since = *accept_failing_since.get_or_insert_with(|| {
                         info!(event = "accept", "accept: {e}");
                         Instant::now()
                     });
-                    if since.elapsed() >= ACCEPT_PATIENCE {
-                        clients.evict();
+                    if since.elapsed() >= ACCEPT_EVICTION_DELAY {
+                        clients.evict_one();
                     }
-                    tokio::time::sleep(ACCEPT_AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
             why = &mut stop, if !stopped => {
@@ -236,50 +250,73 @@
                 let _ = driver.handle_command(Command::Stop);
             }
             () = driver.phase_changed.notified() => {}
-            Some(passed) = handover.arrivals.recv() => {
-                number += 1;
-                adopt(driver, &clients, number, passed);
+            Some(transferred) = handover.arrivals.recv() => {
+                connection_id += 1;
+                adopt_connection(driver, &clients, connection_id, transferred);
             }
-            () = clients.closed.notified() => {}
-            () = tokio::time::sleep(TICK), if tick => {}
+            () = clients.connection_closed.notified() => {}
+            () = tokio::time::sleep(POLL_INTERVAL), if polls => {}
         }
     }
 }
 
-/// Takes in a connection that another process, or this one, held before.
-fn adopt(driver: &Rc<Driver>, clients: &Rc<Clients>, number: u64, passed: TransferredConnection) {
-    let TransferredConnection { stream, request_age: begun, read_ahead: read } = passed;
+/// Takes over a connection that another process, or this one, held before.
+fn adopt_connection(
+    driver: &Rc<Driver>,
+    clients: &Rc<Clients>,
+    connection_id: u64,
+    transferred: TransferredConnection,
+) {
+    let TransferredConnection { stream, request_age, read_ahead } = transferred;
     let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) else { return };
-    let begun = begun.map(|waited| Instant::now().checked_sub(waited).unwrap_or_else(Instant::now));
-    open(driver, clients, number, stream, Before { passed: Some((begun, read)), ..Before::default() });
+    let request_began =
+        request_age.map(|waited| Instant::now().checked_sub(waited).unwrap_or_else(Instant::now));
+    open_connection(
+        driver,
+        clients,
+        connection_id,
+        stream,
+        PriorState { inherited: Some((request_began, read_ahead)), ..PriorState::default() },
+    );
 }
 
-/// What of a connection lies before its opening here.
+/// What happened to a connection before it was opened here.
 #[derive(Default)]
-struct Before {
-    /// Another process had it: when the request began that has not come whole, and what was read.
-    passed: Option<(Option<Instant>, Bytes)>,
-    /// It may have waited so long in the queue.
-    waited: Duration,
+struct PriorState {
+    /// For a connection from another process: when its partial request began, and the bytes that were read of it.
+    inherited: Option<(Option<Instant>, Bytes)>,
+    /// The longest time that it may have waited in the accept queue.
+    queue_wait: Duration,
 }
 
-fn open(driver: &Rc<Driver>, clients: &Rc<Clients>, number: u64, stream: TcpStream, before: Before) {
+fn open_connection(
+    driver: &Rc<Driver>,
+    clients: &Rc<Clients>,
+    connection_id: u64,
+    stream: TcpStream,
+    before: PriorState,
+) {
     let _ = stream.set_nodelay(true);
     let late = driver.with_lifecycle(Lifecycle::rejects_connections);
     let client = Rc::new(Client::new(clients.layout.clone(), clients.successor.clone(), late));
-    let mut read = Bytes::new();
-    client.waited.set(before.waited);
-    if let Some((begun, bytes)) = before.passed {
-        client.begun.set(begun);
-        client.spoke.set(!bytes.is_empty());
-        read = bytes;
+    let mut read_ahead = Bytes::new();
+    client.queue_wait.set(before.queue_wait);
+    if let Some((request_began, bytes)) = before.inherited {
+        client.partial_request_since.set(request_began);
+        client.bytes_seen.set(!bytes.is_empty());
+        read_ahead = bytes;
     }
-    clients.all.borrow_mut().insert(number, client.clone());
+    clients.connections.borrow_mut().insert(connection_id, client.clone());
     let (driver, clients) = (driver.clone(), clients.clone());
     tokio::task::spawn_local(async move {
-        let why = connection(&driver, &clients, &client, stream, read).await;
-        debug!(event = "closed", connection = number, ?why, "connection {number} is closed: {why:?}");
-        clients.all.borrow_mut().remove(&number);
-        clients.closed.notify_one();
+        let why = run_connection(&driver, &clients, &client, stream, read_ahead).await;
+        debug!(
+            event = "closed",
+            connection = connection_id,
+            ?why,
+            "connection {connection_id} closed: {why:?}"
+        );
+        clients.connections.borrow_mut().remove(&connection_id);
+        clients.connection_closed.notify_one();
     });
 }
--- a/marldeal/src/front/connection.rs
+++ b/marldeal/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! The life of one client's connection: what has come on it, how long it has stood, and how it comes to its end.
+//! One client connection: its state, timeouts and close.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -28,151 +28,157 @@
 use crate::socket::{IoObserver, ObservedStream, SharedSocket, Unread};
 use crate::upgrade::{SuccessorHandle, TransferredConnection};
 
-/// Longest head of a request.
-const MOST_HEAD: usize = 16 << 10;
-/// In a flood of new names a connection that was refused rests for so long, times the connections that are open, before
-/// its next request is taken up: answers to the flood then take a fifth or so of the core, and usual firms' requests do
-/// not wait behind all of them in each turn.
-const REST_EACH: Duration = Duration::from_micros(80);
-/// What lay in the queue with its connection is read within this after that is accepted.
-const READ_SOON: Duration = Duration::from_millis(50);
-/// A close waits so many turns of the event loop for what lies unread.
-const MOST_POSTPONED: u32 = 8;
-/// How often it is looked whether a client has left behind what it has sent beyond its open request.
-const LOOK: Duration = Duration::from_millis(50);
+/// Longest head of a request, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// While new customers flood in, a connection that was refused is delayed by this time multiplied by the number of
+/// open connections, before its next request is handled. Answering the flood then takes about a fifth of a core,
+/// and requests of known customers do not wait behind all of the flood in each turn of the event loop.
+const FLOOD_DELAY_PER_CONNECTION: Duration = Duration::from_micros(80);
+/// Bytes that arrived while the connection was queued are read within this time after it is accepted.
+const QUEUED_READ_WINDOW: Duration = Duration::from_millis(50);
+/// A close is deferred for at most this many turns of the event loop to read unread bytes.
+const MAX_CLOSE_DEFERRALS: u32 = 8;
+/// How often to check for a disconnect that is hidden behind bytes sent after the open request.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One client connection, as the others see it.
+/// The state of a client connection that other tasks see.
 pub(super) struct Client {
-    /// A request of it has come and has no answer yet.
-    pub(super) busy: Cell<bool>,
-    /// The body of that is still to come.
-    pub(super) reading: Cell<bool>,
-    pub(super) used: Cell<Instant>,
-    /// Bytes of a request have come on it.
-    pub(super) spoke: Cell<bool>,
-    /// When the request that has not come whole began; a new connection owes one from the start.
-    pub(super) begun: Cell<Option<Instant>>,
-    /// Its next request is taken up then.
-    pub(super) rest: Cell<Option<Instant>>,
-    /// It may have waited so long to be accepted, and its first request with it.
-    pub(super) waited: Cell<Duration>,
+    /// A request has arrived and has no answer yet.
+    pub(super) request_open: Cell<bool>,
+    /// The body of that request is still arriving.
+    pub(super) reading_body: Cell<bool>,
+    pub(super) last_active: Cell<Instant>,
+    /// Bytes have been received.
+    pub(super) bytes_seen: Cell<bool>,
+    /// When the request that is still incomplete began; a new connection counts as having begun one.
+    pub(super) partial_request_since: Cell<Option<Instant>>,
+    /// The next request is handled no earlier than this.
+    pub(super) delayed_until: Cell<Option<Instant>>,
+    /// The longest time that the connection, and its first request with it, may have waited to be accepted.
+    pub(super) queue_wait: Cell<Duration>,
     pub(super) layout: Rc<HeaderLayout>,
-    /// The same, or the last byte of its answer is still to be taken by the connection, or to be written.
+    /// A request is open, or the last byte of its answer has not been taken by the connection or has not been
+    /// written.
     pub(super) answering: Cell<bool>,
-    pub(super) taken: Cell<bool>,
-    /// Where it goes once another process has taken this one's place, and when to look.
+    pub(super) response_consumed: Cell<bool>,
+    /// The process that takes over this connection, and the signal to check for it.
     pub(super) successor: Rc<SuccessorHandle>,
-    pub(super) pass: Notify,
-    /// It came while this process ends: what it asks is refused.
+    pub(super) hand_over: Notify,
+    /// Opened while this process stops: its requests are refused.
     pub(super) late: bool,
-    /// It has been told to make way.
-    pub(super) leaving: Cell<bool>,
-    /// Close between requests.
-    pub(super) close: Notify,
-    /// Close at once, and why.
-    pub(super) cut: Notify,
-    pub(super) closing: Cell<CloseReason>,
-    /// It stalled, and was kept since bytes lay unread.
-    pub(super) reread: Cell<bool>,
-    /// The last read brought nothing: the HTTP server has used up what came, and hears when the client closes. Bytes that
-    /// it has left lie behind the open request, and it reads no further.
-    pub(super) drained: Cell<bool>,
+    /// Selected for eviction.
+    pub(super) evicting: Cell<bool>,
+    /// Closes the connection between requests.
+    pub(super) close_gracefully: Notify,
+    /// Closes the connection at once, for the reason in `close_reason`.
+    pub(super) close_now: Notify,
+    pub(super) close_reason: Cell<CloseReason>,
+    /// It stalled, but was kept because it held unread bytes.
+    pub(super) close_deferred: Cell<bool>,
+    /// The last read returned nothing: the HTTP server has consumed everything and notices when the client closes.
+    /// Otherwise bytes are left behind the open request, and the server reads no further.
+    pub(super) read_drained: Cell<bool>,
 }
 
 impl Client {
     pub(super) fn new(layout: Rc<HeaderLayout>, successor: Rc<SuccessorHandle>, late: bool) -> Client {
         let now = Instant::now();
         Client {
-            busy: Cell::new(false),
-            reading: Cell::new(false),
-            used: Cell::new(now),
-            spoke: Cell::new(false),
-            begun: Cell::new(Some(now)),
-            rest: Cell::new(None),
-            waited: Cell::new(Duration::ZERO),
+            request_open: Cell::new(false),
+            reading_body: Cell::new(false),
+            last_active: Cell::new(now),
+            bytes_seen: Cell::new(false),
+            partial_request_since: Cell::new(Some(now)),
+            delayed_until: Cell::new(None),
+            queue_wait: Cell::new(Duration::ZERO),
             layout,
             answering: Cell::new(false),
-            taken: Cell::new(true),
+            response_consumed: Cell::new(true),
             successor,
-            pass: Notify::new(),
+            hand_over: Notify::new(),
             late,
-            leaving: Cell::new(false),
-            close: Notify::new(),
-            cut: Notify::new(),
-            closing: Cell::new(CloseReason::Idle),
-            reread: Cell::new(false),
-            drained: Cell::new(false),
+            evicting: Cell::new(false),
+            close_gracefully: Notify::new(),
+            close_now: Notify::new(),
+            close_reason: Cell::new(CloseReason::Idle),
+            close_deferred: Cell::new(false),
+            read_drained: Cell::new(false),
         }
     }
 
-    /// Waits until the client turns out to have left while its request is open, hidden by what it has sent behind it. It is
-    /// polled whenever the connection is, and costs nothing as long as clients send one request at a time.
-    pub(super) async fn left(&self, socket: &SharedSocket) {
-        let mut look: Option<std::pin::Pin<Box<tokio::time::Sleep>>> = None;
+    /// Completes when the client has disconnected during its open request, where bytes sent after the request hide
+    /// that from the HTTP server. It is polled whenever the connection is, and costs nothing as long as clients
+    /// send one request at a time.
+    pub(super) async fn wait_for_disconnect(&self, socket: &SharedSocket) {
+        let mut poll_timer: Option<std::pin::Pin<Box<tokio::time::Sleep>>> = None;
         std::future::poll_fn(|context| {
-            if !self.busy.get() || self.drained.get() {
-                look = None;
+            if !self.request_open.get() || self.read_drained.get() {
+                poll_timer = None;
                 return Poll::Pending;
             }
             loop {
                 if socket.remote_closed() {
                     return Poll::Ready(());
                 }
-                let look = look.get_or_insert_with(|| Box::pin(tokio::time::sleep(LOOK)));
-                ready!(look.as_mut().poll(context));
-                look.as_mut().reset(Instant::now() + LOOK);
+                let poll_timer =
+                    poll_timer.get_or_insert_with(|| Box::pin(tokio::time::sleep(DISCONNECT_POLL_INTERVAL)));
+                ready!(poll_timer.as_mut().poll(context));
+                poll_timer.as_mut().reset(Instant::now() + DISCONNECT_POLL_INTERVAL);
             }
         })
         .await
     }
 
-    /// Whether its connection may be closed at this moment.
+    /// Whether the connection may be closed now.
     pub(super) fn may_close(&self, socket: &SharedSocket, why: CloseReason) -> bool {
         let unread = socket.unread() == Unread::Bytes;
-        let connection =
-            Connection { request_open: self.busy.get(), unread, already_deferred: self.reread.get() };
-        let kept = may_close(connection, why).err();
-        self.reread.set(kept == Some(KeepReason::UnreadData));
-        kept.is_none()
+        let connection = Connection {
+            request_open: self.request_open.get(),
+            unread,
+            already_deferred: self.close_deferred.get(),
+        };
+        let keep_reason = may_close(connection, why).err();
+        self.close_deferred.set(keep_reason == Some(KeepReason::UnreadData));
+        keep_reason.is_none()
     }
 
-    /// Is told to end, and why.
-    pub(super) fn end(&self, why: CloseReason) {
-        self.closing.set(why);
-        self.cut.notify_one();
+    /// Asks the connection to close for the given reason.
+    pub(super) fn request_close(&self, why: CloseReason) {
+        self.close_reason.set(why);
+        self.close_now.notify_one();
     }
 
-    /// Bytes have come: the first of a request, unless they are its body.
+    /// Records that bytes have arrived: the beginning of a request, unless they belong to a body.
     pub(super) fn bytes_received(&self) {
-        // What comes only now did not wait with the connection.
-        if !self.spoke.get() && self.used.get().elapsed() > READ_SOON {
-            self.waited.set(Duration::ZERO);
+        // Bytes that arrive this late did not wait in the queue with the connection.
+        if !self.bytes_seen.get() && self.last_active.get().elapsed() > QUEUED_READ_WINDOW {
+            self.queue_wait.set(Duration::ZERO);
         }
-        self.spoke.set(true);
-        self.used.set(Instant::now());
-        if !self.reading.get() && self.begun.get().is_none() {
-            self.begun.set(Some(Instant::now()));
+        self.bytes_seen.set(true);
+        self.last_active.set(Instant::now());
+        if !self.reading_body.get() && self.partial_request_since.get().is_none() {
+            self.partial_request_since.set(Some(Instant::now()));
         }
     }
 }
 
-/// Hyper says only once a head is whole that bytes have come.
+/// Observes the socket, since hyper reports received bytes only once a head is complete.
 impl IoObserver for Rc<Client> {
     fn on_read(&mut self, _: &mut Context<'_>, bytes: usize) -> io::Result<()> {
-        self.drained.set(bytes == 0);
+        self.read_drained.set(bytes == 0);
         if bytes > 0 {
             self.bytes_received();
         }
         Ok(())
     }
     fn on_written(&mut self, _: usize) {
-        self.used.set(Instant::now());
+        self.last_active.set(Instant::now());
     }
     fn on_flushed(&mut self) {
-        if self.taken.get() {
+        if self.response_consumed.get() {
             self.answering.set(false);
             if self.successor.is_accepting() {
-                self.pass.notify_one();
+                self.hand_over.notify_one();
             }
         }
     }
@@ -180,83 +186,87 @@
 
 impl Progress for Client {
     fn body_consumed(&self) {
-        self.taken.set(true);
+        self.response_consumed.set(true);
     }
 }
 
-pub(super) async fn connection(
+/// Serves a connection until it ends. `read_ahead` holds bytes that another process has read from it.
+pub(super) async fn run_connection(
     driver: &Rc<Driver>,
     clients: &Rc<Clients>,
     client: &Rc<Client>,
     stream: TcpStream,
-    read: Bytes,
+    read_ahead: Bytes,
 ) -> Closed {
     let stream = SharedSocket::new(stream);
     let socket = stream.clone();
     let service = service_fn(|request| {
         let (driver, clients, client) = (driver.clone(), clients.clone(), client.clone());
         let socket = socket.clone();
-        client.busy.set(true);
+        client.request_open.set(true);
         client.answering.set(true);
-        client.taken.set(false);
-        client.reading.set(true);
+        client.response_consumed.set(false);
+        client.reading_body.set(true);
         async move {
             let mut answer = respond(&driver, &client, &socket, request).await;
             if answer.status() == StatusCode::TOO_MANY_REQUESTS && driver.refuses_new_customers() {
-                let open = u32::try_from(clients.all.borrow().len()).unwrap_or(u32::MAX);
-                client.rest.set(Some(Instant::now() + REST_EACH.saturating_mul(open)));
+                let open = u32::try_from(clients.connections.borrow().len()).unwrap_or(u32::MAX);
+                client
+                    .delayed_until
+                    .set(Some(Instant::now() + FLOOD_DELAY_PER_CONNECTION.saturating_mul(open)));
             }
             if !driver.with_lifecycle(Lifecycle::keeps_alive) && !clients.successor.is_accepting() {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            client.busy.set(false);
-            client.reading.set(false);
-            client.used.set(Instant::now());
+            client.request_open.set(false);
+            client.reading_body.set(false);
+            client.last_active.set(Instant::now());
             Ok::<_, Infallible>(answer.map(|body| TrackedBody::new(body, client)))
         }
     });
-    let mut serving = http1::Builder::new().max_buf_size(MOST_HEAD).auto_date_header(false).serve_connection(
-        TokioIo::new(ObservedStream { stream, observer: client.clone(), prefix: read }),
-        service,
-    );
-    let left = client.left(&socket);
-    tokio::pin!(left);
-    let (mut closing, mut postponed) = (false, 0);
+    let mut serving =
+        http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).auto_date_header(false).serve_connection(
+            TokioIo::new(ObservedStream { stream, observer: client.clone(), prefix: read_ahead }),
+            service,
+        );
+    let disconnected = client.wait_for_disconnect(&socket);
+    tokio::pin!(disconnected);
+    let (mut closing, mut deferrals) = (false, 0);
     loop {
         tokio::select! {
             biased;
-            // An error here is the client's: it left, or sent what is no HTTP.
+            // An error here is due to the client: it disconnected or sent something that is not HTTP.
             ended = &mut serving => return match ended {
                 Ok(()) if closing => Closed::ByUs(CloseReason::Idle),
                 Ok(()) => Closed::ByClient,
                 Err(_) => Closed::Broken,
             },
-            () = &mut left => return Closed::ByClient,
-            () = client.pass.notified() => if !client.answering.get() {
+            () = &mut disconnected => return Closed::ByClient,
+            () = client.hand_over.notified() => if !client.answering.get() {
                 let parts = serving.into_parts();
-                let begun = client.begun.get().map(|at| at.elapsed());
+                let request_age = client.partial_request_since.get().map(|at| at.elapsed());
                 let stream = parts.io.into_inner().stream.take().map(TcpStream::into_std);
                 let Some(Ok(stream)) = stream else { return Closed::Broken };
-                let passed = TransferredConnection { stream, request_age: begun, read_ahead: parts.read_buf };
-                // The heir has gone: the connection ends here.
-                clients.successor.hand_over(passed);
+                let transferred = TransferredConnection { stream, request_age, read_ahead: parts.read_buf };
+                // If the successor has exited, the connection ends here.
+                clients.successor.hand_over(transferred);
                 return Closed::PassedOn;
             },
-            // A request that came in between the word to cut and this has been taken: it stays.
-            () = client.cut.notified() => {
-                let why = client.closing.get();
+            // The connection is kept if a request has arrived between the signal and now.
+            () = client.close_now.notified() => {
+                let why = client.close_reason.get();
                 if client.may_close(&socket, why) {
                     return Closed::ByUs(why);
                 }
-                client.leaving.set(false);
+                client.evicting.set(false);
             }
-            () = client.close.notified(), if !closing => {
-                // What lies unread may be a request: it is read before the connection is closed under it.
-                let asks = !client.busy.get() && !client.answering.get() && !client.may_close(&socket, CloseReason::Idle);
-                if asks && postponed < MOST_POSTPONED {
-                    postponed += 1;
+            () = client.close_gracefully.notified(), if !closing => {
+                // Unread bytes may be a request: they are read before the connection is closed.
+                let has_unread_request = !client.request_open.get() && !client.answering.get() && !client.may_close(&socket, CloseReason::Idle);
+                if has_unread_request && deferrals < MAX_CLOSE_DEFERRALS {
+                    deferrals += 1;
                     tokio::task::yield_now().await;
-                    client.close.notify_one();
+                    client.close_gracefully.notify_one();
                     continue;
                 }
                 closing = true;
@@ -266,15 +276,15 @@
     }
 }
 
-/// How a client's connection came to its end.
+/// How a client connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Closed {
-    /// Its client closed it, or it was closed behind an answer.
+    /// The client closed it, or it was closed after an answer.
     ByClient,
-    /// It broke, or what came on it is no HTTP.
+    /// It was reset, or what arrived is not HTTP.
     Broken,
-    /// Another process goes on with it.
+    /// Another process has taken it over.
     PassedOn,
-    /// This process ended it.
+    /// This process closed it.
     ByUs(CloseReason),
 }
--- a/marldeal/src/front/external.rs
+++ b/marldeal/src/front/external.rs
@@ -1,7 +1,7 @@
-//! The external processor: proxies ask about each request over gRPC and carry out what they are told.
+//! The external processor front: proxies ask about each request over gRPC and carry out the verdicts.
 //!
-//! Each stream runs in its connection's task and speaks with the driver by two channels: what it said goes one way,
-//! verdicts come back the other. What a verdict is, `marldeal-external` decides.
+//! Each stream runs in the task of its connection. Its events go to the driver through one channel, and verdicts
+//! come back through another. The crate `marldeal-external` decides the verdicts.
 
 use std::future::Future;
 use std::io;
@@ -36,175 +36,177 @@
 use crate::settings::extensions::ExternalProcessor;
 use crate::socket::{IoObserver, ObservedStream};
 
-/// A proxy is asked for more time once it has waited so long: well before the 200 ms that Envoy waits by default.
-const NUDGE: Duration = Duration::from_millis(50);
-/// Verdicts that may wait for a stream: the answer it is owed, and one unasked.
-const WORDS: usize = 4;
-/// Answers to phases that decide nothing, kept back until the verdict before them is told.
-const MOST_KEPT_BACK: usize = 8;
-/// Bytes of the HTTP/2 connection preface (RFC 9113, section 3.4), and how long a new connection has for it.
-const PREFACE: usize = 24;
-const PREFACE_TIME: Duration = Duration::from_secs(2);
-/// After SIGTERM, streams that carry a request are waited for no longer.
-const DRAIN_MOST: Duration = Duration::from_secs(20);
-/// How often readiness is told to the health service.
-const HEALTH: Duration = Duration::from_millis(250);
+/// A proxy is asked for more time after it has waited this long: well before Envoy's default timeout of 200 ms.
+const TIMEOUT_EXTENSION_DELAY: Duration = Duration::from_millis(50);
+/// Verdicts that may be queued for a stream: the one it waits for, and an unsolicited one.
+const REPLY_QUEUE_LENGTH: usize = 4;
+/// Answers to phases that need no decision, deferred until the verdict before them has been sent.
+const MAX_DEFERRED_RESPONSES: usize = 8;
+/// Length of the HTTP/2 connection preface (RFC 9113, section 3.4), and how long a new connection may take to send
+/// it.
+const PREFACE_BYTES: usize = 24;
+const PREFACE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long open streams are waited for after SIGTERM.
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(20);
+/// How often the health service is updated.
+const HEALTH_INTERVAL: Duration = Duration::from_millis(250);
 
-type Said = (Input, Option<mpsc::Sender<ProxyReply>>);
+type DriverInput = (Input, Option<mpsc::Sender<ProxyReply>>);
 
-/// What all streams share.
-struct Front {
+/// State shared by all streams.
+struct FrontState {
     config: Arc<Config>,
     options: ExternalProcessor,
-    said: mpsc::UnboundedSender<Said>,
-    next: AtomicU64,
-    observed: AtomicU64,
+    inputs: mpsc::UnboundedSender<DriverInput>,
+    next_stream: AtomicU64,
+    observed_messages: AtomicU64,
 }
 
-impl Front {
-    /// Reads what a proxy presents, with the one reader of heads.
-    fn read(
+impl FrontState {
+    /// Parses the head that a proxy presents, as the direct front parses heads.
+    fn parse_head(
         &self,
         head: Result<(Parts, Option<u32>), Rejection>,
     ) -> Result<(RequestHead, Option<u32>), Rejection> {
-        let (parts, count) = head?;
-        Ok((head::parse(&self.config, &self.options.layout, &parts)?, count))
+        let (parts, attempt) = head?;
+        Ok((head::parse(&self.config, &self.options.layout, &parts)?, attempt))
     }
 
-    /// Presents a request on a stream of its own.
-    fn present(&self, told: RequestHead, attempt: Option<u32>) -> (Leave, mpsc::Receiver<ProxyReply>) {
-        let stream = self.next.fetch_add(1, Ordering::Relaxed);
-        let (words, heard) = mpsc::channel(WORDS);
+    /// Presents a request to the driver as a new stream.
+    fn present(&self, head: RequestHead, attempt: Option<u32>) -> (StreamHandle, mpsc::Receiver<ProxyReply>) {
+        let stream = self.next_stream.fetch_add(1, Ordering::Relaxed);
+        let (replies, receiver) = mpsc::channel(REPLY_QUEUE_LENGTH);
         let presentation = Presentation {
-            correlation_id: told.correlation_id.as_bytes().into(),
-            key: told.idempotency_key.map(|key| key.as_bytes().into()),
+            correlation_id: head.correlation_id.as_bytes().into(),
+            key: head.idempotency_key.map(|key| key.as_bytes().into()),
             attempt,
-            request: told.request,
+            request: head.request,
         };
-        let leave = Leave { stream, said: self.said.clone() };
-        leave.say(Input::Presented { stream, presentation }, Some(words));
-        (leave, heard)
+        let handle = StreamHandle { stream, inputs: self.inputs.clone() };
+        handle.send(Input::Presented { stream, presentation }, Some(replies));
+        (handle, receiver)
     }
 }
 
-/// A stream as the driver knows it. Its end is told however it comes about.
-struct Leave {
+/// Registers a stream with the driver, and reports its end when dropped.
+struct StreamHandle {
     stream: StreamId,
-    said: mpsc::UnboundedSender<Said>,
+    inputs: mpsc::UnboundedSender<DriverInput>,
 }
 
-impl Leave {
-    /// Bounded by the streams: each says no more than it has verdicts for, and its end.
-    fn say(&self, input: Input, words: Option<mpsc::Sender<ProxyReply>>) {
-        let _ = self.said.send((input, words));
+impl StreamHandle {
+    /// Sends an event to the driver. The channel is bounded by the streams: each sends at most one event for each
+    /// of its verdicts, and its end.
+    fn send(&self, input: Input, replies: Option<mpsc::Sender<ProxyReply>>) {
+        let _ = self.inputs.send((input, replies));
     }
 }
 
-impl Drop for Leave {
+impl Drop for StreamHandle {
     fn drop(&mut self) {
-        self.say(Input::Closed { stream: self.stream }, None);
+        self.send(Input::Closed { stream: self.stream }, None);
     }
 }
 
-/// Where a stream stands.
+/// The state of a stream.
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
-    /// No request yet.
-    Fresh,
-    /// Owed a verdict on its request.
-    Asked,
-    /// The proxy carries an attempt.
-    Granted,
-    /// Owed a verdict on what came of it.
-    Answering,
-    /// A good answer is on its way to the client, and counts once it has come whole.
-    Trailing,
-    /// It has come whole, and has been told so.
-    Trailed,
-    /// Nothing more is decided here.
+    /// No request has been presented.
+    AwaitingRequest,
+    /// Waits for the verdict on its request.
+    AwaitingAdmission,
+    /// The proxy carries out an attempt.
+    AttemptGranted,
+    /// Waits for the verdict on an attempt's outcome.
+    AwaitingResult,
+    /// A successful answer is on its way to the client; it counts once it is complete.
+    AwaitingTrailers,
+    /// The answer is complete, and this has been reported.
+    TrailersReceived,
+    /// Nothing more is decided for this stream.
     Done,
 }
 
-type Answers = Pin<Box<dyn Stream<Item = Result<ext::ProcessingResponse, Status>> + Send>>;
+type ResponseStream = Pin<Box<dyn Stream<Item = Result<ext::ProcessingResponse, Status>> + Send>>;
 
-struct Processor(Arc<Front>);
+struct Processor(Arc<FrontState>);
 
 #[tonic::async_trait]
 impl Service for Processor {
-    type ProcessStream = Answers;
+    type ProcessStream = ResponseStream;
 
     async fn process(
         &self,
         request: Request<Streaming<ext::ProcessingRequest>>,
-    ) -> Result<Response<Answers>, Status> {
+    ) -> Result<Response<ResponseStream>, Status> {
         Ok(Response::new(Box::pin(process(self.0.clone(), request.into_inner()))))
     }
 }
 
 fn process(
-    front: Arc<Front>,
+    front: Arc<FrontState>,
     mut inbound: Streaming<ext::ProcessingRequest>,
 ) -> impl Stream<Item = Result<ext::ProcessingResponse, Status>> {
     let invalid = |why: &str| Err(Status::invalid_argument(why));
-    let ms = |ms: f64| Duration::from_secs_f64(ms / 1000.0);
+    let millis = |ms: f64| Duration::from_secs_f64(ms / 1000.0);
     async_stream::stream! {
         let options = &front.options;
-        let mut stage = Stage::Fresh;
-        let mut held: Option<(Leave, mpsc::Receiver<ProxyReply>)> = None;
+        let mut stage = Stage::AwaitingRequest;
+        let mut registered: Option<(StreamHandle, mpsc::Receiver<ProxyReply>)> = None;
         let mut budget_ms = 0.0;
-        let mut kept_back = Vec::new();
+        let mut deferred = Vec::new();
         let opened = Instant::now();
-        let end = opened + ms(options.stream_ms);
-        let mut nudge: Option<Instant> = None;
-        let alarm = sleep_until(opened + ms(options.first_message_ms));
-        tokio::pin!(alarm);
+        let stream_deadline = opened + millis(options.stream_ms);
+        let mut extend_at: Option<Instant> = None;
+        let timer = sleep_until(opened + millis(options.first_message_ms));
+        tokio::pin!(timer);
         loop {
-            let word = async {
-                match &mut held {
-                    Some((_, words)) => words.recv().await,
+            let reply = async {
+                match &mut registered {
+                    Some((_, replies)) => replies.recv().await,
                     None => std::future::pending().await,
                 }
             };
             let message = tokio::select! {
                 biased;
-                word = word => {
-                    let Some(word) = word else { break };
-                    if nudge.take().is_some() {
-                        alarm.as_mut().reset(end);
+                reply = reply => {
+                    let Some(reply) = reply else { break };
+                    if extend_at.take().is_some() {
+                        timer.as_mut().reset(stream_deadline);
                     }
-                    match (&word.verdict, stage) {
-                        // Its answer is on its way already.
-                        (Verdict::PassThrough, Stage::Trailing | Stage::Trailed) => {
-                            held = None;
+                    match (&reply.verdict, stage) {
+                        // The answer is already being passed to the client.
+                        (Verdict::PassThrough, Stage::AwaitingTrailers | Stage::TrailersReceived) => {
+                            registered = None;
                             stage = Stage::Done;
                             continue;
                         }
-                        (Verdict::Admit(_), _) => stage = Stage::Granted,
+                        (Verdict::Admit(_), _) => stage = Stage::AttemptGranted,
                         (Verdict::Retry(_), _) if options.config.retry_mode == marldeal_external::RetryMode::SameStream => {
-                            stage = Stage::Granted;
+                            stage = Stage::AttemptGranted;
                         }
                         (Verdict::PassThrough | Verdict::Retry(_), _) => {
-                            held = None;
+                            registered = None;
                             stage = Stage::Done;
                         }
-                        // The last word of the stream.
+                        // The final message of the stream.
                         _ => {
-                            yield Ok(proxy_messages::verdict(&word, false, false));
+                            yield Ok(proxy_messages::verdict(&reply, false, false));
                             break;
                         }
                     }
-                    yield Ok(proxy_messages::verdict(&word, options.clear_route_cache, options.response_trailers));
-                    for answer in kept_back.drain(..) {
+                    yield Ok(proxy_messages::verdict(&reply, options.clear_route_cache, options.response_trailers));
+                    for answer in deferred.drain(..) {
                         yield Ok(answer);
                     }
                     continue;
                 }
                 message = inbound.message() => message,
-                () = &mut alarm => {
-                    if nudge.take().is_some() {
-                        alarm.as_mut().reset(end);
+                () = &mut timer => {
+                    if extend_at.take().is_some() {
+                        timer.as_mut().reset(stream_deadline);
                         if options.override_message_timeout {
-                            yield Ok(proxy_messages::more_time(budget_ms));
+                            yield Ok(proxy_messages::extend_message_timeout(budget_ms));
                         }
                         continue;
                     }
@@ -214,37 +216,37 @@
             };
             let message = match message {
                 Ok(Some(message)) => message,
-                // The proxy is done with its request, or has left.
+                // The proxy is done with the request, or has disconnected.
                 Ok(None) => {
-                    if let (Stage::Trailing, Some((leave, _))) = (stage, &held) {
-                        leave.say(responded(leave, fawnhill::Outcome::Ok), None);
+                    if let (Stage::AwaitingTrailers, Some((handle, _))) = (stage, &registered) {
+                        handle.send(responded(handle, fawnhill::Outcome::Ok), None);
                     }
                     break;
                 }
-                // Reset, over-long, or no message: all that can be said has been.
+                // The stream was reset, or the message was too long or malformed; the status has said so.
                 Err(status) => {
                     yield Err(status);
                     break;
                 }
             };
             if message.observability_mode {
-                front.observed.fetch_add(1, Ordering::Relaxed);
-                alarm.as_mut().reset(end);
+                front.observed_messages.fetch_add(1, Ordering::Relaxed);
+                timer.as_mut().reset(stream_deadline);
                 continue;
             }
             match &message.request {
-                Some(Phase::RequestHeaders(headers)) if stage == Stage::Fresh => {
-                    match front.read(proxy_messages::head(proxy_messages::pairs(headers).into_iter())) {
-                        Ok((told, count)) => {
-                            budget_ms = told.request.budget_ms;
-                            held = Some(front.present(told, count));
-                            stage = Stage::Asked;
-                            let at = Instant::now() + NUDGE;
-                            nudge = Some(at);
-                            alarm.as_mut().reset(at);
+                Some(Phase::RequestHeaders(headers)) if stage == Stage::AwaitingRequest => {
+                    match front.parse_head(proxy_messages::request_head(proxy_messages::header_pairs(headers).into_iter())) {
+                        Ok((head, attempt)) => {
+                            budget_ms = head.request.budget_ms;
+                            registered = Some(front.present(head, attempt));
+                            stage = Stage::AwaitingAdmission;
+                            let at = Instant::now() + TIMEOUT_EXTENSION_DELAY;
+                            extend_at = Some(at);
+                            timer.as_mut().reset(at);
                         }
                         Err((status, why)) => {
-                            yield Ok(proxy_messages::immediate(status, why, 0.0));
+                            yield Ok(proxy_messages::immediate_response(status, why, 0.0));
                             break;
                         }
                     }
@@ -253,20 +255,20 @@
                     yield invalid("a second request_headers on one stream");
                     break;
                 }
-                Some(Phase::ResponseHeaders(headers)) if stage == Stage::Granted => {
-                    let Some((leave, _)) = &held else { break };
-                    match proxy_messages::outcome(headers, &message) {
+                Some(Phase::ResponseHeaders(headers)) if stage == Stage::AttemptGranted => {
+                    let Some((handle, _)) = &registered else { break };
+                    match proxy_messages::attempt_outcome(headers, &message) {
                         Ok(fawnhill::Outcome::Ok) if options.response_trailers && !headers.end_of_stream => {
-                            stage = Stage::Trailing;
-                            let word = ProxyReply { verdict: Verdict::PassThrough, node: None, left_ms: 0.0 };
-                            yield Ok(proxy_messages::verdict(&word, false, false));
+                            stage = Stage::AwaitingTrailers;
+                            let reply = ProxyReply { verdict: Verdict::PassThrough, server_addr: None, remaining_ms: 0.0 };
+                            yield Ok(proxy_messages::verdict(&reply, false, false));
                         }
                         Ok(outcome) => {
-                            leave.say(responded(leave, outcome), None);
-                            stage = Stage::Answering;
-                            let at = Instant::now() + NUDGE;
-                            nudge = Some(at);
-                            alarm.as_mut().reset(at);
+                            handle.send(responded(handle, outcome), None);
+                            stage = Stage::AwaitingResult;
+                            let at = Instant::now() + TIMEOUT_EXTENSION_DELAY;
+                            extend_at = Some(at);
+                            timer.as_mut().reset(at);
                         }
                         Err(why) => {
                             yield invalid(why);
@@ -274,7 +276,8 @@
                         }
                     }
                 }
-                // Its verdict came unasked, or the module gave it up, as this was on its way.
+                // A verdict was sent unsolicited, or the decision module gave the request up, while this message
+                // was on its way.
                 Some(Phase::ResponseHeaders(_)) if stage == Stage::Done => {
                     yield invalid("response_headers after the last word");
                     break;
@@ -284,19 +287,19 @@
                     break;
                 }
                 Some(phase) => {
-                    if stage == Stage::Fresh {
+                    if stage == Stage::AwaitingRequest {
                         yield invalid("a body or trailers before request_headers");
                         break;
                     }
-                    if let (Phase::ResponseTrailers(_), Stage::Trailing, Some((leave, _))) = (phase, stage, &held) {
-                        leave.say(responded(leave, fawnhill::Outcome::Ok), None);
-                        stage = Stage::Trailed;
+                    if let (Phase::ResponseTrailers(_), Stage::AwaitingTrailers, Some((handle, _))) = (phase, stage, &registered) {
+                        handle.send(responded(handle, fawnhill::Outcome::Ok), None);
+                        stage = Stage::TrailersReceived;
                     }
-                    let Some(answer) = proxy_messages::carry_on(phase) else { break };
-                    if !matches!(stage, Stage::Asked | Stage::Answering) {
+                    let Some(answer) = proxy_messages::continue_response(phase) else { break };
+                    if !matches!(stage, Stage::AwaitingAdmission | Stage::AwaitingResult) {
                         yield Ok(answer);
-                    } else if kept_back.len() < MOST_KEPT_BACK {
-                        kept_back.push(answer);
+                    } else if deferred.len() < MAX_DEFERRED_RESPONSES {
+                        deferred.push(answer);
                     } else {
                         yield Err(Status::resource_exhausted("too many messages before the answer"));
                         break;
@@ -311,34 +314,34 @@
     }
 }
 
-fn responded(leave: &Leave, outcome: fawnhill::Outcome) -> Input {
-    Input::Responded { stream: leave.stream, outcome }
+fn responded(handle: &StreamHandle, outcome: fawnhill::Outcome) -> Input {
+    Input::Responded { stream: handle.stream, outcome }
 }
 
-/// One question without a stream: nobody tells what comes of it.
-async fn ask(
-    front: &Front,
-    told: Result<(RequestHead, Option<u32>), Rejection>,
+/// Decides a single request without a stream; the outcome of its attempt is not reported.
+async fn decide(
+    front: &FrontState,
+    head: Result<(RequestHead, Option<u32>), Rejection>,
 ) -> Result<ProxyReply, Rejection> {
-    let (told, count) = told?;
-    let (leave, mut words) = front.present(told, count);
-    let word = words.recv().await.ok_or((StatusCode::BAD_GATEWAY, "the limiter stops"))?;
-    if matches!(word.verdict, Verdict::Admit(_)) {
-        leave.say(Input::Unreported { stream: leave.stream }, None);
+    let (head, attempt) = head?;
+    let (handle, mut replies) = front.present(head, attempt);
+    let reply = replies.recv().await.ok_or((StatusCode::BAD_GATEWAY, "the limiter stops"))?;
+    if matches!(reply.verdict, Verdict::Admit(_)) {
+        handle.send(Input::Unreported { stream: handle.stream }, None);
     }
-    Ok(word)
+    Ok(reply)
 }
 
-/// Status, text and advice of what is not let in; nothing if it is.
-fn turned_away(asked: &Result<ProxyReply, Rejection>) -> Option<(StatusCode, &'static str, f64)> {
-    match asked {
+/// Status, text and retry advice in milliseconds for a request that is not admitted; `None` if it is.
+fn denial(decided: &Result<ProxyReply, Rejection>) -> Option<(StatusCode, &'static str, f64)> {
+    match decided {
         Ok(ProxyReply { verdict: Verdict::Admit(_), .. }) => None,
-        Ok(word) => Some(proxy_messages::refusal(&word.verdict)),
+        Ok(reply) => Some(proxy_messages::final_answer(&reply.verdict)),
         Err((status, why)) => Some((*status, why, 0.0)),
     }
 }
 
-struct Authorization(Arc<Front>);
+struct Authorization(Arc<FrontState>);
 
 #[tonic::async_trait]
 impl auth::authorization_server::Authorization for Authorization {
@@ -352,25 +355,26 @@
         let mut pairs: Vec<(&str, &[u8])> =
             vec![(":method", http.method.as_bytes()), (":path", http.path.as_bytes())];
         match &http.header_map {
-            Some(map) => pairs.extend(proxy_messages::map_pairs(map)),
+            Some(map) => pairs.extend(proxy_messages::header_map_pairs(map)),
             None => pairs.extend(http.headers.iter().map(|(k, v)| (k.as_str(), v.as_bytes()))),
         }
         pairs.retain(|(name, _)| !name.starts_with(':') || matches!(*name, ":method" | ":path"));
         pairs.dedup_by(|b, a| a.0 == b.0 && a.0.starts_with(':'));
-        let asked = ask(&self.0, self.0.read(proxy_messages::head(pairs.into_iter()))).await;
-        let answer = match (&asked, turned_away(&asked)) {
-            (Ok(word), None) => auth::CheckResponse {
+        let decided =
+            decide(&self.0, self.0.parse_head(proxy_messages::request_head(pairs.into_iter()))).await;
+        let answer = match (&decided, denial(&decided)) {
+            (Ok(reply), None) => auth::CheckResponse {
                 status: Some(rpc::Status::default()),
-                dynamic_metadata: proxy_messages::metadata(word),
+                dynamic_metadata: proxy_messages::destination_metadata(reply),
                 http_response: Some(auth::check_response::HttpResponse::OkResponse(auth::OkHttpResponse {
-                    headers: proxy_messages::grant(proxy_messages::DESTINATION, word),
+                    headers: proxy_messages::grant_headers(proxy_messages::DESTINATION_HEADER, reply),
                     ..Default::default()
                 })),
             },
-            (_, away) => {
-                let (status, why, retry_ms) = away.unwrap_or((StatusCode::BAD_GATEWAY, "", 0.0));
-                let headers =
-                    proxy_messages::retry_after(retry_ms).map(|v| proxy_messages::set("retry-after", &v));
+            (_, denied) => {
+                let (status, why, retry_ms) = denied.unwrap_or((StatusCode::BAD_GATEWAY, "", 0.0));
+                let headers = proxy_messages::retry_after(retry_ms)
+                    .map(|v| proxy_messages::set_header("retry-after", &v));
                 let code = envoy_types::pb::envoy::r#type::v3::HttpStatus { code: status.as_u16().into() };
                 auth::CheckResponse {
                     status: Some(rpc::Status {
@@ -393,7 +397,7 @@
     }
 }
 
-struct RateLimit(Arc<Front>);
+struct RateLimit(Arc<FrontState>);
 
 #[tonic::async_trait]
 impl rls::rate_limit_service_server::RateLimitService for RateLimit {
@@ -402,8 +406,8 @@
         request: Request<rls::RateLimitRequest>,
     ) -> Result<Response<rls::RateLimitResponse>, Status> {
         let request = request.into_inner();
-        // Entries are named as the headers (and pseudo headers) that they were taken from; all descriptors of a
-        // request speak of the one request.
+        // Entries are named after the headers (and pseudo headers) that they were taken from. All descriptors of a
+        // message belong to one request.
         let mut pairs: Vec<(&str, &[u8])> = Vec::new();
         for entry in request.descriptors.iter().flat_map(|d| &d.entries) {
             if !pairs.iter().any(|(key, _)| *key == entry.key) {
@@ -413,26 +417,27 @@
         if !pairs.iter().any(|(key, _)| *key == ":method") {
             pairs.push((":method", b"GET"));
         }
-        // This protocol names no request: each question is one of its own.
+        // This protocol does not identify requests: each question counts as a new request.
         let correlation = self.0.options.layout.correlation.clone();
-        let name = format!("rls-{}", self.0.next.fetch_add(1, Ordering::Relaxed));
+        let name = format!("rls-{}", self.0.next_stream.fetch_add(1, Ordering::Relaxed));
         if !pairs.iter().any(|(key, _)| *key == correlation.as_str()) {
             pairs.push((correlation.as_str(), name.as_bytes()));
         }
-        let asked = ask(&self.0, self.0.read(proxy_messages::head(pairs.into_iter()))).await;
-        let away = turned_away(&asked);
-        if let Some((status, why, _)) = away.filter(|(status, ..)| status.is_client_error()) {
+        let decided =
+            decide(&self.0, self.0.parse_head(proxy_messages::request_head(pairs.into_iter()))).await;
+        let denied = denial(&decided);
+        if let Some((status, why, _)) = denied.filter(|(status, ..)| status.is_client_error()) {
             if status != StatusCode::TOO_MANY_REQUESTS {
                 return Err(Status::invalid_argument(why));
             }
         }
-        let code = if away.is_none() {
+        let code = if denied.is_none() {
             rls::rate_limit_response::Code::Ok
         } else {
             rls::rate_limit_response::Code::OverLimit
         };
-        let advice = away.and_then(|(.., retry_ms)| proxy_messages::retry_after(retry_ms));
-        let header = advice.map(|value| envoy_types::pb::envoy::config::core::v3::HeaderValue {
+        let retry_after = denied.and_then(|(.., retry_ms)| proxy_messages::retry_after(retry_ms));
+        let header = retry_after.map(|value| envoy_types::pb::envoy::config::core::v3::HeaderValue {
             key: "retry-after".to_string(),
             value,
             ..Default::default()
@@ -445,21 +450,21 @@
     }
 }
 
-/// A proxy's place among the connections that may be open. One that is slow to say that it speaks HTTP/2 is cut, so that
-/// silent ones do not keep the others out.
+/// Holds a proxy's permit to be connected. A connection that does not send the HTTP/2 preface in time is closed,
+/// so that silent ones do not keep others out.
 struct Proxy {
-    seen: usize,
-    late: Option<Pin<Box<Sleep>>>,
-    _place: OwnedSemaphorePermit,
+    bytes_seen: usize,
+    preface_timeout: Option<Pin<Box<Sleep>>>,
+    _permit: OwnedSemaphorePermit,
 }
 
 impl IoObserver for Proxy {
     fn on_read(&mut self, cx: &mut Context<'_>, bytes: usize) -> io::Result<()> {
-        let Some(late) = &mut self.late else { return Ok(()) };
-        self.seen += bytes;
-        if self.seen >= PREFACE {
-            self.late = None;
-        } else if late.as_mut().poll(cx).is_ready() {
+        let Some(preface_timeout) = &mut self.preface_timeout else { return Ok(()) };
+        self.bytes_seen += bytes;
+        if self.bytes_seen >= PREFACE_BYTES {
+            self.preface_timeout = None;
+        } else if preface_timeout.as_mut().poll(cx).is_ready() {
             return Err(io::ErrorKind::TimedOut.into());
         }
         Ok(())
@@ -474,34 +479,35 @@
     }
 }
 
-/// Accepts proxies; one too many is closed at once, so that it hears and goes elsewhere.
-fn accepted(listener: TcpListener, most: usize) -> impl Stream<Item = io::Result<ObservedStream<Proxy>>> {
-    let places = Arc::new(Semaphore::new(most));
-    let mut full = false;
+/// Accepts connections of proxies. One that exceeds the limit is closed at once, so that the proxy can try
+/// elsewhere.
+fn accept(listener: TcpListener, max_open: usize) -> impl Stream<Item = io::Result<ObservedStream<Proxy>>> {
+    let permits = Arc::new(Semaphore::new(max_open));
+    let mut full_logged = false;
     async_stream::stream! {
         loop {
             match listener.accept().await {
-                Ok((stream, from)) => match places.clone().try_acquire_owned() {
-                    Ok(place) => {
-                        full = false;
+                Ok((stream, from)) => match permits.clone().try_acquire_owned() {
+                    Ok(permit) => {
+                        full_logged = false;
                         let _ = stream.set_nodelay(true);
-                        let late = Some(Box::pin(tokio::time::sleep(PREFACE_TIME)));
-                        yield Ok(ObservedStream { stream, observer: Proxy { seen: 0, late, _place: place }, prefix: bytes::Bytes::new() });
+                        let preface_timeout = Some(Box::pin(tokio::time::sleep(PREFACE_TIMEOUT)));
+                        yield Ok(ObservedStream { stream, observer: Proxy { bytes_seen: 0, preface_timeout, _permit: permit }, prefix: bytes::Bytes::new() });
                     }
                     Err(_) => {
-                        if !std::mem::replace(&mut full, true) {
-                            info!("external processor: {most} connections are open, {from} was closed");
+                        if !std::mem::replace(&mut full_logged, true) {
+                            info!("external processor: {max_open} connections are open, {from} was closed");
                         }
                     }
                 },
-                // Out of descriptors, or the proxy has gone already.
+                // Out of file descriptors, or the proxy has already disconnected.
                 Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
             }
         }
     }
 }
 
-/// Serves proxies until `stop` turns true, then tells them so (GOAWAY) and finishes what was begun.
+/// Serves proxies until `stop` turns true, then sends GOAWAY and finishes the open streams.
 pub async fn serve(
     driver: Rc<Driver>,
     options: ExternalProcessor,
@@ -509,27 +515,27 @@
     mut stop: watch::Receiver<bool>,
 ) {
     driver.enable_external_processor(options.config);
-    let (said, mut heard) = mpsc::unbounded_channel::<Said>();
-    let front = Arc::new(Front {
+    let (inputs, mut input_receiver) = mpsc::unbounded_channel::<DriverInput>();
+    let front = Arc::new(FrontState {
         config: driver.config.clone(),
         options: options.clone(),
-        said,
-        next: AtomicU64::new(0),
-        observed: AtomicU64::new(0),
+        inputs,
+        next_stream: AtomicU64::new(0),
+        observed_messages: AtomicU64::new(0),
     });
-    let listening = driver.clone();
+    let input_driver = driver.clone();
     tokio::task::spawn_local(async move {
-        while let Some((input, words)) = heard.recv().await {
-            listening.handle_proxy_input(input, words);
+        while let Some((input, replies)) = input_receiver.recv().await {
+            input_driver.handle_proxy_input(input, replies);
         }
     });
-    let (health, healthy) = tonic_health::server::health_reporter();
-    let asking = driver.clone();
+    let (health, health_service) = tonic_health::server::health_reporter();
+    let health_driver = driver.clone();
     tokio::task::spawn_local(async move {
-        let mut told = None;
+        let mut reported = None;
         loop {
-            let ready = asking.is_ready();
-            if told.replace(ready) != Some(ready) {
+            let ready = health_driver.is_ready();
+            if reported.replace(ready) != Some(ready) {
                 let status = if ready {
                     tonic_health::ServingStatus::Serving
                 } else {
@@ -538,10 +544,10 @@
                 health.set_service_status("", status).await;
                 health.set_service_status("envoy.service.ext_proc.v3.ExternalProcessor", status).await;
             }
-            tokio::time::sleep(HEALTH).await;
+            tokio::time::sleep(HEALTH_INTERVAL).await;
         }
     });
-    let most = options.max_message_bytes;
+    let max_message_bytes = options.max_message_bytes;
     let server = tonic::transport::Server::builder()
         .max_concurrent_streams(options.max_concurrent_streams)
         .http2_keepalive_interval(Some(Duration::from_secs_f64(options.keepalive_ms / 1000.0)))
@@ -549,32 +555,35 @@
         .http2_max_header_list_size(16 << 10)
         .initial_stream_window_size(64 << 10)
         .initial_connection_window_size(1 << 20)
-        .add_service(ExternalProcessorServer::new(Processor(front.clone())).max_decoding_message_size(most))
+        .add_service(
+            ExternalProcessorServer::new(Processor(front.clone()))
+                .max_decoding_message_size(max_message_bytes),
+        )
         .add_service(
             auth::authorization_server::AuthorizationServer::new(Authorization(front.clone()))
-                .max_decoding_message_size(most),
+                .max_decoding_message_size(max_message_bytes),
         )
         .add_service(
             rls::rate_limit_service_server::RateLimitServiceServer::new(RateLimit(front.clone()))
-                .max_decoding_message_size(most),
+                .max_decoding_message_size(max_message_bytes),
         )
-        .add_service(healthy);
-    let mut stopping = stop.clone();
-    let signal = async move { drop(stopping.wait_for(|stop| *stop).await) };
-    let incoming = accepted(listener, options.max_connections);
-    let forced = async move {
+        .add_service(health_service);
+    let mut shutdown_stop = stop.clone();
+    let shutdown = async move { drop(shutdown_stop.wait_for(|stop| *stop).await) };
+    let incoming = accept(listener, options.max_connections);
+    let drain_timeout = async move {
         let _ = stop.wait_for(|stop| *stop).await;
-        tokio::time::sleep(DRAIN_MOST).await;
+        tokio::time::sleep(MAX_DRAIN_TIME).await;
     };
     tokio::select! {
-        served = server.serve_with_incoming_shutdown(incoming, signal) => {
+        served = server.serve_with_incoming_shutdown(incoming, shutdown) => {
             if let Err(e) = served {
                 info!("external processor: {e}");
             }
         }
-        () = forced => info!("external processor: streams were left open"),
+        () = drain_timeout => info!("external processor: stopped with streams still open"),
     }
     let (open, counts) = driver.proxied_request_counts();
-    let observed = front.observed.load(Ordering::Relaxed);
+    let observed = front.observed_messages.load(Ordering::Relaxed);
     info!("external processor: {open} open, {observed} observed, {counts:?}");
 }
--- a/marldeal/src/front/mod.rs
+++ b/marldeal/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! What clients and proxies speak to: requests come in here and final answers go out.
+//! The fronts: they take requests from clients and proxies, and return the final answers.
 
 mod accept_queue;
 mod answer;
