--- a/crates/bench/src/direct.rs
+++ b/crates/bench/src/direct.rs
@@ -1,4 +1,4 @@
-//! Direct mode against a bare one-thread hyper pass-through: CPU for each request.
+//! Compares the CPU time per request of direct mode with that of a single-threaded hyper proxy.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,13 +20,13 @@
 
 use crate::process::Process;
 
-/// Connections that ask, one request after another on each.
+/// Number of client connections, each of which sends one request after another.
 const CLIENTS: usize = 32;
-/// Rounds of the pair; the best figure of each counts, for a machine's noise only adds.
+/// Number of rounds. The best figure of each program counts, since noise of the machine only adds time.
 const ROUNDS: usize = 3;
 
-/// A node that answers at once; its thread is not measured.
-pub async fn node(listener: TcpListener) {
+/// Runs a server that answers at once. Its thread is not measured.
+pub async fn serve(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
         let service = service_fn(|_| async {
@@ -36,8 +36,8 @@
     }
 }
 
-/// The baseline: takes requests in and passes each on, on one thread, with kept connections.
-pub fn pass(node: SocketAddr) -> Result<(), String> {
+/// Runs the baseline: a proxy that forwards requests to a server, on one thread, with persistent connections.
+pub fn run_proxy(server: SocketAddr) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
@@ -54,7 +54,8 @@
                         async move {
                             let (head, body) = request.into_parts();
                             let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
-                            let answer = client.exchange(node, hyper::Request::from_parts(head, body)).await;
+                            let answer =
+                                client.exchange(server, hyper::Request::from_parts(head, body)).await;
                             let answer = answer.map_or_else(
                                 |_| {
                                     let mut bad = Response::new(Full::default());
@@ -76,10 +77,10 @@
     })
 }
 
-/// CPU microseconds for each of `count` requests, and requests a second.
-async fn load(process: &Process, count: usize, base: usize) -> Result<(f64, f64), String> {
+/// Sends `count` requests. Returns the CPU microseconds per request and the requests per second.
+async fn load(process: &Process, count: usize, first_correlation_id: usize) -> Result<(f64, f64), String> {
     let next = Arc::new(AtomicUsize::new(0));
-    let (cpu, began) = (process.cpu()?, Instant::now());
+    let (cpu, started) = (process.cpu()?, Instant::now());
     let addr = process.addr;
     let workers: Vec<_> = (0..CLIENTS)
         .map(|_| {
@@ -93,7 +94,7 @@
                     }
                     let request = hyper::Request::get(format!("/look/{:016x}", number % 100))
                         .header("host", "bench")
-                        .header("x-correlation-id", format!("d-{:x}", base + number))
+                        .header("x-correlation-id", format!("d-{:x}", first_correlation_id + number))
                         .header("x-tariff", "basic")
                         .header("x-time-left", "5.0")
                         .header("x-weight", "units=1,spread=1,first=0")
@@ -101,7 +102,7 @@
                         .map_err(|e| e.to_string())?;
                     let answer = client.exchange(addr, request).await.map_err(|e| format!("{e:?}"))?;
                     if answer.status() != 200 {
-                        return Err(format!("answered {}", answer.status()));
+                        return Err(format!("unexpected status {}", answer.status()));
                     }
                 }
             })
@@ -110,34 +111,34 @@
     for worker in workers {
         worker.await.map_err(|e| e.to_string())??;
     }
-    let per_s = count as f64 / began.elapsed().as_secs_f64();
+    let per_s = count as f64 / started.elapsed().as_secs_f64();
     Ok(((process.cpu()? - cpu) * 1e6 / count as f64, per_s))
 }
 
-/// Measures and prints.
+/// Runs the comparison and prints the results.
 pub fn run(program: &Path, count: usize) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
         let addr = listener.local_addr().map_err(|e| e.to_string())?;
-        tokio::spawn(node(listener));
+        tokio::spawn(serve(listener));
         let discovery = Discovery::shared(update_line(1, true, &[("s-1", addr, "active")]));
-        let bare = Process::own(&["pass", &addr.to_string()])?;
+        let baseline = Process::baseline(&["pass", &addr.to_string()])?;
         let limiter = Process::limiter(program, discovery.addr, false)?;
         tokio::time::sleep(Duration::from_millis(1500)).await;
-        let (mut least, mut base) = ((f64::MAX, f64::MAX), 0);
+        let (mut min_us, mut first_correlation_id) = ((f64::MAX, f64::MAX), 0);
         for round in 0..ROUNDS {
-            let (bare_us, bare_per_s) = load(&bare, count, base).await?;
-            let (own_us, own_per_s) = load(&limiter, count, base).await?;
-            base += count;
+            let (baseline_us, baseline_per_s) = load(&baseline, count, first_correlation_id).await?;
+            let (limiter_us, limiter_per_s) = load(&limiter, count, first_correlation_id).await?;
+            first_correlation_id += count;
             println!(
-                "round {round}: bare {bare_us:.1} us ({bare_per_s:.0}/s), marldeal {own_us:.1} us \
-                 ({own_per_s:.0}/s), ratio {:.2}",
-                own_us / bare_us
+                "round {round}: baseline {baseline_us:.1} us ({baseline_per_s:.0}/s), marldeal {limiter_us:.1} us \
+                 ({limiter_per_s:.0}/s), ratio {:.2}",
+                limiter_us / baseline_us
             );
-            least = (least.0.min(bare_us), least.1.min(own_us));
+            min_us = (min_us.0.min(baseline_us), min_us.1.min(limiter_us));
         }
-        println!("CPU a request, least of {ROUNDS}: ratio {:.2}", least.1 / least.0);
+        println!("CPU per request, minimum of {ROUNDS} rounds: ratio {:.2}", min_us.1 / min_us.0);
         Ok(())
     })
 }
--- a/crates/bench/src/external.rs
+++ b/crates/bench/src/external.rs
@@ -1,4 +1,4 @@
-//! The external processor against a bare tonic echo of the same messages.
+//! Compares the external processor with a tonic server that echoes the same messages.
 
 use std::path::Path;
 use std::pin::Pin;
@@ -20,16 +20,17 @@
 
 use crate::process::Process;
 
-/// Streams at once at the levels measured.
+/// Numbers of concurrent streams that are measured.
 const LEVELS: [usize; 3] = [1, 32, 256];
-/// Connections that they are spread over.
+/// Number of connections that the streams are spread over.
 const CONNECTIONS: usize = 4;
-/// Decisions left open for the measure of memory.
-const HELD: usize = 900;
+/// Number of decisions that stay open while memory is measured.
+const OPEN_DECISIONS: usize = 900;
 
+/// Answers with fixed messages.
 struct Echo {
-    go: ext::ProcessingResponse,
-    pass: ext::ProcessingResponse,
+    on_request: ext::ProcessingResponse,
+    on_response: ext::ProcessingResponse,
 }
 
 type Answers = Pin<Box<dyn tokio_stream::Stream<Item = Result<ext::ProcessingResponse, Status>> + Send>>;
@@ -42,13 +43,13 @@
         &self,
         request: Request<Streaming<ext::ProcessingRequest>>,
     ) -> Result<Response<Answers>, Status> {
-        let (go, pass) = (self.go.clone(), self.pass.clone());
+        let (on_request, on_response) = (self.on_request.clone(), self.on_response.clone());
         let mut inbound = request.into_inner();
         Ok(Response::new(Box::pin(async_stream::stream! {
             while let Ok(Some(message)) = inbound.message().await {
                 match message.request {
-                    Some(Phase::RequestHeaders(_)) => yield Ok(go.clone()),
-                    Some(Phase::ResponseHeaders(_)) => yield Ok(pass.clone()),
+                    Some(Phase::RequestHeaders(_)) => yield Ok(on_request.clone()),
+                    Some(Phase::ResponseHeaders(_)) => yield Ok(on_response.clone()),
                     _ => {}
                 }
             }
@@ -56,8 +57,8 @@
     }
 }
 
-/// Answers of the size that the limiter gives, without any decision.
-fn canned() -> Echo {
+/// Returns an echo whose answers have the size of a limiter's answers.
+fn fixed_answers() -> Echo {
     use envoy_types::pb::envoy::config::core::v3::{HeaderValue, HeaderValueOption};
     let set = |key: &str, value: &str| HeaderValueOption {
         header: Some(HeaderValue {
@@ -77,20 +78,24 @@
             ..Default::default()
         }),
     };
-    let whole = |answer| ext::ProcessingResponse { response: Some(answer), ..Default::default() };
+    let processing_response =
+        |answer| ext::ProcessingResponse { response: Some(answer), ..Default::default() };
     let grant = vec![
         set("x-gateway-destination-endpoint", "127.0.0.1:40000"),
         set("x-envoy-upstream-rq-timeout-ms", "49990"),
         set("x-time-left", "49.990"),
     ];
     Echo {
-        go: whole(Answer::RequestHeaders(response(grant, &[]))),
-        pass: whole(Answer::ResponseHeaders(response(Vec::new(), &["x-marldeal-retry"]))),
+        on_request: processing_response(Answer::RequestHeaders(response(grant, &[]))),
+        on_response: processing_response(Answer::ResponseHeaders(response(
+            Vec::new(),
+            &["x-marldeal-retry"],
+        ))),
     }
 }
 
-/// The baseline: one thread, as the limiter has.
-pub fn echo() -> Result<(), String> {
+/// Runs the baseline on one thread, as the limiter does.
+pub fn run_echo() -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
@@ -104,7 +109,8 @@
                 yield accepted;
             }
         };
-        let server = tonic::transport::Server::builder().add_service(ExternalProcessorServer::new(canned()));
+        let server =
+            tonic::transport::Server::builder().add_service(ExternalProcessorServer::new(fixed_answers()));
         server.serve_with_incoming(incoming).await.map_err(|e| e.to_string())
     })
 }
@@ -125,71 +131,75 @@
     }
 }
 
-/// One decision: a stream, its verdict, the outcome, the last word. Microseconds until the verdict.
-async fn decision(channel: Channel, number: usize, from: Instant) -> Result<u64, String> {
+/// Opens a stream, awaits the verdict and reports the outcome. Returns the microseconds until the verdict.
+async fn decide(channel: Channel, number: usize, started: Instant) -> Result<u64, String> {
     let mut stream = Stream::open(channel).await.map_err(|e| e.to_string())?;
     stream.send(request_headers(&call(number).request(), Some(1))).await;
     let answer = stream.next().await.map_err(|e| format!("{e:?}"))?;
     if !matches!(answer.response, Some(Answer::RequestHeaders(_))) {
-        return Err(format!("not let in: {answer:?}"));
+        return Err(format!("not admitted: {answer:?}"));
     }
-    let took = from.elapsed().as_micros() as u64;
+    let verdict_us = started.elapsed().as_micros() as u64;
     stream.send(Phase::ResponseHeaders(headers(vec![(":status", "200".to_string())], true))).await;
     stream.next().await.map_err(|e| format!("{e:?}"))?;
-    Ok(took)
+    Ok(verdict_us)
 }
 
-async fn channels(process: &Process) -> Result<Vec<Channel>, String> {
-    let mut all = Vec::new();
+/// Opens the connections to a process.
+async fn connect(process: &Process) -> Result<Vec<Channel>, String> {
+    let mut channels = Vec::new();
     for _ in 0..CONNECTIONS {
         let endpoint =
             Endpoint::from_shared(format!("http://{}", process.addr)).map_err(|e| e.to_string())?;
-        all.push(endpoint.connect().await.map_err(|e| e.to_string())?);
+        channels.push(endpoint.connect().await.map_err(|e| e.to_string())?);
     }
-    Ok(all)
+    Ok(channels)
 }
 
+/// Throughput, latency in microseconds, and CPU time per decision.
 struct Figures {
     per_s: f64,
-    took: Histogram<u64>,
+    latency_us: Histogram<u64>,
     cpu_us: f64,
 }
 
 impl Figures {
-    fn line(&self, what: &str) -> String {
-        let at = |q| self.took.value_at_quantile(q);
+    /// Formats the figures as one line.
+    fn summary(&self, label: &str) -> String {
+        let quantile = |q| self.latency_us.value_at_quantile(q);
         format!(
-            "{what:<26}{:>9.0}/s  p50 {:>7} us  p99 {:>7} us  CPU {:>6.1} us",
+            "{label:<26}{:>9.0}/s  p50 {:>7} us  p99 {:>7} us  CPU {:>6.1} us",
             self.per_s,
-            at(0.5),
-            at(0.99),
+            quantile(0.5),
+            quantile(0.99),
             self.cpu_us
         )
     }
 }
 
-/// So many streams at once, one decision after another on each.
+/// Runs concurrent streams, with one decision after another on each.
 async fn closed_loop(
     process: &Process,
     streams: usize,
     count: usize,
-    base: usize,
+    offset: usize,
 ) -> Result<Figures, String> {
-    let channels = channels(process).await?;
+    let channels = connect(process).await?;
     let next = Arc::new(AtomicUsize::new(0));
-    let took = Arc::new(Mutex::new(Histogram::<u64>::new(3).map_err(|e| e.to_string())?));
-    let (cpu, began) = (process.cpu()?, Instant::now());
+    let latency_us = Arc::new(Mutex::new(Histogram::<u64>::new(3).map_err(|e| e.to_string())?));
+    let (cpu, started) = (process.cpu()?, Instant::now());
     let workers: Vec<_> = (0..streams)
         .map(|n| {
-            let (channel, next, took) = (channels[n % CONNECTIONS].clone(), next.clone(), took.clone());
+            let (channel, next, latency_us) =
+                (channels[n % CONNECTIONS].clone(), next.clone(), latency_us.clone());
             tokio::spawn(async move {
                 loop {
                     let number = next.fetch_add(1, Ordering::Relaxed);
                     if number >= count {
                         return Ok::<(), String>(());
                     }
-                    let us = decision(channel.clone(), base + number, Instant::now()).await?;
-                    took.lock().map_err(|e| e.to_string())?.record(us).map_err(|e| e.to_string())?;
+                    let us = decide(channel.clone(), offset + number, Instant::now()).await?;
+                    latency_us.lock().map_err(|e| e.to_string())?.record(us).map_err(|e| e.to_string())?;
                 }
             })
         })
@@ -197,106 +207,107 @@
     for worker in workers {
         worker.await.map_err(|e| e.to_string())??;
     }
-    let per_s = count as f64 / began.elapsed().as_secs_f64();
+    let per_s = count as f64 / started.elapsed().as_secs_f64();
     let cpu_us = (process.cpu()? - cpu) * 1e6 / count as f64;
-    let took = took.lock().map_err(|e| e.to_string())?.clone();
-    Ok(Figures { per_s, took, cpu_us })
+    let latency_us = latency_us.lock().map_err(|e| e.to_string())?.clone();
+    Ok(Figures { per_s, latency_us, cpu_us })
 }
 
-/// Decisions at a fixed rate, whatever becomes of those before.
-async fn open_loop(process: &Process, per_s: f64, count: usize, base: usize) -> Result<Figures, String> {
-    let channels = channels(process).await?;
-    let (cpu, began) = (process.cpu()?, Instant::now());
-    let mut asked = Vec::new();
+/// Starts decisions at a fixed rate, regardless of earlier ones.
+async fn open_loop(process: &Process, per_s: f64, count: usize, offset: usize) -> Result<Figures, String> {
+    let channels = connect(process).await?;
+    let (cpu, started) = (process.cpu()?, Instant::now());
+    let mut decisions = Vec::new();
     for number in 0..count {
-        let at = began + Duration::from_secs_f64(number as f64 / per_s);
+        let at = started + Duration::from_secs_f64(number as f64 / per_s);
         tokio::time::sleep_until(at).await;
-        // Counted from now: the timer's own grain is the client's, not the server's.
-        asked.push(tokio::spawn(decision(
+        // Latency counts from now, so that the timer resolution of this client is excluded.
+        decisions.push(tokio::spawn(decide(
             channels[number % CONNECTIONS].clone(),
-            base + number,
+            offset + number,
             Instant::now(),
         )));
     }
-    let mut took = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
-    for one in asked {
-        took.record(one.await.map_err(|e| e.to_string())??).map_err(|e| e.to_string())?;
+    let mut latency_us = Histogram::<u64>::new(3).map_err(|e| e.to_string())?;
+    for decision in decisions {
+        latency_us.record(decision.await.map_err(|e| e.to_string())??).map_err(|e| e.to_string())?;
     }
-    let per_s = count as f64 / began.elapsed().as_secs_f64();
-    Ok(Figures { per_s, took, cpu_us: (process.cpu()? - cpu) * 1e6 / count as f64 })
+    let per_s = count as f64 / started.elapsed().as_secs_f64();
+    Ok(Figures { per_s, latency_us, cpu_us: (process.cpu()? - cpu) * 1e6 / count as f64 })
 }
 
-/// Bytes that each open decision holds.
-async fn held(process: &Process, base: usize) -> Result<f64, String> {
-    let channels = channels(process).await?;
+/// Measures the memory per open decision, in bytes.
+async fn open_decision_bytes(process: &Process, offset: usize) -> Result<f64, String> {
+    let channels = connect(process).await?;
     let mut open = Vec::new();
-    // Once round first, so that what is kept for later use does not count.
+    // The first round fills the caches of the process, so that only the second round counts.
     for round in 0..2 {
         open.clear();
         tokio::time::sleep(Duration::from_millis(300)).await;
         let before = process.resident()?;
-        for n in 0..HELD {
+        for n in 0..OPEN_DECISIONS {
             let channel = channels[n % CONNECTIONS].clone();
             let mut stream = Stream::open(channel).await.map_err(|e| e.to_string())?;
-            stream.send(request_headers(&call(base + round * HELD + n).request(), Some(1))).await;
+            stream.send(request_headers(&call(offset + round * OPEN_DECISIONS + n).request(), Some(1))).await;
             stream.next().await.map_err(|e| format!("{e:?}"))?;
             open.push(stream);
         }
         if round == 0 {
             println!(
-                "{HELD} decisions open, first time: {:.0} bytes each",
-                (process.resident()? - before) / HELD as f64
+                "{OPEN_DECISIONS} open decisions, first round: {:.0} bytes each",
+                (process.resident()? - before) / OPEN_DECISIONS as f64
             );
         }
         if round == 1 {
-            return Ok((process.resident()? - before) / HELD as f64);
+            return Ok((process.resident()? - before) / OPEN_DECISIONS as f64);
         }
     }
     Ok(0.0)
 }
 
-/// Measures and prints.
+/// Runs the comparison and prints the results.
 pub fn run(program: &Path, count: usize) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     runtime.map_err(|e| e.to_string())?.block_on(async {
-        let node = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 40_000 + n));
+        let server = |n: u16| std::net::SocketAddr::from(([127, 0, 0, 1], 40_000 + n));
         let list = update_line(
             1,
             true,
-            &[("s-1", node(1), "active"), ("s-2", node(2), "active"), ("s-3", node(3), "active")],
+            &[("s-1", server(1), "active"), ("s-2", server(2), "active"), ("s-3", server(3), "active")],
         );
         let discovery = Discovery::shared(list);
-        let echo = Process::own(&["echo"])?;
+        let echo = Process::baseline(&["echo"])?;
         let limiter = Process::limiter(program, discovery.addr, true)?;
         tokio::time::sleep(Duration::from_millis(1500)).await;
-        let mut base = 0;
-        let mut best = f64::MAX;
+        let mut offset = 0;
+        let mut min_per_s = f64::MAX;
         for streams in LEVELS {
             let count = if streams == 1 { count / 4 } else { count };
-            println!("{streams} streams at once, {count} decisions:");
-            let bare = closed_loop(&echo, streams, count, base).await?;
-            let full = closed_loop(&limiter, streams, count, base).await?;
-            base += count;
-            println!("  {}\n  {}", bare.line("bare echo"), full.line("marldeal"));
+            println!("{streams} concurrent streams, {count} decisions:");
+            let baseline = closed_loop(&echo, streams, count, offset).await?;
+            let measured = closed_loop(&limiter, streams, count, offset).await?;
+            offset += count;
+            println!("  {}\n  {}", baseline.summary("echo"), measured.summary("marldeal"));
             println!(
                 "  ratio of throughput {:.2}, of CPU {:.2}",
-                full.per_s / bare.per_s,
-                full.cpu_us / bare.cpu_us
+                measured.per_s / baseline.per_s,
+                measured.cpu_us / baseline.cpu_us
             );
             if streams > 1 {
-                best = best.min(full.per_s);
+                min_per_s = min_per_s.min(measured.per_s);
             }
         }
-        let half = best / 2.0;
-        println!("at half load, {half:.0} decisions a second, {count} decisions:");
-        let bare = open_loop(&echo, half, count, base).await?;
-        let full = open_loop(&limiter, half, count, base).await?;
-        base += count;
-        println!("  {}\n  {}", bare.line("bare echo"), full.line("marldeal"));
-        let p99 = |f: &Figures| f.took.value_at_quantile(0.99) as f64;
-        println!("  ratio of p99 {:.2}", p99(&full) / p99(&bare));
-        let (bare, full) = (held(&echo, base).await?, held(&limiter, base).await?);
-        println!("bytes for each open decision, again: bare echo {bare:.0}, marldeal {full:.0}");
+        let half_rate = min_per_s / 2.0;
+        println!("at half load, {half_rate:.0} decisions per second, {count} decisions:");
+        let baseline = open_loop(&echo, half_rate, count, offset).await?;
+        let measured = open_loop(&limiter, half_rate, count, offset).await?;
+        offset += count;
+        println!("  {}\n  {}", baseline.summary("echo"), measured.summary("marldeal"));
+        let p99 = |f: &Figures| f.latency_us.value_at_quantile(0.99) as f64;
+        println!("  ratio of p99 {:.2}", p99(&measured) / p99(&baseline));
+        let (baseline, measured) =
+            (open_decision_bytes(&echo, offset).await?, open_decision_bytes(&limiter, offset).await?);
+        println!("bytes per open decision, second round: echo {baseline:.0}, marldeal {measured:.0}");
         Ok(())
     })
 }
--- a/crates/bench/src/world.rs
+++ b/crates/bench/src/harness.rs
@@ -1,9 +1,9 @@
-//! The engine alone, for measurements without sockets.
+//! Drives the engine alone, for measurements without sockets.
 
 use fawnhill::{Class, Condition, Effect, KeyGroup, Outcome, Plan, Request, ServerEntry, Settings};
 use marldeal_engine::{Engine, Input, Output};
 
-fn settings(rate: f64, firms: u32) -> Settings {
+fn settings(rate: f64, max_customers: u32) -> Settings {
     Settings {
         limiters: 1,
         position: 0,
@@ -36,34 +36,34 @@
         cold_ms: 10_000.0,
         fall_multiple: 3.0,
         fall_ms: 2000.0,
-        firms,
+        firms: max_customers,
     }
 }
 
-/// One engine on a clock that its requests move.
-pub struct World {
+/// An engine whose clock advances with its requests.
+pub struct EngineHarness {
     engine: Engine,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
     now: f64,
-    name: u64,
+    last_correlation_id: u64,
 }
 
-impl World {
-    /// A limiter of one plan that remembers so many firms, before one server.
-    pub fn new(rate: f64, firms: u32) -> World {
-        let mut engine = Engine::new(settings(rate, firms), 1, 0.0).expect("legal settings");
-        let mut out = Vec::new();
+impl EngineHarness {
+    /// Creates a limiter with one server and one plan, whose table holds `max_customers`.
+    pub fn new(rate: f64, max_customers: u32) -> EngineHarness {
+        let mut engine = Engine::new(settings(rate, max_customers), 1, 0.0).expect("valid settings");
+        let mut outputs = Vec::new();
         let condition = Condition::Serving;
         let entry =
             ServerEntry { server: "s".into(), zone: 0, cell: 0, condition, weight: 1.0, started: 0.0 };
-        engine.handle(0.0, Input::Servers { whole: true, entries: [entry].into() }, &mut out);
-        World { engine, out, now: 0.0, name: 0 }
+        engine.handle(0.0, Input::Servers { whole: true, entries: [entry].into() }, &mut outputs);
+        EngineHarness { engine, outputs, now: 0.0, last_correlation_id: 0 }
     }
 
-    /// One request, answered at once if it is sent on, 20 us after the one before.
+    /// Submits a request 20 us after the previous one. If it is admitted, its attempt ends at once.
     pub fn request(&mut self, customer: u64) {
         self.now += 0.02;
-        self.name += 1;
+        self.last_correlation_id += 1;
         let request = Request {
             id: 0,
             class: 0,
@@ -74,31 +74,31 @@
             spread: 1,
             first: 0,
         };
-        let correlation_id = self.name.to_be_bytes().as_slice().into();
-        let id = self.engine.handle(self.now, Input::Request { correlation_id, request }, &mut self.out);
-        let id = id.expect("a new name");
-        if self.out.iter().any(|o| matches!(o, Output::Send { .. })) {
-            self.engine.handle(self.now, Input::attempt_ended(id, 0, Outcome::Ok), &mut self.out);
+        let correlation_id = self.last_correlation_id.to_be_bytes().as_slice().into();
+        let id = self.engine.handle(self.now, Input::Request { correlation_id, request }, &mut self.outputs);
+        let id = id.expect("a new correlation id");
+        if self.outputs.iter().any(|o| matches!(o, Output::Send { .. })) {
+            self.engine.handle(self.now, Input::attempt_ended(id, 0, Outcome::Ok), &mut self.outputs);
         }
-        self.out.clear();
+        self.outputs.clear();
         if self.engine.next_due().is_some_and(|due| due <= self.now) {
-            self.engine.handle(self.now, Input::TimerExpired, &mut self.out);
-            self.out.clear();
+            self.engine.handle(self.now, Input::TimerExpired, &mut self.outputs);
+            self.outputs.clear();
         }
     }
 
-    /// Microseconds that each call takes in which the module does what is due, for so many milliseconds.
+    /// Runs all timers that expire within `duration_ms` without requests, and returns the microseconds that each call took.
     #[allow(dead_code)]
-    pub fn rest(&mut self, ms: f64) -> Vec<f64> {
-        let end = self.now + ms;
-        let mut took = Vec::new();
+    pub fn run_timers(&mut self, duration_ms: f64) -> Vec<f64> {
+        let end = self.now + duration_ms;
+        let mut call_us = Vec::new();
         while let Some(due) = self.engine.next_due().filter(|due| *due <= end) {
             self.now = self.now.max(due);
-            let began = std::time::Instant::now();
-            self.engine.handle(self.now, Input::TimerExpired, &mut self.out);
-            took.push(began.elapsed().as_secs_f64() * 1e6);
-            self.out.clear();
+            let started = std::time::Instant::now();
+            self.engine.handle(self.now, Input::TimerExpired, &mut self.outputs);
+            call_us.push(started.elapsed().as_secs_f64() * 1e6);
+            self.outputs.clear();
         }
-        took
+        call_us
     }
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,14 +1,14 @@
-//! Ratios against bare baselines, each pair in one run: `external` against a bare tonic echo of the same messages,
-//! `direct` against a bare one-thread hyper pass-through. Bounded in count; outside CI.
+//! Benchmarks that compare a limiter with a minimal baseline in the same run: `external` with a tonic server that echoes
+//! the same messages, `direct` with a single-threaded hyper proxy. The number of requests is bounded. Not part of CI.
 #![forbid(unsafe_code)]
 
+mod customers;
 mod direct;
 mod external;
-mod firms;
+mod harness;
 mod process;
+mod propagation;
 mod slopes;
-mod told;
-mod world;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -22,61 +22,61 @@
     #[arg(long, default_value = "target/release/marldeal")]
     program: PathBuf,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Decisions a second, latency and bytes for each open decision.
+enum Command {
+    /// Measures decisions per second, latency and memory per open decision of the external processor.
     External {
-        /// Decisions at each level.
+        /// Number of decisions at each level of concurrency.
         #[arg(long, default_value_t = 20_000)]
         count: usize,
     },
-    /// CPU for each request.
+    /// Measures CPU time per request in direct mode.
     Direct {
-        /// Requests of each program.
+        /// Number of requests to each program.
         #[arg(long, default_value_t = 20_000)]
         count: usize,
     },
-    /// Many firms and floods of names: latency, CPU, memory, and what honest firms get.
-    Firms(firms::Options),
-    /// What one limiter costs by servers, tenants, peers and open requests: written as a file of slopes.
+    /// Measures latency, CPU and memory with many customers, and the service of known customers under a flood of unknown ones.
+    Firms(customers::Options),
+    /// Measures the cost of one limiter by servers, tenants, peers and open requests, and writes a slope file.
     Slopes(slopes::Options),
-    /// How long until the last of many limiters has a change of the list: written as a file of slopes.
-    Told(told::Options),
-    /// How long a pass takes in which a million firms are forgotten, without sockets.
+    /// Measures how long a server list change takes to reach the last of many limiters, and writes a slope file.
+    Told(propagation::Options),
+    /// Measures the eviction of a million customers from the engine's table, without sockets.
     Passes,
-    /// The baseline of `external`; started by it.
+    /// Baseline of `external`, which starts it.
     #[command(hide = true)]
     Echo,
-    /// The baseline of `direct`; started by it.
+    /// Baseline of `direct`, which starts it.
     #[command(hide = true)]
     Pass {
-        /// Where to pass requests on.
+        /// Address of the server that requests are forwarded to.
         node: std::net::SocketAddr,
     },
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let done = match arguments.what {
-        What::External { count } => external::run(&arguments.program, count),
-        What::Direct { count } => direct::run(&arguments.program, count),
-        What::Firms(options) => firms::run(&arguments.program, &options),
-        What::Slopes(options) => slopes::run(&arguments.program, &options),
-        What::Told(options) => told::run(&arguments.program, &options),
-        What::Passes => {
-            firms::passes();
+    let result = match arguments.command {
+        Command::External { count } => external::run(&arguments.program, count),
+        Command::Direct { count } => direct::run(&arguments.program, count),
+        Command::Firms(options) => customers::run(&arguments.program, &options),
+        Command::Slopes(options) => slopes::run(&arguments.program, &options),
+        Command::Told(options) => propagation::run(&arguments.program, &options),
+        Command::Passes => {
+            customers::run_passes();
             Ok(())
         }
-        What::Echo => external::echo(),
-        What::Pass { node } => direct::pass(node),
+        Command::Echo => external::run_echo(),
+        Command::Pass { node } => direct::run_proxy(node),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("marldeal-bench: {why}");
+        Err(error) => {
+            eprintln!("marldeal-bench: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,4 +1,4 @@
-//! A program under measurement.
+//! Processes under measurement.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -7,33 +7,33 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Clock ticks a second in `/proc/PID/stat` (USER_HZ; proc(5)): 100 on every Linux that shows it to programs.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in `/proc/PID/stat` (USER_HZ, see proc(5)). User space always sees 100 on Linux.
+const TICKS_PER_S: f64 = 100.0;
 
-/// Processes started so far: each has files of its own.
-static STARTED: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
+/// Number of the next configuration file; keeps the file names of processes distinct.
+static NEXT_FILE: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
 
-/// How a limiter under measurement is set up.
+/// Configuration of a limiter under measurement.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Its external processor is asked, not its direct front.
+    /// Uses the external processor instead of direct mode.
     pub external: bool,
-    /// The operators' listener is on, and its address is the process's.
+    /// Enables the management listener; its address becomes the address of the process.
     pub managed: bool,
-    /// One plan, in the platform's form.
+    /// The only plan, in the platform's JSON format.
     pub plan: String,
     /// `limits.memory_mb`.
     pub memory_mb: f64,
     /// `limits.sockets`.
     pub sockets: u32,
-    /// Limiters of the tier; it is the first of them.
+    /// Number of limiters in the tier, of which this one is the first.
     pub limiters: u32,
-    /// Where datagrams to all of them go; nowhere: they are not told anything.
+    /// Address that receives the datagrams to all peers; `None` sends none.
     pub peers: Option<SocketAddr>,
 }
 
 impl Default for Setup {
-    /// Without quotas, alone.
+    /// A single limiter without quotas.
     fn default() -> Setup {
         Setup {
             external: false,
@@ -47,11 +47,11 @@
     }
 }
 
-/// A child that ends with its owner.
+/// A child process that is killed when this value is dropped.
 pub struct Process {
     child: Child,
     files: Vec<PathBuf>,
-    /// Where it listens, by the word that its log has before the address.
+    /// The address on which it listens, as its log reports it.
     pub addr: SocketAddr,
 }
 
@@ -64,54 +64,55 @@
 }
 
 impl Process {
-    /// Starts a command and waits until its log (standard error) has a line with `word` and an address.
-    pub fn start(mut command: Command, word: &'static str, files: Vec<PathBuf>) -> Result<Process, String> {
+    /// Starts a command and waits until its log (standard error) has a line with `prefix` followed by an address.
+    pub fn start(mut command: Command, prefix: &'static str, files: Vec<PathBuf>) -> Result<Process, String> {
         let child = command.stderr(Stdio::piped()).spawn().map_err(|e| format!("{command:?}: {e}"))?;
         let mut process = Process { child, files, addr: SocketAddr::from(([127, 0, 0, 1], 0)) };
-        let log = process.child.stderr.take().ok_or("no log")?;
-        let (told, heard) = mpsc::channel();
+        let log = process.child.stderr.take().ok_or("standard error is not captured")?;
+        let (sender, lines) = mpsc::channel();
         std::thread::spawn(move || {
             for text in BufReader::new(log).lines().map_while(Result::ok) {
-                let _ = told.send(text);
+                let _ = sender.send(text);
             }
         });
         let mut seen = String::new();
         loop {
-            let text =
-                heard.recv_timeout(Duration::from_secs(15)).map_err(|_| format!("no start: {seen}"))?;
-            if let Some((_, at)) = text.split_once(word) {
-                process.addr = at.trim().parse().map_err(|_| format!("no address: {text}"))?;
+            let text = lines
+                .recv_timeout(Duration::from_secs(15))
+                .map_err(|_| format!("the process did not start: {seen}"))?;
+            if let Some((_, at)) = text.split_once(prefix) {
+                process.addr =
+                    at.trim().parse().map_err(|_| format!("no address in the log line: {text}"))?;
                 return Ok(process);
             }
             seen.push_str(&text);
         }
     }
 
-    /// This program with a hidden command.
-    pub fn own(arguments: &[&str]) -> Result<Process, String> {
+    /// Starts this program with a hidden command.
+    pub fn baseline(arguments: &[&str]) -> Result<Process, String> {
         let mut command = Command::new(std::env::current_exe().map_err(|e| e.to_string())?);
         command.args(arguments);
         Process::start(command, "serves on ", Vec::new())
     }
 
-    /// A limiter without quotas that takes all time, before nodes at these addresses. With `external` the address is
-    /// the external processor's.
+    /// Starts a limiter without quotas. With `external`, its address is that of the external processor.
     pub fn limiter(program: &Path, discovery: SocketAddr, external: bool) -> Result<Process, String> {
         Process::configured(program, discovery, &Setup { external, ..Setup::default() })
     }
 
-    /// A limiter that holds one plan, with so much memory.
+    /// Starts a limiter with one plan and a memory limit.
     pub fn limiter_with(
         program: &Path,
         discovery: SocketAddr,
         plan: &str,
-        mb: f64,
+        limit_mb: f64,
     ) -> Result<Process, String> {
-        let setup = Setup { plan: plan.to_string(), memory_mb: mb, ..Setup::default() };
+        let setup = Setup { plan: plan.to_string(), memory_mb: limit_mb, ..Setup::default() };
         Process::configured(program, discovery, &setup)
     }
 
-    /// A limiter that is set up so, before nodes of this discovery.
+    /// Starts a limiter with the given setup.
     pub fn configured(program: &Path, discovery: SocketAddr, setup: &Setup) -> Result<Process, String> {
         let Setup { external, managed, plan, memory_mb, sockets, limiters, peers } = setup;
         let management = if *managed { r#""mgmt":"127.0.0.1:0","# } else { "" };
@@ -129,7 +130,7 @@
             "Domain":{{"MailPerS":60}}}}}}"#
         );
         let path = |kind: &str| {
-            let number = STARTED.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+            let number = NEXT_FILE.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             std::env::temp_dir().join(format!("marldeal-bench-{}-{number}.{kind}", std::process::id()))
         };
         let write = |path: &Path, text: &str| std::fs::write(path, text).map_err(|e| e.to_string());
@@ -150,37 +151,39 @@
             command.arg("--extensions").arg(&extensions);
             files.push(extensions);
         }
-        let word = match (external, managed) {
+        let prefix = match (external, managed) {
             (true, _) => "external processor on ",
             (_, true) => "management on ",
             _ => "serves on ",
         };
-        Process::start(command, word, files)
+        Process::start(command, prefix, files)
     }
 
-    /// CPU used so far, in seconds: of all its threads by the scheduler's own count, in nanoseconds, where the kernel
-    /// tells (proc(5), `schedstat`), else in ticks.
+    /// Returns the CPU time used so far, in seconds. Uses the scheduler's count of all threads in nanoseconds if the kernel
+    /// reports it (proc(5), `schedstat`), and clock ticks otherwise.
     pub fn cpu(&self) -> Result<f64, String> {
         if let Some(ns) = self.scheduled_ns() {
             return Ok(ns / 1e9);
         }
         let text = self.proc("stat")?;
-        // The name in brackets may hold spaces; fields are counted behind it (proc(5): utime 14, stime 15).
+        // The command name in parentheses may contain spaces, so fields are counted after it (proc(5): utime is field 14,
+        // stime field 15).
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).ok_or("no CPU figure");
-        Ok((ticks(11)? + ticks(12)?) / TICKS)
+        Ok((ticks(11)? + ticks(12)?) / TICKS_PER_S)
     }
 
+    /// Returns the CPU time of all threads in nanoseconds, `None` if the kernel does not report it.
     fn scheduled_ns(&self) -> Option<f64> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).ok()?;
-        let of = |task: std::io::Result<std::fs::DirEntry>| -> Option<f64> {
+        let task_ns = |task: std::io::Result<std::fs::DirEntry>| -> Option<f64> {
             let text = std::fs::read_to_string(task.ok()?.path().join("schedstat")).ok()?;
             text.split_whitespace().next()?.parse().ok()
         };
-        tasks.map(of).sum()
+        tasks.map(task_ns).sum()
     }
 
-    /// Resident memory, in bytes.
+    /// Returns the resident memory, in bytes.
     pub fn resident(&self) -> Result<f64, String> {
         let text = self.proc("status")?;
         let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).ok_or("no VmRSS")?;
@@ -188,6 +191,7 @@
         Ok(kb * 1024.0)
     }
 
+    /// Reads a file of the process in `/proc`.
     fn proc(&self, file: &str) -> Result<String, String> {
         let path = format!("/proc/{}/{file}", self.child.id());
         std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,5 +1,6 @@
-//! What one limiter on one core costs, by servers listed, tenants, peers and open requests: points for
-//! `marldeal capacity`. Each figure at three sizes at least; times are differences to the node asked without a limiter.
+//! Measures the cost of one limiter on one core by servers in the list, tenants, peers and open requests, for
+//! `marldeal capacity`. Each figure is measured at three sizes or more. Times are relative to requests that go directly to
+//! the server.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -13,50 +14,51 @@
 use rand::RngExt;
 use tokio::net::TcpListener;
 
-use crate::direct::node;
-use crate::firms::{flood, open_loop, Connection, Tally};
+use crate::customers::{flood, open_loop, Connection, Tally};
+use crate::direct::serve;
 use crate::process::{Process, Setup};
 
 #[derive(Args)]
 pub struct Options {
-    /// Where the slopes are written.
+    /// File for the slopes.
     #[arg(long, value_name = "FILE")]
     out: PathBuf,
-    /// Servers listed.
+    /// Numbers of servers in the list.
     #[arg(long, value_delimiter = ',', default_values_t = [30, 480, 1600, 4800])]
     servers: Vec<u32>,
-    /// Tenants seen.
+    /// Numbers of tenants.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 3200, 32_000])]
     tenants: Vec<u32>,
-    /// Limiters of the tier.
+    /// Numbers of limiters in the tier.
     #[arg(long, value_delimiter = ',', default_values_t = [3, 100, 520])]
     peers: Vec<u32>,
-    /// Requests open at once.
+    /// Numbers of concurrently open requests.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 400, 1600])]
     open: Vec<u32>,
-    /// Requests a second.
+    /// Requests per second.
     #[arg(long, default_value_t = 1000.0)]
     rate: f64,
-    /// Seconds of each measurement.
+    /// Duration of each measurement, in seconds.
     #[arg(long, default_value_t = 6)]
     seconds: u64,
 }
 
-/// Changes of the list a second, where it changes.
+/// Changes of the server list per second, in measurements with changes.
 const CHANGES_PER_S: u32 = 10;
-/// Until a limiter that has just started has its list and is warm.
-const SETTLE: Duration = Duration::from_millis(1500);
-/// Servers for each limiter of a tier, as the size that is planned for has them.
-const SERVERS_EACH: f64 = 9.23;
+/// Time after which a started limiter has received its server list and is warm.
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
+/// Servers per limiter in the planned size.
+const SERVERS_PER_LIMITER: f64 = 9.23;
 const SEED: u64 = 1;
 
-/// Figures while they come in.
-struct Points {
+/// The series measured so far.
+struct Measurements {
     run: String,
     series: Vec<Series>,
 }
 
-impl Points {
+impl Measurements {
+    /// Adds a point to the series of a figure, and prints it.
     fn add(&mut self, figure: &str, along: &str, size: f64, value: f64) {
         println!("{figure} at {size} {along}: {value:.4}");
         match self.series.iter_mut().find(|s| (s.figure.as_str(), s.along.as_str()) == (figure, along)) {
@@ -72,104 +74,109 @@
     }
 }
 
-fn list(servers: u32, addr: SocketAddr) -> String {
+/// Returns the full server list.
+fn full_list(servers: u32, addr: SocketAddr) -> String {
     let ids: Vec<String> = (0..servers).map(|n| format!("s-{n:08x}")).collect();
-    let lines: Vec<(&str, SocketAddr, &str)> = ids.iter().map(|id| (id.as_str(), addr, "active")).collect();
-    update_line(1, true, &lines)
+    let entries: Vec<(&str, SocketAddr, &str)> = ids.iter().map(|id| (id.as_str(), addr, "active")).collect();
+    update_line(1, true, &entries)
 }
 
-fn change(version: u64, server: u32, addr: SocketAddr, state: &str) -> String {
+/// Returns a list change that sets the state of one server.
+fn list_change(version: u64, server: u32, addr: SocketAddr, state: &str) -> String {
     update_line(version, false, &[(&format!("s-{server:08x}"), addr, state)])
 }
 
-/// CPU of a process over so long, as a share of a core.
-async fn idle(limiter: &Process, length: Duration) -> Result<f64, String> {
+/// Measures the CPU use of a process without requests, as a share of a core.
+async fn idle_share(limiter: &Process, duration: Duration) -> Result<f64, String> {
     let cpu = limiter.cpu()?;
-    tokio::time::sleep(length).await;
-    Ok((limiter.cpu()? - cpu) / length.as_secs_f64())
+    tokio::time::sleep(duration).await;
+    Ok((limiter.cpu()? - cpu) / duration.as_secs_f64())
 }
 
-/// Many tenants ask; CPU microseconds a request above what the limiter takes when idle.
-async fn ask(
+/// Sends requests of random tenants. Returns the counts and the CPU microseconds per request, less the idle CPU.
+async fn load(
     limiter: &Process,
     options: &Options,
     tenants: u64,
-    base: u64,
-    idle: f64,
+    first_correlation_id: u64,
+    idle_share: f64,
 ) -> Result<(Arc<Tally>, f64), String> {
-    let (cpu, length) = (limiter.cpu()?, Duration::from_secs(options.seconds));
-    let drawn = move |rng: &mut rand::rngs::SmallRng| rng.random_range(0..tenants);
-    let tally = open_loop(limiter.addr, options.rate, length, SEED, base, drawn).await?;
-    let used = limiter.cpu()? - cpu - idle * length.as_secs_f64();
-    Ok((tally.clone(), used * 1e6 / tally.all() as f64))
+    let (cpu, duration) = (limiter.cpu()?, Duration::from_secs(options.seconds));
+    let random_tenant = move |rng: &mut rand::rngs::SmallRng| rng.random_range(0..tenants);
+    let tally =
+        open_loop(limiter.addr, options.rate, duration, SEED, first_correlation_id, random_tenant).await?;
+    let used = limiter.cpu()? - cpu - idle_share * duration.as_secs_f64();
+    Ok((tally.clone(), used * 1e6 / tally.total() as f64))
 }
 
-async fn by_servers(
+/// Measures the figures that depend on the number of servers in the list.
+async fn measure_by_servers(
     program: &Path,
     options: &Options,
-    live: SocketAddr,
-    points: &mut Points,
+    server: SocketAddr,
+    measurements: &mut Measurements,
 ) -> Result<(), String> {
-    let length = Duration::from_secs(options.seconds);
-    let drawn = |rng: &mut rand::rngs::SmallRng| rng.random_range(0..100);
-    let bare = open_loop(live, options.rate, length, SEED, 1 << 60, drawn).await?;
-    // A port that nobody listens on: connections are refused at once.
-    let gone =
+    let duration = Duration::from_secs(options.seconds);
+    let random_tenant = |rng: &mut rand::rngs::SmallRng| rng.random_range(0..100);
+    let direct = open_loop(server, options.rate, duration, SEED, 1 << 60, random_tenant).await?;
+    // A port without a listener: connections to it are refused at once.
+    let unreachable =
         std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
     for servers in &options.servers {
         let size = f64::from(*servers);
-        let tier = Setup {
-            limiters: (size / SERVERS_EACH).round().max(1.0) as u32,
+        let setup = Setup {
+            limiters: (size / SERVERS_PER_LIMITER).round().max(1.0) as u32,
             memory_mb: 256.0,
             sockets: 8192,
             ..Setup::default()
         };
-        let text = list(*servers, live);
-        points.add("list_kb", "servers", size, text.len() as f64 / 1000.0);
-        points.add("change_bytes", "servers", size, change(2, 0, live, "draining").len() as f64);
+        let text = full_list(*servers, server);
+        measurements.add("list_kb", "servers", size, text.len() as f64 / 1000.0);
+        measurements.add("change_bytes", "servers", size, list_change(2, 0, server, "draining").len() as f64);
         let discovery = Discovery::shared(text);
-        let limiter = Process::configured(program, discovery.addr, &tier)?;
-        tokio::time::sleep(SETTLE).await;
-        points.add("memory_mb", "servers", size, limiter.resident()? / 1e6);
-        let quiet = idle(&limiter, length).await?;
-        points.add("idle_percent", "servers", size, 100.0 * quiet);
-        let (tally, us) = ask(&limiter, options, 100, 1 << 48, quiet).await?;
-        points.add("cpu_us_a_request", "servers", size, us);
+        let limiter = Process::configured(program, discovery.addr, &setup)?;
+        tokio::time::sleep(SETTLE_TIME).await;
+        measurements.add("memory_mb", "servers", size, limiter.resident()? / 1e6);
+        let idle = idle_share(&limiter, duration).await?;
+        measurements.add("idle_percent", "servers", size, 100.0 * idle);
+        let (tally, us) = load(&limiter, options, 100, 1 << 48, idle).await?;
+        measurements.add("cpu_us_a_request", "servers", size, us);
         for (name, quantile) in [("added_ms_p50", 0.5), ("added_ms_p99", 0.99), ("added_ms_p999", 0.999)] {
-            points.add(name, "servers", size, tally.ms(quantile) - bare.ms(quantile));
+            measurements.add(name, "servers", size, tally.latency_ms(quantile) - direct.latency_ms(quantile));
         }
         let changing = async {
             for n in 0..2 * options.seconds as u32 * CHANGES_PER_S {
                 tokio::time::sleep(Duration::from_secs(1) / CHANGES_PER_S).await;
                 let state = if n % 2 == 0 { "draining" } else { "active" };
-                discovery.push(&change(u64::from(n) + 2, n / 2 % servers, live, state));
+                discovery.push(&list_change(u64::from(n) + 2, n / 2 % servers, server, state));
             }
         };
         let measured = async {
-            let busy = idle(&limiter, length).await?;
-            let (tally, us) = ask(&limiter, options, 100, 2 << 48, busy).await?;
-            Ok::<_, String>((busy, us, tally.ms(0.99)))
+            let changing_idle = idle_share(&limiter, duration).await?;
+            let (tally, us) = load(&limiter, options, 100, 2 << 48, changing_idle).await?;
+            Ok::<_, String>((changing_idle, us, tally.latency_ms(0.99)))
         };
         let (_, measured) = tokio::join!(changing, measured);
-        let (busy, us, p99) = measured?;
-        points.add("changing_idle_percent", "servers", size, 100.0 * busy);
-        points.add("changing_cpu_us_a_request", "servers", size, us);
-        points.add("changing_added_ms_p99", "servers", size, p99 - bare.ms(0.99));
+        let (changing_idle, us, p99) = measured?;
+        measurements.add("changing_idle_percent", "servers", size, 100.0 * changing_idle);
+        measurements.add("changing_cpu_us_a_request", "servers", size, us);
+        measurements.add("changing_added_ms_p99", "servers", size, p99 - direct.latency_ms(0.99));
         drop(limiter);
-        let discovery = Discovery::shared(list(*servers, gone));
-        let limiter = Process::configured(program, discovery.addr, &tier)?;
-        tokio::time::sleep(SETTLE).await;
-        let (_, us) = ask(&limiter, options, 100, 3 << 48, quiet).await?;
-        points.add("unreachable_cpu_us_a_request", "servers", size, us);
+        let discovery = Discovery::shared(full_list(*servers, unreachable));
+        let limiter = Process::configured(program, discovery.addr, &setup)?;
+        tokio::time::sleep(SETTLE_TIME).await;
+        let (_, us) = load(&limiter, options, 100, 3 << 48, idle).await?;
+        measurements.add("unreachable_cpu_us_a_request", "servers", size, us);
     }
     Ok(())
 }
 
-async fn by_tenants(
+/// Measures the figures that depend on the number of tenants.
+async fn measure_by_tenants(
     program: &Path,
     options: &Options,
     discovery: SocketAddr,
-    points: &mut Points,
+    measurements: &mut Measurements,
 ) -> Result<(), String> {
     for tenants in &options.tenants {
         let size = f64::from(*tenants);
@@ -179,87 +186,98 @@
             ..Setup::default()
         };
         let limiter = Process::configured(program, discovery, &setup)?;
-        tokio::time::sleep(SETTLE).await;
-        let all = u64::from(*tenants);
-        let named = move |number: u64| (number < all).then_some(number);
-        flood(limiter.addr, 32, 1 << 50, Arc::new(AtomicBool::new(false)), named).await?;
-        points.add("memory_mb", "tenants", size, limiter.resident()? / 1e6);
-        let quiet = idle(&limiter, Duration::from_secs(2)).await?;
-        let (_, us) = ask(&limiter, options, all, 2 << 50, quiet).await?;
-        points.add("cpu_us_a_request", "tenants", size, us);
-        points.add("idle_percent", "tenants", size, 100.0 * quiet);
+        tokio::time::sleep(SETTLE_TIME).await;
+        let count = u64::from(*tenants);
+        let next_tenant = move |number: u64| (number < count).then_some(number);
+        flood(limiter.addr, 32, 1 << 50, Arc::new(AtomicBool::new(false)), next_tenant).await?;
+        measurements.add("memory_mb", "tenants", size, limiter.resident()? / 1e6);
+        let idle = idle_share(&limiter, Duration::from_secs(2)).await?;
+        let (_, us) = load(&limiter, options, count, 2 << 50, idle).await?;
+        measurements.add("cpu_us_a_request", "tenants", size, us);
+        measurements.add("idle_percent", "tenants", size, 100.0 * idle);
     }
     Ok(())
 }
 
-async fn by_peers(
+/// Measures the figures that depend on the number of peers.
+async fn measure_by_peers(
     program: &Path,
     options: &Options,
     discovery: SocketAddr,
-    points: &mut Points,
+    measurements: &mut Measurements,
 ) -> Result<(), String> {
-    // Takes datagrams in and answers none.
+    // Receives datagrams and sends none.
     let sink = UdpSocket::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
     let sink = sink.local_addr().map_err(|e| e.to_string())?;
     for peers in &options.peers {
         let size = f64::from(*peers);
         let setup = Setup { limiters: *peers, peers: Some(sink), memory_mb: 256.0, ..Setup::default() };
         let limiter = Process::configured(program, discovery, &setup)?;
-        tokio::time::sleep(SETTLE).await;
-        points.add("memory_mb", "peers", size, limiter.resident()? / 1e6);
-        points.add("idle_percent", "peers", size, 100.0 * idle(&limiter, Duration::from_secs(4)).await?);
+        tokio::time::sleep(SETTLE_TIME).await;
+        measurements.add("memory_mb", "peers", size, limiter.resident()? / 1e6);
+        measurements.add(
+            "idle_percent",
+            "peers",
+            size,
+            100.0 * idle_share(&limiter, Duration::from_secs(4)).await?,
+        );
     }
     Ok(())
 }
 
-async fn by_open(program: &Path, options: &Options, points: &mut Points) -> Result<(), String> {
-    // A node that accepts and says nothing.
-    let mute = std::net::TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
-    let addr = mute.local_addr().map_err(|e| e.to_string())?;
+/// Measures the figures that depend on the number of open requests.
+async fn measure_by_open(
+    program: &Path,
+    options: &Options,
+    measurements: &mut Measurements,
+) -> Result<(), String> {
+    // A server that accepts connections and never answers.
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
+    let addr = listener.local_addr().map_err(|e| e.to_string())?;
     std::thread::spawn(move || {
-        let held: Vec<_> = mute.incoming().map_while(Result::ok).take(20_000).collect();
-        drop(held);
+        let connections: Vec<_> = listener.incoming().map_while(Result::ok).take(20_000).collect();
+        drop(connections);
     });
     for open in &options.open {
         let setup = Setup { memory_mb: 1024.0, sockets: 16_384, ..Setup::default() };
-        let discovery = Discovery::shared(list(30, addr));
+        let discovery = Discovery::shared(full_list(30, addr));
         let limiter = Process::configured(program, discovery.addr, &setup)?;
-        tokio::time::sleep(SETTLE).await;
-        let at = limiter.addr;
-        let asking: Vec<_> = (0..*open)
+        tokio::time::sleep(SETTLE_TIME).await;
+        let limiter_addr = limiter.addr;
+        let requests: Vec<_> = (0..*open)
             .map(|n| {
                 tokio::spawn(async move {
-                    if let Ok(mut connection) = Connection::open(at).await {
-                        let _ = connection.ask(u64::from(n % 100), (7 << 52) + u64::from(n)).await;
+                    if let Ok(mut connection) = Connection::open(limiter_addr).await {
+                        let _ = connection.get(u64::from(n % 100), (7 << 52) + u64::from(n)).await;
                     }
                 })
             })
             .collect();
         tokio::time::sleep(Duration::from_secs(2)).await;
-        points.add("memory_mb", "open", f64::from(*open), limiter.resident()? / 1e6);
-        asking.iter().for_each(tokio::task::JoinHandle::abort);
+        measurements.add("memory_mb", "open", f64::from(*open), limiter.resident()? / 1e6);
+        requests.iter().for_each(tokio::task::JoinHandle::abort);
     }
     Ok(())
 }
 
-/// Measures, prints and writes.
+/// Measures and prints all figures and writes the slopes.
 ///
 /// # Errors
-/// One plain line.
+/// Describes the failure in one line.
 pub fn run(program: &Path, options: &Options) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let words = std::env::args().skip(1).collect::<Vec<_>>().join(" ");
-    let mut points = Points { run: format!("marldeal-bench {words}"), series: Vec::new() };
+    let arguments = std::env::args().skip(1).collect::<Vec<_>>().join(" ");
+    let mut measurements = Measurements { run: format!("marldeal-bench {arguments}"), series: Vec::new() };
     runtime.map_err(|e| e.to_string())?.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| e.to_string())?;
-        let live = listener.local_addr().map_err(|e| e.to_string())?;
-        tokio::spawn(node(listener));
-        by_servers(program, options, live, &mut points).await?;
-        let few = Discovery::shared(list(30, live));
-        by_tenants(program, options, few.addr, &mut points).await?;
-        by_peers(program, options, few.addr, &mut points).await?;
-        by_open(program, options, &mut points).await
+        let server = listener.local_addr().map_err(|e| e.to_string())?;
+        tokio::spawn(serve(listener));
+        measure_by_servers(program, options, server, &mut measurements).await?;
+        let discovery = Discovery::shared(full_list(30, server));
+        measure_by_tenants(program, options, discovery.addr, &mut measurements).await?;
+        measure_by_peers(program, options, discovery.addr, &mut measurements).await?;
+        measure_by_open(program, options, &mut measurements).await
     })?;
-    let slopes = Slopes { series: points.series };
+    let slopes = Slopes { series: measurements.series };
     std::fs::write(&options.out, slopes.to_toml()).map_err(|e| format!("{}: {e}", options.out.display()))
 }
