--- a/crates/soak/shim/failing_calls.c
+++ b/crates/soak/shim/failing_calls.c
@@ -1,17 +1,17 @@
 /*
- * Makes system calls of one process fail in ways that Linux documents, for tests of marldeal. Loaded with LD_PRELOAD by the
- * test that starts the process; nothing else is touched.
+ * Makes system calls of one process fail in ways that Linux documents, for tests of marldeal. A test loads it with LD_PRELOAD
+ * into the process that it starts; no other process is affected.
  *
- * Each variable holds a chance in thousandths (0 to 1000):
+ * Each of these variables holds a probability in thousandths (0 to 1000):
  *   SHIM_SHORT_READ, SHIM_SHORT_WRITE   fewer bytes than asked for
  *   SHIM_EINTR                          reads, writes, accepts and waits are interrupted
- *   SHIM_ACCEPT                         accept fails: ECONNABORTED, ENFILE, ENOBUFS, EMFILE in turn
- *   SHIM_CONNECT                        connect fails: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS in turn
- *   SHIM_BROKEN                         a read ends with ETIMEDOUT or EHOSTUNREACH, once a connection
- * SHIM_SOCKET_FAILS and SHIM_BIND_FAILS  so many first calls fail (ENFILE, ENOBUFS)
- * SHIM_OPEN_FAILS, SHIM_OPEN_PATH        opening that path fails (ENFILE) while the file SHIM_OPEN_WHILE exists
- * SHIM_CLOCK_STEP_MS                     the wall clock is off by so much; the monotonic one is not
- * SHIM_SEED                              draws
+ *   SHIM_ACCEPT                         accept fails with ECONNABORTED, ENFILE, ENOBUFS and EMFILE in turn
+ *   SHIM_CONNECT                        connect fails with EADDRNOTAVAIL, ENETUNREACH and ENOBUFS in turn
+ *   SHIM_BROKEN                         a read fails with ETIMEDOUT or EHOSTUNREACH, once in a connection
+ * SHIM_SOCKET_FAILS and SHIM_BIND_FAILS  number of first calls that fail (ENFILE, ENOBUFS)
+ * SHIM_OPEN_PATH, SHIM_OPEN_WHILE        opening the first path fails (ENFILE) while the second file exists
+ * SHIM_CLOCK_STEP_MS                     offset of the wall clock; the monotonic clock is exact
+ * SHIM_SEED                              seed of the random choices
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -82,7 +82,7 @@
     return -1;
 }
 
-/* The C library's own function of that name, as `real`. */
+/* Defines `real` as the C library's function of that name. */
 #define REAL(name) \
     static __typeof__(name) *real; \
     if (!real) real = (__typeof__(name) *)dlsym(RTLD_NEXT, #name)
--- a/crates/soak/src/agent.rs
+++ b/crates/soak/src/agent.rs
@@ -1,4 +1,4 @@
-//! The discovery agents: two for each limiter, since a new configuration names the other one.
+//! Discovery agents. Each limiter has two, since a reload changes its configuration from one to the other.
 
 use std::io;
 use std::rc::Rc;
@@ -11,14 +11,15 @@
 use crate::history::Limiter;
 use crate::http::{self, Buffer};
 
-/// Between two empty lines.
+/// Interval between empty lines on an open watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2000);
-/// Share of calls that an agent agent is away swallows for good; it answers the others when it is back.
+/// Share of watch requests that a silent agent never answers; it answers the others when it is no longer
+/// silent.
 const IGNORED_WATCH_SHARE: f64 = 0.5;
-/// Share of first answers that are the whole list, whatever was asked for.
+/// Share of first answers that hold the full list whatever was asked for.
 const FULL_LIST_SHARE: f64 = 0.5;
 
-/// Serves one agent of a limiter, for ever.
+/// Serves one agent of a limiter until the end of the run.
 pub async fn serve(environment: Rc<Environment>, limiter: Limiter, agent: usize, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -29,7 +30,7 @@
     }
 }
 
-/// The limiter's configuration names another agent, or this one is away.
+/// Whether this agent is silent, or the limiter's configuration names the other one.
 fn is_silent(environment: &Environment, limiter: Limiter, agent: usize) -> bool {
     let entry = &environment.limiters[limiter];
     entry.agent_silent.get() || entry.active_agent.get() != agent
@@ -62,7 +63,7 @@
     let mut sent = environment.version.get();
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     write_chunk(&mut stream, &environment.server_list(after)).await?;
-    // It has been told by a new watch: what was mute is past.
+    // The limiter is notified by a new watch, so earlier muted watches no longer matter.
     entry.muted_until.set(0.0);
     environment.notify(limiter);
     loop {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: they ask, wait, leave early, rest on their connections, ask again where one ended under them, and some misbehave.
+//! Clients: they send requests, wait, disconnect early, keep idle connections, ask again when an idle
+//! connection was closed under them, and some send requests slowly or incompletely.
 
 use std::io;
 use std::rc::Rc;
@@ -12,14 +13,18 @@
 use crate::http::{self, Buffer};
 use crate::server::attempt_in_body;
 
-/// Mean time between one answer and the next request of a client.
+/// Mean time between an answer and the client's next request.
 const MEAN_THINK_TIME_MS: Millis = 350.0;
-/// Shares of requests: clients leave before the answer, write slowly, have hardly any time; and clients rest for long.
+/// Share of requests whose client disconnects before the answer.
 const DISCONNECT_SHARE: f64 = 0.12;
+/// Share of requests that are written in two pieces with a pause between.
 const SLOW_WRITE_SHARE: f64 = 0.06;
+/// Share of requests whose client waits only a short time.
 const SHORT_BUDGET_SHARE: f64 = 0.04;
+/// Share of pauses between requests that are long.
 const LONG_PAUSE_SHARE: f64 = 0.03;
-/// Half requests are sent so often, and waited for so long.
+/// Interval between incomplete requests of a client, at least and at most, and how long the end of one is
+/// waited for.
 const MIN_INCOMPLETE_INTERVAL_MS: Millis = 2000.0;
 const MAX_INCOMPLETE_INTERVAL_MS: Millis = 9000.0;
 const INCOMPLETE_REQUEST_WAIT: Duration = Duration::from_millis(8000);
@@ -32,7 +37,7 @@
 struct Connection {
     stream: TcpStream,
     buffer: Buffer,
-    /// Requests that answer on it.
+    /// Requests sent on it.
     request_count: u32,
     process: u32,
 }
@@ -45,7 +50,7 @@
     Broken(Request),
 }
 
-/// One client, that asks as long as clients ask.
+/// Sends requests until clients are done.
 pub async fn run_client(environment: Rc<Environment>, limiter: Limiter) {
     let mut connection: Option<Connection> = None;
     while !environment.clients_done.get() {
@@ -69,7 +74,7 @@
             ExchangeEnd::Broken(_) => {}
         }
     }
-    // What is still open rests until the end of the run: the limiter ends it.
+    // A connection that is still open stays idle until the limiter ends it.
     if let Some(mut open) = connection {
         let _ = http::read_message(&mut open.stream, &mut open.buffer).await;
     }
@@ -94,7 +99,7 @@
     Some(Connection { stream, buffer: Buffer::default(), request_count: 0, process })
 }
 
-/// A request that crossed the end of a resting connection is sent once more on a new one.
+/// Sends a request once more on a new connection after the limiter closed the idle connection it was sent on.
 async fn ask_again(environment: &Environment, limiter: Limiter, request: Request) {
     let anew = environment.number();
     environment.record(What::AskedAnew { request, anew });
@@ -126,7 +131,7 @@
     open.request_count += 1;
     let kept = open.request_count > 1;
     if write(environment, &mut open.stream, &text).await.is_err() {
-        // It was not written whole: nothing is owed.
+        // The request was not written whole, so no answer is due.
         return ExchangeEnd::Broken(request);
     }
     environment.record(What::Asked { request, limiter, effect, budget_ms, kept, process: open.process });
@@ -157,7 +162,8 @@
     }
 }
 
-/// A request in the platform's form. Half of them ask under a quota, for which limiters ask one another.
+/// Returns a request in the platform's form. Half of the requests count against a quota, about which limiters
+/// exchange messages.
 fn request_text(
     environment: &Environment,
     limiter: Limiter,
@@ -187,7 +193,7 @@
     text + if effect == Effect::Safe { "\r\n" } else { "Content-Length: 5\r\n\r\nlot=7" }
 }
 
-/// Writes a request, some of them in two pieces.
+/// Writes a request; some are written in two pieces.
 async fn write(environment: &Environment, stream: &mut TcpStream, text: &str) -> io::Result<()> {
     let (first, rest) = match environment.chance(SLOW_WRITE_SHARE) {
         true => text.split_at(environment.draw(|rng| rng.usize(1..text.len()))),
@@ -201,7 +207,8 @@
     Ok(())
 }
 
-/// A client that sends a length of a request now and then, on a new connection or behind an answer, and stays.
+/// Sends a part of a request now and then, on a new connection or after an answer, and keeps the connection
+/// open.
 pub async fn send_incomplete_requests(environment: Rc<Environment>, limiter: Limiter) {
     loop {
         pause(environment.between(MIN_INCOMPLETE_INTERVAL_MS, MAX_INCOMPLETE_INTERVAL_MS)).await;
@@ -232,7 +239,7 @@
     }
 }
 
-/// Clients that connect, say nothing and stay.
+/// Opens connections that send nothing and stay open.
 pub async fn open_idle_connections(environment: Rc<Environment>, limiter: Limiter, count: u32) {
     let mut idle = Vec::new();
     for _ in 0..count {
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -1,4 +1,4 @@
-//! Plays seeds one after another, and tells what was broken and how to play it again.
+//! Runs seeds one after another and reports which rules were broken and by what.
 
 use std::path::{Path, PathBuf};
 
@@ -11,33 +11,33 @@
 use crate::run::{request_log_lines, run_plan, RunConfig};
 use crate::shim::{FailingCalls, Shim};
 
-/// Breaches that are told in full.
+/// Breaches that are reported in full.
 const MAX_REPORTED: usize = 6;
 
-/// What to play.
+/// What to run.
 pub struct Arguments {
-    /// The built limiter.
+    /// Path of the built limiter.
     pub program: PathBuf,
     /// One seed, or `FROM..TO`.
     pub seeds: String,
-    /// How many limiters.
+    /// Number of limiters.
     pub limiters: usize,
-    /// How many servers.
+    /// Number of servers.
     pub servers: usize,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub seconds: f64,
-    /// System calls of every third limiter fail now and then.
+    /// Whether system calls of every third limiter fail now and then.
     pub failing_calls: bool,
-    /// Where logs and histories are kept; a temporary directory otherwise.
+    /// Where logs and histories are kept; otherwise they go to a temporary directory.
     pub keep: Option<PathBuf>,
-    /// Variables for every limiter.
+    /// Environment variables for every limiter.
     pub variables: Vec<(String, String)>,
 }
 
-/// Plays one seed: what was seen, and what was broken.
+/// Runs one seed and returns its history and the breaches found.
 ///
 /// # Errors
-/// One plain line: what of the harness could not be done.
+/// Says what the test environment could not do.
 pub fn run_seed(arguments: &Arguments, seed: u64, files: &Path) -> Result<(History, Vec<Breach>), String> {
     let plan = Plan::draw(seed, arguments.limiters, arguments.servers, arguments.seconds * 1000.0);
     let shim = match arguments.failing_calls {
@@ -59,8 +59,8 @@
     Ok((history, breaches))
 }
 
-/// Calls that fail often enough to meet other troubles, and seldom enough to leave work to do. The wall clock is off by an
-/// hour, either way, for some.
+/// Returns failure rates that are high enough for failing calls to coincide with other faults, and low enough
+/// to leave requests that succeed. The wall clock of some limiters is off by an hour, either way.
 fn draw_failing_calls(seed: u64, limiter: usize) -> FailingCalls {
     FailingCalls {
         short_reads: 100,
@@ -75,21 +75,22 @@
 }
 
 fn parse_seeds(text: &str) -> Result<std::ops::RangeInclusive<u64>, String> {
-    let number = |text: &str| text.trim().parse::<u64>().map_err(|_| format!("'{text}' is no seed"));
+    let number = |text: &str| text.trim().parse::<u64>().map_err(|_| format!("'{text}' is not a seed"));
     match text.split_once("..") {
         Some((from, to)) => Ok(number(from)?..=number(to)?),
         None => number(text).map(|seed| seed..=seed),
     }
 }
 
-/// Plays all seeds; how many of them broke a rule.
+/// Runs all seeds and returns how many of them broke a rule.
 ///
 /// # Errors
-/// One plain line: what of the harness could not be done.
+/// Says what the test environment could not do.
 pub fn run(arguments: &Arguments, mut report: impl FnMut(&str)) -> Result<u32, String> {
     let mut broken = 0;
     for seed in parse_seeds(&arguments.seeds)? {
-        let temporary = TempDir::with_prefix("marldeal-soak-").map_err(|e| format!("no directory: {e}"))?;
+        let temporary =
+            TempDir::with_prefix("marldeal-soak-").map_err(|e| format!("cannot create a directory: {e}"))?;
         let files = match &arguments.keep {
             Some(kept) => kept.join(format!("seed-{seed}")),
             None => temporary.path().to_path_buf(),
@@ -116,7 +117,7 @@
     Ok(broken)
 }
 
-/// What was seen of the request that a breach is about, and what its limiter logged of it.
+/// Returns the events of the request that a breach is about, and what its limiter logged of it.
 pub fn request_trace(history: &History, files: &Path, breach: &Breach) -> Vec<String> {
     let Some(request) = breach.request else { return Vec::new() };
     let mut lines: Vec<String> = history.of_request(request).map(ToString::to_string).collect();
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -1,4 +1,5 @@
-//! What all parts of a run share: the clock, the history, the servers and the list of them that discovery keeps.
+//! State shared by all parts of a run: the clock, the history, the servers, and the list of them that discovery
+//! sends.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -9,14 +10,14 @@
 use crate::history::{Event, History, Limiter, Millis, Request, Server, Terms, What};
 use crate::plan::Plan;
 
-/// What discovery says of a server.
+/// State of a server as discovery announces it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// It takes work.
+    /// The server takes new work.
     Active,
-    /// It finishes what it has.
+    /// The server drains: it finishes the work that it has.
     Leaving,
-    /// It is gone.
+    /// The server was removed.
     Removed,
 }
 
@@ -30,73 +31,74 @@
     }
 }
 
-/// A server as the harness keeps it.
+/// A server as the test environment sees it.
 pub struct ServerEntry {
-    /// Where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
-    /// What discovery says of it, and the version of the list in which that changed.
+    /// State that discovery announces, and the version of the list in which it last changed.
     pub state: ServerState,
     pub(crate) version: u64,
-    /// Unix time of its last start, in milliseconds; 0 for long ago.
+    /// Unix time of its last start in milliseconds; 0 if it has run since before the test.
     pub started_ms: u64,
-    /// It answers nothing until then.
+    /// Time until which it answers nothing.
     pub hung_until: Millis,
-    /// Its processes so far; a change ends listener and connections of the one before.
+    /// Counts its processes; a change closes the listener and connections of the process before.
     pub generation: watch::Sender<u64>,
 }
 
-/// A limiter as the harness keeps it.
+/// A limiter as the test environment sees it.
 pub struct LimiterEntry {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub addr: Cell<SocketAddr>,
-    /// Where its two limiters of discovery are.
+    /// Addresses of its two discovery agents.
     pub agents: [SocketAddr; 2],
-    /// Which of them its configuration names.
+    /// Index of the agent that its configuration names.
     pub active_agent: Cell<usize>,
-    /// Its agent says and learns nothing.
+    /// Whether its agent sends nothing and receives no updates.
     pub agent_silent: Cell<bool>,
-    /// Its watches are mute until they are opened anew, which counts as done by then.
+    /// Time by which a limiter with muted watches has to have opened a new watch; what the muted ones miss
+    /// counts as notified from then on.
     pub muted_until: Cell<Millis>,
-    /// Number of its newest watch; those before are mute where there was a reason for it.
+    /// Number of its newest watch.
     pub watch_count: Cell<u64>,
-    /// The first watch that is not mute.
+    /// The first watch that is not muted; earlier ones send nothing more.
     pub first_unmuted_watch: Cell<u64>,
-    /// Its watches are to end.
+    /// Notified to close its watches.
     pub close_watches: Notify,
-    /// What counts as notified to it, by server.
+    /// State of each server that the limiter counts as notified of.
     notified: RefCell<Vec<Option<ServerState>>>,
-    /// Which of its processes runs.
+    /// Number of its present process.
     pub process_number: Cell<u32>,
-    /// Clients may connect.
+    /// Whether clients may connect.
     pub accepts_clients: Cell<bool>,
-    /// Clients that wait are to leave.
+    /// Notified to disconnect the clients that wait for an answer.
     pub disconnect_clients: Notify,
 }
 
-/// All that a run shares.
+/// State shared by all parts of a run.
 pub struct Environment {
     started: Instant,
-    /// What goes wrong.
+    /// The faults of the run.
     pub plan: Plan,
-    /// What limiters keep to.
+    /// The terms that limiters have to keep.
     pub terms: Terms,
     events: RefCell<Vec<Event>>,
-    /// Servers.
+    /// The servers.
     pub servers: RefCell<Vec<ServerEntry>>,
-    /// Limiters.
+    /// The limiters.
     pub limiters: Vec<LimiterEntry>,
-    /// The version of the list.
+    /// Version of the server list.
     pub version: Cell<u64>,
-    /// The list has changed, or an agent is back.
+    /// Changes when the list does, or when an agent is no longer silent.
     pub changed: watch::Sender<u64>,
     next_number: Cell<u64>,
     rng: RefCell<fastrand::Rng>,
-    /// Clients ask no more.
+    /// Whether clients send no more requests.
     pub clients_done: Cell<bool>,
 }
 
 impl Environment {
-    /// A run that begins now.
+    /// Starts a run now.
     pub fn new(
         plan: Plan,
         terms: Terms,
@@ -119,42 +121,42 @@
         }
     }
 
-    /// Milliseconds since the begin.
+    /// Returns the milliseconds since the start of the run.
     pub fn now(&self) -> Millis {
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// A number that nothing else has.
+    /// Returns a number that is unique in the run.
     pub fn number(&self) -> u64 {
         self.next_number.replace(self.next_number.get() + 1)
     }
 
-    /// Draws something.
+    /// Draws from the run's random generator.
     pub fn draw<T>(&self, draw: impl FnOnce(&mut fastrand::Rng) -> T) -> T {
         draw(&mut self.rng.borrow_mut())
     }
 
-    /// True so often.
+    /// Returns true with the given probability.
     pub fn chance(&self, share: f64) -> bool {
         self.draw(|rng| rng.f64()) < share
     }
 
-    /// Between two times, evenly.
+    /// Draws a time uniformly between two bounds.
     pub fn between(&self, low: Millis, high: Millis) -> Millis {
         low + (high - low) * self.draw(|rng| rng.f64())
     }
 
-    /// Something has happened now.
+    /// Records an event that happens now.
     pub fn record(&self, what: What) {
         self.events.borrow_mut().push(Event { at: self.now(), what });
     }
 
-    /// All that has happened.
+    /// Returns the events so far.
     pub fn history(&self) -> History {
         History { terms: self.terms, events: self.events.borrow().clone() }
     }
 
-    /// What discovery says of a server changes.
+    /// Changes the announced state of a server.
     pub fn publish(&self, server: Server, state: ServerState, started: bool) {
         let version = self.version.get() + 1;
         self.version.set(version);
@@ -172,7 +174,7 @@
         self.changed.send_modify(|times| *times += 1);
     }
 
-    /// What a limiter's agent has counts as notified, unless it is away, or its watch has fallen silent of late.
+    /// Counts a limiter as notified of the present list, unless its agent is silent or its watches are muted.
     pub fn notify_if_reachable(&self, limiter: Limiter) {
         let entry = &self.limiters[limiter];
         if !entry.agent_silent.get() && entry.muted_until.get() <= self.now() {
@@ -180,7 +182,7 @@
         }
     }
 
-    /// The list as it stands is notified to a limiter.
+    /// Counts a limiter as notified of the present list.
     pub fn notify(&self, limiter: Limiter) {
         let servers = self.servers.borrow();
         let mut notified = self.limiters[limiter].notified.borrow_mut();
@@ -195,7 +197,7 @@
         }
     }
 
-    /// A start is news to all that are notified of the list from now on.
+    /// Forgets what limiters were notified of about a server, so that its start counts as new to each of them.
     pub fn forget_notified(&self, server: Server) {
         for entry in &self.limiters {
             if let Some(notified) = entry.notified.borrow_mut().get_mut(server) {
@@ -204,7 +206,7 @@
         }
     }
 
-    /// The list in discovery's form: what has changed after a version, or all of it, without those that drain.
+    /// Returns the list in discovery's form: the changes after a version, or else all servers that take work.
     pub fn server_list(&self, after: Option<u64>) -> String {
         let servers = self.servers.borrow();
         let wanted = |server: &ServerEntry| match after {
@@ -222,14 +224,14 @@
         format!("{list}\n")
     }
 
-    /// A request's `X-Correlation-Id`.
+    /// Returns the `X-Correlation-Id` of a request.
     pub fn correlation_id(request: Request) -> String {
         format!("{request:016x}")
     }
 }
 
 impl LimiterEntry {
-    /// A limiter with its limiters of discovery.
+    /// Creates a limiter with two discovery agents.
     pub fn new(agents: [SocketAddr; 2]) -> LimiterEntry {
         LimiterEntry {
             addr: Cell::new(SocketAddr::from(([127, 0, 0, 1], 0))),
@@ -248,7 +250,7 @@
     }
 }
 
-/// The wall clock.
+/// Returns the Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out what a plan says.
+//! Carries out the faults of a plan.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,22 +14,24 @@
 use crate::run::TestRun;
 use crate::server;
 
-/// What a watch that has fallen silent misses counts as told after this; what a new entry has, after a reload.
+/// Time after which a limiter has to have replaced a muted watch. What the watch missed counts as notified from
+/// then on.
 const MUTED_WATCH_DETECTION_MS: Millis = 6000.0;
+/// The same for the watch at the other agent after a reload.
 const RELOAD_DETECTION_MS: Millis = 4000.0;
-/// Clients go on connecting for so long after SIGTERM.
+/// Time after SIGTERM in which clients still connect.
 const CONNECT_AFTER_SIGTERM_MS: Millis = 300.0;
-/// Before a process that was exit is started again.
+/// Time before a process that ended is started again, at least and at most.
 const MIN_DOWN_MS: Millis = 50.0;
 const MAX_DOWN_MS: Millis = 500.0;
-/// A server that was gone comes back after this.
+/// Time before a removed server comes back.
 const REMOVED_MS: Millis = 700.0;
 
 async fn pause(ms: Millis) {
     tokio::time::sleep(Duration::from_secs_f64(ms.max(0.0) / 1000.0)).await;
 }
 
-/// Lets a fault happen, to its end.
+/// Carries out a fault to its end.
 pub async fn run_fault(test_run: Rc<TestRun>, fault: Fault) {
     let environment = &test_run.environment;
     match fault {
@@ -76,7 +78,7 @@
     }
 }
 
-/// Watches of a limiter that stand now tell nothing more; what they miss counts as told after so long.
+/// Mutes the limiter's present watches; what they miss counts as notified after `ms`.
 async fn mute_watches(test_run: &Rc<TestRun>, limiter: Limiter, ms: Millis) {
     let (environment, entry) = (&test_run.environment, &test_run.environment.limiters[limiter]);
     entry.first_unmuted_watch.set(entry.watch_count.get() + 1);
@@ -108,12 +110,12 @@
     }
     pause(ms).await;
     entry.agent_silent.set(false);
-    // What it gets at its return counts at once.
+    // The list that the agent sends on its return counts as notified at once.
     environment.notify_if_reachable(limiter);
     environment.changed.send_modify(|times| *times += 1);
 }
 
-/// Takes a limiter's process away from all others; nothing if another fault has it.
+/// Takes a limiter's process, so that no other fault handles it; `None` if another fault has taken it.
 fn take_process(test_run: &TestRun, limiter: Limiter) -> Option<limiter::Process> {
     test_run.processes.borrow_mut()[limiter].take()
 }
@@ -132,7 +134,7 @@
     loop {
         let exit = test_run.processes.borrow_mut()[limiter].as_mut().map(limiter::Process::exited_well);
         match exit {
-            // Another fault has taken it.
+            // Another fault has taken the process.
             None => return,
             Some(Some(well)) => {
                 test_run.environment.record(What::Exited { limiter, well });
@@ -142,7 +144,7 @@
             Some(None) => {}
         }
         pause(10.0).await;
-        // The platform waits for one that stands still as if it ran; here its time stands still too.
+        // The platform counts stopped time too. Here the time of a stopped process does not count.
         left -= if test_run.stop_counts[limiter].get() > 0 { 0.0 } else { 10.0 };
     }
     if let Some(mut process) = take_process(test_run, limiter) {
@@ -165,7 +167,7 @@
 async fn start_again(test_run: &Rc<TestRun>, limiter: Limiter) {
     pause(test_run.environment.between(MIN_DOWN_MS, MAX_DOWN_MS)).await;
     let environment = &test_run.environment;
-    // What its agent has counts from the first moment of the new process.
+    // The present list counts as notified from the first moment of the new process.
     environment.notify_if_reachable(limiter);
     match limiter::start(environment, &test_run.program, limiter, &test_run.peers).await {
         Ok(process) => {
@@ -182,17 +184,17 @@
     }
 }
 
-/// Ends listener and connections of a server's process.
+/// Closes the listener and the connections of a server's process.
 fn end_server_process(test_run: &TestRun, server: Server) {
     test_run.environment.servers.borrow()[server].generation.send_modify(|generation| *generation += 1);
 }
 
-/// Starts a server's process at its address; it is cold.
+/// Starts a server's process at its address; it starts cold.
 async fn start_server(test_run: &Rc<TestRun>, server: Server) {
     let addr = test_run.environment.servers.borrow()[server].addr;
     let listener = match TcpListener::bind(addr).await {
         Ok(listener) => listener,
-        Err(e) => return test_run.record_failure(format!("server {server} does not start again: {e}")),
+        Err(e) => return test_run.record_failure(format!("server {server} cannot be restarted: {e}")),
     };
     tokio::task::spawn_local(server::serve(test_run.environment.clone(), server, listener));
     test_run.environment.record(What::ServerStarted { server });
@@ -221,7 +223,7 @@
     }
 }
 
-/// Breaks off all connections of a server, which goes on listening.
+/// Resets all connections of a server, which goes on listening.
 async fn reset(test_run: &Rc<TestRun>, server: Server) {
     if test_run.busy_servers.borrow_mut().insert(server) {
         let addr = test_run.environment.servers.borrow()[server].addr;
@@ -231,7 +233,7 @@
             Ok(listener) => {
                 drop(tokio::task::spawn_local(server::serve(test_run.environment.clone(), server, listener)))
             }
-            Err(e) => test_run.record_failure(format!("server {server} does not listen again: {e}")),
+            Err(e) => test_run.record_failure(format!("server {server} cannot listen again: {e}")),
         }
         test_run.busy_servers.borrow_mut().remove(&server);
     }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,26 +1,26 @@
-//! What clients, servers and discovery saw of a run, in the order in which it happened. Times are milliseconds of the
-//! harness's own steady clock.
+//! What clients, servers and discovery observed in a run, in the order of time. Times are milliseconds of the
+//! test environment's own monotonic clock.
 
 use std::fmt;
 
-/// A moment or a length of time in milliseconds.
+/// A point in time or a duration in milliseconds.
 pub type Millis = f64;
 
-/// A limiter, by its position.
+/// A limiter, by position.
 pub type Limiter = usize;
-/// A server, by its number.
+/// A server, by number.
 pub type Server = usize;
-/// A request of a client; a client that asks again has a new one.
+/// A request of a client; a request that is asked again has a new number.
 pub type Request = u64;
-/// An attempt that came to a server.
+/// An attempt that reached a server.
 pub type Attempt = u64;
 
-/// What a second execution of a request would do.
+/// Effect of executing a request twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
     /// No harm.
     Safe,
-    /// None while servers remember its key.
+    /// No harm while servers remember the idempotency key.
     Keyed,
     /// Harm.
     Unsafe,
@@ -31,157 +31,158 @@
 pub enum Outcome {
     /// Answered 200.
     Served,
-    /// Answered 500: it may have run.
+    /// Answered 500; it may have run.
     Error,
-    /// Answered 503 with `X-Unprocessed: 1`: it never ran.
+    /// Answered 503 with `X-Unprocessed: 1`; it did not run.
     Unprocessed,
     /// The limiter closed the connection.
     GivenUp,
-    /// The server broke the connection off: it may have run.
+    /// The server reset the connection; it may have run.
     Reset,
 }
 
-/// Something that happened.
+/// An event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum What {
-    /// The last byte of a request was written.
+    /// A client wrote the last byte of a request.
     Asked {
-        /// Which.
+        /// The request.
         request: Request,
-        /// To whom.
+        /// The limiter.
         limiter: Limiter,
-        /// What a second execution would do.
+        /// Effect of a second execution.
         effect: Effect,
-        /// How long its client waits.
+        /// How long the client waits.
         budget_ms: Millis,
-        /// Requests came on its connection before.
+        /// Whether the connection carried requests before.
         kept: bool,
-        /// Which number the limiter's process has.
+        /// Number of the limiter's process.
         process: u32,
     },
-    /// Its client closed the connection, with no answer so far.
+    /// The client closed the connection without an answer.
     Left {
-        /// Which.
+        /// The request.
         request: Request,
     },
-    /// A whole answer came.
+    /// A whole answer arrived.
     Answered {
-        /// To which.
+        /// The request.
         request: Request,
         /// The status.
         status: u16,
-        /// The attempt that its body names.
+        /// The attempt that the body names.
         body_of: Option<Attempt>,
     },
-    /// Its connection ended with no whole answer.
+    /// The connection ended without a whole answer.
     Unanswered {
-        /// Which.
+        /// The request.
         request: Request,
     },
-    /// Its client asked again on a new connection, as one does whose request crossed the end of a resting one.
+    /// The client asked again on a new connection, because the limiter closed the idle connection on which the
+    /// request was sent.
     AskedAnew {
-        /// Which.
+        /// The request.
         request: Request,
-        /// Under this number.
+        /// Its new number.
         anew: Request,
     },
-    /// A client that has sent a part of a request, and stays, was ended.
+    /// The end of a connection on which a client sent only a part of a request.
     HalfEnded {
-        /// By whom.
+        /// The limiter.
         limiter: Limiter,
-        /// How long after its first byte; nothing if it was not.
+        /// Time from the first byte to the end; `None` if the limiter did not end it.
         after_ms: Option<Millis>,
     },
-    /// An attempt has come whole.
+    /// An attempt arrived whole.
     Arrived {
-        /// Which.
+        /// The attempt.
         attempt: Attempt,
-        /// Of which request.
+        /// The request that it is for.
         request: Request,
-        /// Where.
+        /// The server.
         server: Server,
-        /// When its first byte came.
+        /// When its first byte arrived.
         begun: Millis,
-        /// The time that it names.
+        /// The remaining time that it names.
         left_ms: Millis,
     },
-    /// An attempt is over.
+    /// An attempt ended.
     Over {
-        /// Which.
+        /// The attempt.
         attempt: Attempt,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
     },
-    /// What counts as told to a limiter: whether a server takes work.
+    /// From now on a limiter counts as notified whether a server takes work.
     Told {
-        /// To whom.
+        /// The limiter.
         limiter: Limiter,
-        /// Of which.
+        /// The server.
         server: Server,
-        /// New work may go there.
+        /// Whether new work may be sent to it.
         takes: bool,
     },
-    /// A server's process started: it is cold.
+    /// A server's process started cold.
     ServerStarted {
-        /// Which.
+        /// The server.
         server: Server,
     },
-    /// A limiter's process stood still, or goes on.
+    /// A limiter's process was stopped or continued.
     Stopped {
-        /// Which.
+        /// The limiter.
         limiter: Limiter,
-        /// It goes on.
+        /// Whether it was continued.
         over: bool,
     },
     /// A limiter's process was started.
     Started {
-        /// Which.
+        /// The limiter.
         limiter: Limiter,
-        /// Which of its processes.
+        /// Number of the process.
         process: u32,
     },
-    /// It is ready for the first time.
+    /// A limiter's process became ready.
     Ready {
-        /// Which.
+        /// The limiter.
         limiter: Limiter,
     },
-    /// It was told to end.
+    /// A limiter was asked to end.
     Terminated {
-        /// Which.
+        /// The limiter.
         limiter: Limiter,
     },
-    /// It was killed.
+    /// A limiter was killed.
     Killed {
-        /// Which.
+        /// The limiter.
         limiter: Limiter,
     },
-    /// It ended by itself.
+    /// A limiter's process ended without being killed.
     Exited {
-        /// Which.
+        /// The limiter.
         limiter: Limiter,
-        /// It had been told to, and said that all went well.
+        /// Whether it had been asked to end, and exited with success.
         well: bool,
     },
-    /// It logged that it broke a rule.
+    /// A limiter logged that it broke a rule, or a line in an unknown form.
     Confessed {
-        /// Which.
+        /// The limiter.
         limiter: Limiter,
         /// The line.
         line: String,
     },
-    /// The harness itself was late: nothing that looks late by less than this is anybody's fault.
+    /// The test environment itself was late; events that look late by less than this are held against nobody.
     HarnessLate {
-        /// By so much.
+        /// By how much.
         by_ms: Millis,
     },
 }
 
-/// Something that happened, and when.
+/// An event with its time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
-    /// When.
+    /// When it happened.
     pub at: Millis,
-    /// What.
+    /// What happened.
     pub what: What,
 }
 
@@ -191,34 +192,34 @@
     }
 }
 
-/// What limiters were told to keep to.
+/// Terms that limiters have to keep.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Terms {
     /// Grace of a drain.
     pub drain_grace_ms: Millis,
-    /// Servers drop repeats for so long.
+    /// How long servers drop repeats of a request.
     pub window_ms: Millis,
-    /// SIGKILL comes no sooner than this after SIGTERM.
+    /// Shortest time between SIGTERM and SIGKILL.
     pub kill_after_ms: Millis,
-    /// What a warm server can do in a second.
+    /// Requests a second that a warm server can process.
     pub capacity_per_s: f64,
-    /// Share of that at a start, and how long it takes to be warm.
+    /// Share of this capacity at the start of a server, and the time until it is warm.
     pub cold: (f64, Millis),
-    /// A server falls at so many times what it can do, for so long.
+    /// A server is overloaded at so many times its capacity, kept up for so long.
     pub fall: (f64, Millis),
 }
 
-/// A run.
+/// All that was observed in a run.
 #[derive(Debug, Clone)]
 pub struct History {
-    /// What was to be kept.
+    /// The terms to keep.
     pub terms: Terms,
-    /// What happened.
+    /// The events.
     pub events: Vec<Event>,
 }
 
 impl History {
-    /// Events that name a request.
+    /// Returns the events of a request.
     pub fn of_request(&self, wanted: Request) -> impl Iterator<Item = &Event> {
         let attempts: Vec<Attempt> = self
             .events
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,46 +1,47 @@
-//! As much of HTTP/1.1 as clients, servers and agents of the harness need: heads, and bodies of a content_length length.
+//! The part of HTTP/1.1 that clients, servers and agents of the test environment need: heads, and bodies with a
+//! content length.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Longest message taken in.
+/// Longest message that is accepted.
 const MAX_MESSAGE_BYTES: usize = 1 << 16;
 
-/// A message that has come whole.
+/// A whole message.
 #[derive(Debug, Clone)]
 pub struct Message {
-    /// Its first line.
+    /// The request line or status line.
     pub first_line: String,
-    /// Names in lower case, and values.
+    /// Names in lower case, with their values.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// The body.
     pub body: String,
 }
 
 impl Message {
-    /// The value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The status of an answer.
+    /// Returns the status of an answer.
     pub fn status(&self) -> Option<u16> {
         self.first_line.split_whitespace().nth(1)?.parse().ok()
     }
 }
 
-/// Bytes of a connection that make no whole message yet.
+/// Bytes of a connection that form no whole message yet.
 #[derive(Debug, Default)]
 pub struct Buffer(Vec<u8>);
 
 impl Buffer {
-    /// Nothing has come.
+    /// Whether it holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Takes in what comes next, as much as one read brings; false at the end of the stream.
+    /// Reads once from the stream; false at its end.
     pub async fn fill(&mut self, from: &mut (impl AsyncRead + Unpin)) -> io::Result<bool> {
         if self.0.len() > MAX_MESSAGE_BYTES {
             return Err(io::Error::other("a message is too long"));
@@ -48,7 +49,7 @@
         Ok(from.read_buf(&mut self.0).await? > 0)
     }
 
-    /// The next whole message.
+    /// Takes the next whole message.
     pub fn take(&mut self) -> Option<Message> {
         let end = self.0.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
         let head = String::from_utf8_lossy(&self.0[..end]).into_owned();
@@ -69,10 +70,10 @@
     }
 }
 
-/// The next whole message; nothing at the end of the stream.
+/// Reads the next whole message; `None` at the end of the stream.
 ///
 /// # Errors
-/// The connection broke.
+/// The connection broke, or a message is too long.
 pub async fn read_message(
     from: &mut (impl AsyncRead + Unpin),
     buffer: &mut Buffer,
@@ -87,7 +88,7 @@
     }
 }
 
-/// An answer with a body.
+/// Returns an answer with a body.
 pub fn format_answer(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -1,4 +1,5 @@
-//! Holds a history against the rules. It knows nothing of how limiters decide: only what was seen from outside counts.
+//! Judges a history by the rules. The judge knows nothing of how limiters decide; only what was observed from
+//! outside counts.
 
 mod answers;
 mod attempts;
@@ -11,52 +12,52 @@
     Attempt, Effect, Event, History, Limiter, Millis, Outcome, Request, Server, Terms, What,
 };
 
-/// Each time limit of the rules is so much longer on sockets.
+/// Tolerance for the delays of sockets, added to each time limit of the rules.
 const SLACK_MS: Millis = 50.0;
-/// A process may be held up for so long between reading its clock and writing.
+/// Longest time that a process may be delayed between reading its clock and writing.
 const MAX_PROCESS_DELAY_MS: Millis = 150.0;
 
 /// The rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// What was taken gets exactly one final answer, in time.
+    /// A request that was taken gets exactly one final answer, in time.
     Answer,
-    /// An answer 200 is what a server made for this request.
+    /// An answer 200 was made by a server for this request.
     Forged,
-    /// Nothing goes out for a client that has left.
+    /// Nothing is sent for a client that has disconnected.
     ClientLeft,
-    /// Nothing goes out after the client's time, or after the final answer.
+    /// Nothing is sent after the client's deadline, or after the final answer.
     Afterwards,
-    /// Two attempts of a request are never out at once.
+    /// Two attempts of a request are never open at once.
     Together,
-    /// What may have run is repeated only where that does no harm.
+    /// A request that may have run is repeated only where that does no harm.
     Repeat,
-    /// A refusal is given only where asking again does no harm.
+    /// A request is refused only where asking again does no harm.
     Refusal,
-    /// Nothing new goes to a server that drains.
+    /// Nothing new is sent to a draining server.
     Drain,
-    /// The time told to a server is at most what the client has left.
+    /// The time named to a server is at most what the client has left.
     TimeLeft,
-    /// A cold server is not pushed over.
+    /// A cold server is not overloaded.
     Cold,
-    /// A client that stops in the middle of a request is ended.
+    /// A client that stops in the middle of a request is disconnected.
     Half,
     /// Processes neither crash nor hang, and are ready soon.
     Process,
-    /// No limiter itself says that it broke a rule.
+    /// No limiter reports that it broke a rule itself.
     Confessed,
 }
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Breach {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When.
+    /// When it was broken.
     pub at: Millis,
-    /// How.
+    /// What happened.
     pub what: String,
-    /// The request that it is about.
+    /// The request concerned.
     pub request: Option<Request>,
 }
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// An attempt, as its server saw it.
+/// An attempt as its server saw it.
 #[derive(Debug, Clone)]
 struct AttemptRecord {
     attempt: Attempt,
@@ -78,13 +79,13 @@
 }
 
 impl AttemptRecord {
-    /// It may have run, as far as its limiter can know.
+    /// Whether it may have run, as far as its limiter can know.
     fn may_have_run(&self) -> bool {
         !matches!(self.over, Some((_, Outcome::Unprocessed)))
     }
 }
 
-/// A request with all that came of it.
+/// A request with its attempts and its end.
 #[derive(Debug, Clone)]
 struct RequestRecord {
     id: Request,
@@ -100,7 +101,7 @@
     attempts: Vec<AttemptRecord>,
 }
 
-/// A time in which a limiter's process stood still.
+/// A time in which a limiter's process was stopped_since.
 #[derive(Debug, Clone, Copy)]
 struct Stall {
     limiter: Limiter,
@@ -108,13 +109,13 @@
     until: Millis,
 }
 
-/// A history, sorted by what it is about.
+/// A history, indexed by request and by limiter.
 struct HistoryIndex<'a> {
     terms: Terms,
     events: &'a [Event],
     requests: BTreeMap<Request, RequestRecord>,
     stalls: Vec<Stall>,
-    /// When processes were killed, and of whom.
+    /// When processes were killed, and of which limiter.
     kills: Vec<(Millis, Limiter)>,
     harness_lateness: Vec<(Millis, Millis)>,
     end: Millis,
@@ -131,21 +132,25 @@
             harness_lateness: Vec::new(),
             end: history.events.last().map_or(0.0, |e| e.at),
         };
-        let mut of_attempt: HashMap<Attempt, Request> = HashMap::new();
-        let mut stopped: HashMap<Limiter, Millis> = HashMap::new();
+        let mut request_of_attempt: HashMap<Attempt, Request> = HashMap::new();
+        let mut stopped_since: HashMap<Limiter, Millis> = HashMap::new();
         for event in &history.events {
-            index.add(event, &mut of_attempt, &mut stopped);
+            index.add(event, &mut request_of_attempt, &mut stopped_since);
         }
         let end = index.end;
-        index.stalls.extend(stopped.into_iter().map(|(limiter, from)| Stall { limiter, from, until: end }));
+        index.stalls.extend(stopped_since.into_iter().map(|(limiter, from)| Stall {
+            limiter,
+            from,
+            until: end,
+        }));
         index
     }
 
     fn add(
         &mut self,
         event: &Event,
-        of_attempt: &mut HashMap<Attempt, Request>,
-        stopped: &mut HashMap<Limiter, Millis>,
+        request_of_attempt: &mut HashMap<Attempt, Request>,
+        stopped_since: &mut HashMap<Limiter, Millis>,
     ) {
         let at = event.at;
         match event.what {
@@ -172,21 +177,21 @@
             What::Unanswered { request } => self.update(request, |r| r.unanswered = Some(at)),
             What::AskedAnew { request, .. } => self.update(request, |r| r.asked_again = true),
             What::Arrived { attempt, request, server, begun, left_ms } => {
-                of_attempt.insert(attempt, request);
+                request_of_attempt.insert(attempt, request);
                 let new = AttemptRecord { attempt, server, begun, arrived: at, left_ms, over: None };
                 self.update(request, |r| r.attempts.push(new));
             }
             What::Over { attempt, outcome } => {
-                let Some(request) = of_attempt.get(&attempt).copied() else { return };
+                let Some(request) = request_of_attempt.get(&attempt).copied() else { return };
                 self.update(request, |r| {
                     if let Some(t) = r.attempts.iter_mut().find(|t| t.attempt == attempt) {
                         t.over = Some((at, outcome));
                     }
                 });
             }
-            What::Stopped { limiter, over: false } => drop(stopped.insert(limiter, at)),
+            What::Stopped { limiter, over: false } => drop(stopped_since.insert(limiter, at)),
             What::Stopped { limiter, over: true } => {
-                if let Some(from) = stopped.remove(&limiter) {
+                if let Some(from) = stopped_since.remove(&limiter) {
                     self.stalls.push(Stall { limiter, from, until: at });
                 }
             }
@@ -202,26 +207,26 @@
         }
     }
 
-    /// How late the harness was itself around a time.
+    /// Returns how late the test environment itself was around a time.
     fn lateness(&self, from: Millis, until: Millis) -> Millis {
         let near =
             self.harness_lateness.iter().filter(|(at, by)| *at >= from - 20.0 && *at - by <= until + 20.0);
         near.map(|(_, by)| *by).fold(0.0, f64::max)
     }
 
-    /// How long a limiter stood still within a time.
+    /// Returns how long a limiter was stopped within a time.
     fn stalled_ms(&self, limiter: Limiter, from: Millis, until: Millis) -> Millis {
         let within = |p: &Stall| (p.until.min(until) - p.from.max(from)).max(0.0);
         self.stalls.iter().filter(|p| p.limiter == limiter).map(within).sum()
     }
 
-    /// A limiter was killed within a time.
+    /// Whether a limiter was killed within a time.
     fn killed(&self, limiter: Limiter, from: Millis, until: Millis) -> bool {
         self.kills.iter().any(|(at, l)| *l == limiter && *at >= from && *at <= until)
     }
 }
 
-/// All rules that were broken, in the order of time.
+/// Returns all breaches of the rules in the order of time.
 pub fn judge(history: &History) -> Vec<Breach> {
     let index = HistoryIndex::new(history);
     let mut breaches = Vec::new();
--- a/crates/soak/src/judge/processes.rs
+++ b/crates/soak/src/judge/processes.rs
@@ -1,21 +1,22 @@
-//! Processes: they start, end and say nothing bad of themselves.
+//! Rules on processes: they start and end well, and report no broken rule of their own.
 
 use std::collections::HashMap;
 
 use super::{Breach, HistoryIndex, Limiter, Millis, Rule, SLACK_MS};
 use crate::history::What;
 
-/// A start has to be ready within this, nine in ten of them.
+/// Time within which `READY_FRACTION` of all starts have to be ready.
 const READY_MS: Millis = 10_000.0;
+/// Share of starts that have to be ready within `READY_MS`.
 const READY_FRACTION: f64 = 0.9;
-/// Nobody may take longer.
+/// Longest time that any start may take.
 const MAX_READY_MS: Millis = 30_000.0;
-/// A client that stops in the middle of a request is ended within this.
+/// Time within which a client that stops in the middle of a request is disconnected.
 const MAX_INCOMPLETE_REQUEST_MS: Millis = 3000.0;
 
 pub(super) fn judge(index: &HistoryIndex, breaches: &mut Vec<Breach>) {
     let mut starting: HashMap<Limiter, Millis> = HashMap::new();
-    let mut took: Vec<Millis> = Vec::new();
+    let mut start_durations: Vec<Millis> = Vec::new();
     for event in index.events {
         let mut breach =
             |rule, what: String| breaches.push(Breach { rule, at: event.at, what, request: None });
@@ -23,7 +24,7 @@
             What::Started { limiter, .. } => drop(starting.insert(*limiter, event.at)),
             What::Ready { limiter } => {
                 if let Some(from) = starting.remove(limiter) {
-                    took.push(event.at - from - index.stalled_ms(*limiter, from, event.at));
+                    start_durations.push(event.at - from - index.stalled_ms(*limiter, from, event.at));
                 }
             }
             What::Killed { limiter } => drop(starting.remove(limiter)),
@@ -42,19 +43,25 @@
                     Some(after) => {
                         breach(
                             Rule::Half,
-                            format!("limiter {limiter}: half a request was ended after {after:.0} ms"),
+                            format!("limiter {limiter}: an incomplete request was ended after {after:.0} ms"),
                         );
                     }
-                    None => breach(Rule::Half, format!("limiter {limiter}: half a request was not ended")),
+                    None => {
+                        breach(Rule::Half, format!("limiter {limiter}: an incomplete request was not ended"))
+                    }
                 }
             }
             _ => {}
         }
     }
-    took.extend(starting.values().map(|from| index.end - from).filter(|waited| *waited > READY_MS));
-    let late = took.iter().filter(|ms| **ms > READY_MS).count() as f64;
-    if late > (1.0 - READY_FRACTION) * took.len() as f64 || took.iter().any(|ms| *ms > MAX_READY_MS) {
-        let what = format!("{late} of {} starts were not ready within {READY_MS} ms", took.len());
+    start_durations
+        .extend(starting.values().map(|from| index.end - from).filter(|waited| *waited > READY_MS));
+    let late_count = start_durations.iter().filter(|ms| **ms > READY_MS).count() as f64;
+    if late_count > (1.0 - READY_FRACTION) * start_durations.len() as f64
+        || start_durations.iter().any(|ms| *ms > MAX_READY_MS)
+    {
+        let what =
+            format!("{late_count} of {} starts were not ready within {READY_MS} ms", start_durations.len());
         breaches.push(Breach { rule: Rule::Process, at: index.end, what, request: None });
     }
 }
--- a/crates/soak/src/judge/tests.rs
+++ b/crates/soak/src/judge/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule is broken by hand, once, in a history that keeps them all: the judge has to name just that one.
+//! Each test breaks one rule in a history that keeps all the others; the judge has to name just that rule.
 
 use super::*;
 
@@ -29,14 +29,14 @@
 
 fn rules(events: Vec<(Millis, What)>) -> Vec<Rule> {
     let events = events.into_iter().map(|(at, what)| Event { at, what });
-    // Long after all of it.
+    // An event after everything else marks the end of the run.
     let end = Event { at: 60_000.0, what: What::HarnessLate { by_ms: 0.0 } };
     let history = History { terms: TERMS, events: events.chain([end]).collect() };
     judge(&history).into_iter().map(|b| b.rule).collect()
 }
 
-/// One request of that effect that goes well: a first attempt is turned away, the second serves.
-fn good(effect: Effect) -> Vec<(Millis, What)> {
+/// A request that succeeds: the first attempt is rejected, the second is served.
+fn successful_request(effect: Effect) -> Vec<(Millis, What)> {
     vec![
         (0.0, What::Told { limiter: 0, server: 0, takes: true }),
         (100.0, asked(1, effect, true)),
@@ -49,61 +49,65 @@
 }
 
 #[test]
-fn a_history_that_keeps_all_rules_breaks_none() {
+fn correct_history_has_no_breach() {
     for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
-        assert_eq!(rules(good(effect)), []);
+        assert_eq!(rules(successful_request(effect)), []);
     }
 }
 
 #[test]
-fn answers_that_are_missing_late_or_not_a_servers_are_found() {
-    let (ask, come) = ((100.0, asked(1, Effect::Safe, false)), (110.0, arrived(1, 1, 109.0, 980.0)));
+fn missing_late_and_forged_answers_are_found() {
+    let (request, arrival) = ((100.0, asked(1, Effect::Safe, false)), (110.0, arrived(1, 1, 109.0, 980.0)));
     let served = (200.0, over(1, Outcome::Served));
-    assert_eq!(rules(vec![ask.clone()]), [Rule::Answer]);
+    assert_eq!(rules(vec![request.clone()]), [Rule::Answer]);
     let late = (1800.0, answered(1, 200, Some(1)));
-    assert_eq!(rules(vec![ask.clone(), come.clone(), served.clone(), late]), [Rule::Answer]);
+    assert_eq!(rules(vec![request.clone(), arrival.clone(), served.clone(), late]), [Rule::Answer]);
     let forged = (300.0, answered(1, 200, Some(9)));
-    assert_eq!(rules(vec![ask.clone(), come, served, forged]), [Rule::Forged]);
+    assert_eq!(rules(vec![request.clone(), arrival, served, forged]), [Rule::Forged]);
     let ended = (150.0, What::Unanswered { request: 1 });
-    assert_eq!(rules(vec![ask.clone(), ended.clone()]), [Rule::Answer], "a new connection");
+    assert_eq!(rules(vec![request.clone(), ended.clone()]), [Rule::Answer], "a new connection");
     let again = (151.0, What::AskedAnew { request: 1, anew: 2 });
     let kept = (100.0, asked(1, Effect::Safe, true));
-    assert_eq!(rules(vec![kept.clone(), ended.clone()]), [Rule::Answer], "and nobody asked again");
-    assert_eq!(rules(vec![kept.clone(), ended.clone(), again.clone()]), [], "it crossed the close");
+    assert_eq!(rules(vec![kept.clone(), ended.clone()]), [Rule::Answer], "the client did not request again");
+    assert_eq!(
+        rules(vec![kept.clone(), ended.clone(), again.clone()]),
+        [],
+        "sent while the limiter closed the connection"
+    );
     let read = (110.0, arrived(1, 1, 109.0, 980.0));
-    assert_eq!(rules(vec![kept, read, ended, again]), [Rule::Answer], "it had been read");
+    assert_eq!(rules(vec![kept, read, ended, again]), [Rule::Answer], "the limiter had read the request");
 }
 
 #[test]
-fn who_was_killed_or_has_left_owes_and_is_owed_nothing() {
-    let ask = (100.0, asked(1, Effect::Safe, false));
-    assert_eq!(rules(vec![ask.clone(), (500.0, What::Killed { limiter: 0 })]), []);
-    assert_eq!(rules(vec![ask.clone(), (500.0, What::Left { request: 1 })]), []);
+fn no_answer_is_due_after_a_kill_or_a_disconnect() {
+    let request = (100.0, asked(1, Effect::Safe, false));
+    assert_eq!(rules(vec![request.clone(), (500.0, What::Killed { limiter: 0 })]), []);
+    assert_eq!(rules(vec![request.clone(), (500.0, What::Left { request: 1 })]), []);
     let (stop, go) = (What::Stopped { limiter: 0, over: false }, What::Stopped { limiter: 0, over: true });
     let late = answered(1, 429, None);
-    let paused = vec![ask.clone(), (200.0, stop), (2200.0, go), (2300.0, late.clone())];
-    assert_eq!(rules(paused), [], "it stood still");
-    assert_eq!(rules(vec![ask, (2300.0, late)]), [Rule::Answer]);
+    let paused = vec![request.clone(), (200.0, stop), (2200.0, go), (2300.0, late.clone())];
+    assert_eq!(rules(paused), [], "the limiter was stopped");
+    assert_eq!(rules(vec![request, (2300.0, late)]), [Rule::Answer]);
 }
 
 #[test]
-fn attempts_for_nobody_are_found() {
-    let ask = (100.0, asked(1, Effect::Safe, true));
+fn attempts_after_a_disconnect_or_the_answer_are_found() {
+    let request = (100.0, asked(1, Effect::Safe, true));
     let left = (200.0, What::Left { request: 1 });
     let at = |ms: Millis| (ms, arrived(1, 1, ms, 0.0));
-    assert_eq!(rules(vec![ask.clone(), left.clone(), at(349.0)]), []);
-    assert_eq!(rules(vec![ask.clone(), left, at(352.0)]), [Rule::ClientLeft]);
+    assert_eq!(rules(vec![request.clone(), left.clone(), at(349.0)]), []);
+    assert_eq!(rules(vec![request.clone(), left, at(352.0)]), [Rule::ClientLeft]);
     let refused = (1000.0, answered(1, 429, None));
-    assert_eq!(rules(vec![ask.clone(), refused.clone(), at(1052.0)]), [Rule::Afterwards]);
+    assert_eq!(rules(vec![request.clone(), refused.clone(), at(1052.0)]), [Rule::Afterwards]);
     assert_eq!(
-        rules(vec![ask, refused, at(1310.0)]),
+        rules(vec![request, refused, at(1310.0)]),
         [Rule::Afterwards, Rule::Afterwards],
-        "and after its time"
+        "after the answer and after the deadline"
     );
 }
 
 #[test]
-fn two_at_once_and_repeats_that_do_harm_are_found() {
+fn concurrent_attempts_and_harmful_repeats_are_found() {
     let history = |effect, first: Option<Outcome>, second_at: Millis| {
         let mut all = vec![(100.0, asked(1, effect, true)), (110.0, arrived(1, 1, 109.0, 900.0))];
         all.extend(first.map(|outcome| (120.0, over(1, outcome))));
@@ -117,12 +121,12 @@
     assert_eq!(history(Effect::Unsafe, Some(Outcome::Unprocessed), 150.0), []);
     assert_eq!(history(Effect::Unsafe, Some(Outcome::Reset), 150.0), [Rule::Repeat]);
     assert_eq!(history(Effect::Keyed, Some(Outcome::GivenUp), 1000.0), []);
-    // Longer deadlines than this class has would let it come so late.
+    // An attempt this late needs a longer deadline than the request has, so other rules are broken too.
     assert!(history(Effect::Keyed, Some(Outcome::GivenUp), 1700.0).contains(&Rule::Repeat));
 }
 
 #[test]
-fn a_refusal_of_what_may_have_run_is_found() {
+fn refusal_of_a_request_that_may_have_run_is_found() {
     let history = |effect, outcome| {
         rules(vec![
             (100.0, asked(1, effect, true)),
@@ -138,8 +142,8 @@
 }
 
 #[test]
-fn work_after_a_notice_and_too_much_time_told_are_found() {
-    let told = |takes| What::Told { limiter: 0, server: 0, takes };
+fn work_for_a_draining_server_and_wrong_time_left_are_found() {
+    let set_takes = |takes| What::Told { limiter: 0, server: 0, takes };
     let served = |at: Millis| {
         let end = (at + 1.0, over(1, Outcome::Served));
         [
@@ -150,21 +154,21 @@
         ]
     };
     let with = |notice: Vec<(Millis, What)>, at| rules(notice.into_iter().chain(served(at)).collect());
-    assert_eq!(with(vec![(0.0, told(true)), (500.0, told(false))], 1540.0), []);
-    assert_eq!(with(vec![(0.0, told(true)), (500.0, told(false))], 1560.0), [Rule::Drain]);
-    assert_eq!(with(vec![(500.0, told(false)), (900.0, told(true))], 1560.0), []);
-    let mut long = good(Effect::Safe);
+    assert_eq!(with(vec![(0.0, set_takes(true)), (500.0, set_takes(false))], 1540.0), []);
+    assert_eq!(with(vec![(0.0, set_takes(true)), (500.0, set_takes(false))], 1560.0), [Rule::Drain]);
+    assert_eq!(with(vec![(500.0, set_takes(false)), (900.0, set_takes(true))], 1560.0), []);
+    let mut long = successful_request(Effect::Safe);
     long[2].1 = arrived(1, 1, 109.0, 1200.0);
     assert_eq!(rules(long), [Rule::TimeLeft]);
 }
 
 #[test]
-fn a_cold_server_that_gets_more_than_its_budget_is_found() {
-    let history = |each_ms: Millis, told: bool| {
+fn requests_beyond_a_cold_servers_budget_are_found() {
+    let history = |interval_ms: Millis, notified: bool| {
         let mut all = vec![(0.0, What::ServerStarted { server: 0 })];
-        all.extend(told.then_some((10.0, What::Told { limiter: 0, server: 0, takes: true })));
+        all.extend(notified.then_some((10.0, What::Told { limiter: 0, server: 0, takes: true })));
         for n in 1..100u32 {
-            let (at, id) = (100.0 + f64::from(n) * each_ms, u64::from(n));
+            let (at, id) = (100.0 + f64::from(n) * interval_ms, u64::from(n));
             all.push((at - 5.0, asked(id, Effect::Safe, true)));
             all.push((at, arrived(id, id, at, 900.0)));
             all.push((at + 1.0, over(id, Outcome::Served)));
@@ -172,14 +176,14 @@
         }
         rules(all)
     };
-    // Four times a fifth of 30 a second for 2 s is 48: 64 at most, and more as it warms up.
+    // Four times a fifth of 30 a second for 2 s is 48; with the tolerance 64, and more as the server warms up.
     assert_eq!(history(60.0, true), []);
     assert_eq!(history(15.0, true), [Rule::Cold]);
-    assert_eq!(history(15.0, false), [], "nobody had been told");
+    assert_eq!(history(15.0, false), [], "no limiter had been notified");
 }
 
 #[test]
-fn processes_that_end_by_themselves_or_say_so_are_found() {
+fn crashes_reported_violations_and_slow_starts_are_found() {
     assert_eq!(rules(vec![(5.0, What::Exited { limiter: 0, well: true })]), []);
     assert_eq!(rules(vec![(5.0, What::Exited { limiter: 0, well: false })]), [Rule::Process]);
     let line = "violation".to_string();
--- a/crates/soak/src/limiter.rs
+++ b/crates/soak/src/limiter.rs
@@ -17,18 +17,18 @@
 use crate::history::{Limiter, Millis, Terms, What};
 use crate::http::{self, Buffer};
 
-/// The longest time that a client waits.
+/// Longest time that a client waits for an answer.
 pub const MAX_CLIENT_BUDGET_MS: Millis = 2500.0;
-/// A process has to listen within this.
+/// Time within which a process has to listen.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Which program is played, and where its files are.
+/// The program to start and its files.
 pub struct Program {
-    /// The built limiter.
+    /// Path of the built limiter.
     pub path: PathBuf,
-    /// Variables for some of its processes, by limiter; others get none.
+    /// Environment variables by limiter; limiters beyond the list get none.
     pub variables: Vec<Vec<(String, String)>>,
-    /// Where configurations are written.
+    /// Directory for configurations and logs.
     pub files: PathBuf,
 }
 
@@ -39,35 +39,35 @@
 }
 
 impl Process {
-    /// Sends a signal; one that has been waited for gets none.
+    /// Sends a signal; no effect on a process that has been waited for.
     pub fn signal(&self, signal: Signal) {
         if self.child.id().is_some() {
             let _ = kill(Pid::from_raw(self.pid), signal);
         }
     }
 
-    /// Whether it ended, and well.
+    /// Returns whether the process exited with success; `None` while it runs.
     pub fn exited_well(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
-    /// Kills it and waits until it is gone.
+    /// Kills the process and waits for its end.
     pub async fn kill(&mut self) {
         let _ = self.child.kill().await;
     }
 }
 
-/// Addresses for datagrams of all limiters.
+/// Returns addresses for the datagrams of all limiters.
 ///
 /// # Errors
-/// One plain line.
+/// An address cannot be bound.
 pub fn peer_addresses(limiters: usize) -> Result<Vec<SocketAddr>, String> {
     let bound: Result<Vec<_>, _> = (0..limiters).map(|_| UdpSocket::bind("127.0.0.1:0")).collect();
     let all = bound.and_then(|all| all.iter().map(UdpSocket::local_addr).collect::<Result<Vec<_>, _>>());
-    all.map_err(|e| format!("no address for datagrams: {e}"))
+    all.map_err(|e| format!("cannot bind an address for datagrams: {e}"))
 }
 
-/// The configuration of a limiter, as things stand.
+/// Returns the configuration of a limiter, with the present server list.
 pub fn configuration(environment: &Environment, limiter: Limiter, peers: &[SocketAddr]) -> String {
     let entry = &environment.limiters[limiter];
     let terms: Terms = environment.terms;
@@ -94,10 +94,10 @@
     config.to_string()
 }
 
-/// Writes the configuration of a limiter as things stand; its path.
+/// Writes the present configuration of a limiter and returns its path.
 ///
 /// # Errors
-/// One plain line.
+/// The file cannot be written.
 pub fn write_configuration(
     environment: &Environment,
     program: &Program,
@@ -110,10 +110,10 @@
     Ok(path)
 }
 
-/// Starts a process of a limiter, and waits until it listens.
+/// Starts a process of a limiter and waits until it listens.
 ///
 /// # Errors
-/// One plain line.
+/// Says what could not be started.
 pub async fn start(
     environment: &Rc<Environment>,
     program: &Program,
@@ -128,7 +128,7 @@
     command.arg("--extensions").arg(log_settings(&program.files)?);
     command.env("ROUTER_CONFIG", config).envs(program.variables.get(limiter).into_iter().flatten().cloned());
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
-    let mut child = command.spawn().map_err(|e| format!("a limiter does not start: {e}"))?;
+    let mut child = command.spawn().map_err(|e| format!("a limiter cannot be started: {e}"))?;
     let pid = child.id().ok_or("a limiter ended at once")? as i32;
     let log = child.stderr.take().ok_or("a limiter has no log")?;
     let entry = &environment.limiters[limiter];
@@ -141,8 +141,8 @@
         .open(program.files.join(format!("n{limiter}.log")));
     tokio::task::spawn_local(read_log(environment.clone(), limiter, log, address_sender, copy.ok()));
     let at = tokio::time::timeout(START_TIMEOUT, listening).await;
-    let at = at.map_err(|_| format!("limiter {limiter} does not listen"))?;
-    entry.addr.set(at.map_err(|_| format!("limiter {limiter} ends as it starts"))?);
+    let at = at.map_err(|_| format!("limiter {limiter} did not listen in time"))?;
+    entry.addr.set(at.map_err(|_| format!("limiter {limiter} ended during its start"))?);
     Ok(Process { child, pid })
 }
 
@@ -155,7 +155,8 @@
     Ok(path)
 }
 
-/// Reads a log to its end: where it address_sender, and what it says of rules that it broke. All of it is kept in a file.
+/// Reads a log to its end: the address at which the limiter serves, and rules that it reports as broken. All
+/// lines are copied to a file.
 async fn read_log(
     environment: Rc<Environment>,
     limiter: Limiter,
@@ -187,7 +188,8 @@
     }
 }
 
-/// Waits until a limiter says that it is ready, as the front does; false if its process was replaced meanwhile.
+/// Waits until a limiter reports that it is ready, as the platform's front does; false if its process was
+/// replaced meanwhile.
 pub async fn wait_until_ready(environment: &Environment, limiter: Limiter) -> bool {
     let entry = &environment.limiters[limiter];
     let process = entry.process_number.get();
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,75 +1,77 @@
-//! What goes wrong in a run, drawn from its seed: troubles crossing in twos and threes, within a fraction of a second, at the same
-//! limiter or server.
+//! Faults of a run, drawn from its seed: they coincide in twos and threes, within a fraction of a second, at
+//! the same limiter or server.
 
 use crate::history::{Limiter, Millis, Server};
 
-/// Something that goes wrong.
+/// A fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// A limiter's process stands still.
+    /// A limiter's process is stopped for so long.
     Stop(Limiter, Millis),
-    /// A limiter's configuration names another place of discovery.
+    /// A limiter's configuration is changed to the other discovery agent and reloaded.
     Reload(Limiter),
-    /// A limiter is told to end, killed in time and started again.
+    /// A limiter is asked to end, killed when its time is up, and started again.
     Restart(Limiter),
     /// A limiter is killed and started again.
     Kill(Limiter),
-    /// A server drains, for so long; then it is gone, and comes back cold.
+    /// A server drains for so long, is removed, and comes back cold.
     Drain(Server, Millis),
-    /// A server's process dies and comes back cold after so long.
+    /// A server's process ends and comes back cold after so long.
     Crash(Server, Millis),
     /// A server answers nothing for so long.
     Hang(Server, Millis),
     /// A server resets all its connections.
     Reset(Server),
-    /// A limiter's agent says nothing for so long, and learns nothing.
+    /// A limiter's discovery agent sends nothing for so long, and receives no updates.
     SilenceAgent(Limiter, Millis),
-    /// A limiter's watch ends.
+    /// A limiter's watch on discovery is closed.
     CloseWatch(Limiter),
-    /// A limiter's watch stays open, and says nothing more.
+    /// A limiter's watch on discovery stays open and sends nothing more.
     SilenceWatch(Limiter),
-    /// All clients of a limiter that wait for an answer leave.
+    /// All clients that wait for an answer of a limiter disconnect.
     DisconnectClients(Limiter),
-    /// So many idle clients connect to a limiter and stay.
+    /// So many clients connect to a limiter, send nothing and stay connected.
     IdleConnections(Limiter, u32),
 }
 
-/// A fault and when it begins.
+/// A fault with its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScheduledFault {
-    /// Milliseconds from the begin of the run.
+    /// Milliseconds from the start of the run.
     pub at_ms: Millis,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// A run.
+/// The faults of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Draws all of it.
+    /// Seed of the run.
     pub seed: u64,
-    /// How many limiters.
+    /// Number of limiters.
     pub limiters: usize,
-    /// How many servers.
+    /// Number of servers.
     pub servers: usize,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub length_ms: Millis,
-    /// What goes wrong, in the order of time.
+    /// The faults in the order of time.
     pub faults: Vec<ScheduledFault>,
 }
 
-/// Nothing goes wrong before all have settled, and in the last part of a run.
+/// No fault starts before this, while limiters and clients settle.
 const FIRST_FAULT_MS: Millis = 2500.0;
+/// No fault starts in this last part of a run.
 const QUIET_END_MS: Millis = 4000.0;
-/// Between one crossing of troubles and the next, and within one.
+/// Time between one group of coinciding faults and the next, at least and at most.
 const CROSSING_INTERVAL_MS: (Millis, Millis) = (300.0, 1200.0);
+/// Faults of a group start within this time.
 const CROSSING_SPREAD_MS: Millis = 400.0;
 
 fn between(rng: &mut fastrand::Rng, (low, high): (Millis, Millis)) -> Millis {
     low + (high - low) * rng.f64()
 }
 
-/// A fault of a limiter's own.
+/// Draws a fault of a limiter.
 fn draw_limiter_fault(rng: &mut fastrand::Rng, limiter: Limiter) -> Fault {
     match rng.u32(0..11) {
         0 | 1 => Fault::Stop(limiter, between(rng, (100.0, 400.0))),
@@ -85,7 +87,7 @@
     }
 }
 
-/// A fault of a server's.
+/// Draws a fault of a server.
 fn draw_server_fault(rng: &mut fastrand::Rng, server: Server) -> Fault {
     match rng.u32(0..6) {
         0..=2 => Fault::Drain(server, between(rng, (2000.0, 5000.0))),
@@ -96,7 +98,7 @@
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64, limiters: usize, servers: usize, length_ms: Millis) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut faults = Vec::new();
@@ -124,7 +126,7 @@
     use super::*;
 
     #[test]
-    fn a_seed_draws_the_same_plan_and_troubles_meet() {
+    fn plan_is_reproducible_and_dense() {
         let plan = Plan::draw(7, 24, 10, 30_000.0);
         assert_eq!(plan, Plan::draw(7, 24, 10, 30_000.0));
         assert_ne!(plan.faults, Plan::draw(8, 24, 10, 30_000.0).faults);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays a plan: servers, agents and clients on loopback round limiters as processes.
+//! Runs a plan: servers, agents and clients on loopback, with limiters as processes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -19,7 +19,7 @@
 use crate::plan::Plan;
 use crate::{agent, client, faults, server};
 
-/// What limiters keep to in every run.
+/// Terms that limiters have to keep in every run.
 pub const TERMS: Terms = Terms {
     drain_grace_ms: 1000.0,
     window_ms: 1500.0,
@@ -29,54 +29,55 @@
     fall: (4.0, 2000.0),
 };
 
-/// Clients that ask of each limiter.
+/// Clients of each limiter.
 const CLIENTS_PER_LIMITER: usize = 3;
-/// Limiters that start at one time.
+/// Limiters that are started at the same time.
 const CONCURRENT_STARTS: usize = 8;
-/// After clients have asked their last all is waited for so long.
+/// Time allowed for final answers after clients have sent their last request.
 const FINAL_ANSWERS_TIMEOUT: Duration = Duration::from_millis(5000);
-/// The harness looks so often whether it is late itself, and notes what is over this.
+/// Interval at which the test environment checks its own lateness.
 const LATENESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Lateness above this is recorded.
 const MIN_RECORDED_LATENESS_MS: f64 = 15.0;
 
-/// All of a run that troubles reach.
+/// The parts of a run that faults act on.
 pub struct TestRun {
-    /// What all share.
+    /// The state shared by all parts of the run.
     pub environment: Rc<Environment>,
-    /// What is started.
+    /// The program to start.
     pub program: Program,
-    /// The limiters' processes; none while one is started again.
+    /// The limiters' processes; `None` while one is being started again.
     pub processes: RefCell<Vec<Option<Process>>>,
-    /// Troubles that keep each limiter stopped.
+    /// Number of faults that keep each limiter stopped.
     pub stop_counts: Vec<Cell<u32>>,
-    /// Where limiters hear one another.
+    /// Addresses at which limiters receive datagrams.
     pub peers: Vec<SocketAddr>,
-    /// Servers that another fault has.
+    /// Servers that a fault already acts on.
     pub busy_servers: RefCell<HashSet<Server>>,
     failure: RefCell<Option<String>>,
 }
 
 impl TestRun {
-    /// The harness itself cannot go on.
+    /// Records that the test environment itself cannot go on.
     pub fn record_failure(&self, why: String) {
         self.failure.borrow_mut().get_or_insert(why);
     }
 }
 
-/// Which program is played, and where its configurations and logs are kept.
+/// The program to run, and where its configurations and logs are kept.
 pub struct RunConfig {
-    /// The built limiter.
+    /// Path of the built limiter.
     pub program: PathBuf,
-    /// Variables by limiter, for those that get any.
+    /// Environment variables by limiter.
     pub variables: Vec<Vec<(String, String)>>,
     /// An empty directory.
     pub files: PathBuf,
 }
 
-/// Plays a plan and returns what was seen. Interrupted, it ends all that it has started.
+/// Runs a plan and returns what was observed. On an interrupt all started processes end.
 ///
 /// # Errors
-/// One plain line: what of the harness could not be done.
+/// Says what the test environment could not do.
 pub fn run_plan(plan: &Plan, config: RunConfig) -> Result<History, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
@@ -86,14 +87,14 @@
         tokio::select! {
             history = run_on_loopback(plan, config) => history,
             _ = tokio::signal::ctrl_c() => Err("interrupted".to_string()),
-            _ = term.recv() => Err("asked to end".to_string()),
+            _ = term.recv() => Err("terminated".to_string()),
         }
     })
 }
 
 async fn listen() -> Result<(TcpListener, SocketAddr), String> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("no port: {e}"))?;
-    let addr = listener.local_addr().map_err(|e| format!("no address: {e}"))?;
+    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("cannot open a port: {e}"))?;
+    let addr = listener.local_addr().map_err(|e| format!("cannot read the address of a port: {e}"))?;
     Ok((listener, addr))
 }
 
@@ -173,7 +174,7 @@
     Ok(())
 }
 
-/// Clients ask, and troubles happen, for the length of the plan.
+/// Runs clients and faults for the length of the plan.
 async fn run_clients_and_faults(test_run: &Rc<TestRun>) {
     let environment = &test_run.environment;
     let began = environment.now();
@@ -194,7 +195,7 @@
     tokio::time::sleep(FINAL_ANSWERS_TIMEOUT).await;
 }
 
-/// All limiters are told to end, and have to do so well.
+/// Asks all limiters to end, which they have to do with success.
 async fn end_all(test_run: &Rc<TestRun>) {
     let environment = &test_run.environment;
     for process in test_run.processes.borrow().iter().flatten() {
@@ -204,7 +205,7 @@
     tokio::time::sleep(Duration::from_secs_f64(environment.terms.kill_after_ms / 1000.0)).await;
     for (limiter, process) in test_run.processes.borrow_mut().iter_mut().enumerate() {
         if let Some(process) = process {
-            // One that still runs is killed by the platform; nothing is open any more.
+            // The platform would kill a process that still runs; no request is open any more.
             if let Some(well) = process.exited_well() {
                 environment.record(What::Exited { limiter, well });
             }
@@ -223,7 +224,7 @@
     }
 }
 
-/// What a limiter wrote to its log, of those lines that name a request.
+/// Returns the lines of a limiter's log that name a request, by its correlation id or its number in the log.
 pub fn request_log_lines(files: &Path, limiter: usize, correlation: &str) -> Vec<String> {
     let text = std::fs::read_to_string(files.join(format!("n{limiter}.log"))).unwrap_or_default();
     let numbers: Vec<String> = text
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,4 +1,4 @@
-//! Servers: they note each attempt, and do with it what a draw says.
+//! Servers: they record each attempt and treat it as drawn at random.
 
 use std::io;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::history::{Attempt, Millis, Outcome, Request, Server, What};
 use crate::http::{self, Buffer};
 
-/// What a server does with an attempt.
+/// How a server treats an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Behaviour {
     Serve(Millis),
@@ -21,7 +21,7 @@
     Reset(Millis),
 }
 
-/// Serves as one process of a server, until its generation ends.
+/// Serves as one process of a server until its generation changes.
 pub async fn serve(environment: Rc<Environment>, server: Server, listener: TcpListener) {
     let mut generation = environment.servers.borrow()[server].generation.subscribe();
     loop {
@@ -99,12 +99,12 @@
     }
 }
 
-/// The body of an answer: it names its attempt.
+/// Returns the body of an answer, which names its attempt.
 fn answer_body(attempt: Attempt) -> String {
     format!("attempt {attempt}")
 }
 
-/// The attempt that a body names.
+/// Returns the attempt that a body names.
 pub fn attempt_in_body(text: &str) -> Option<Attempt> {
     text.strip_prefix("attempt ")?.parse().ok()
 }
@@ -113,7 +113,7 @@
     environment.record(What::Over { attempt, outcome });
 }
 
-/// Works on an attempt; nothing where its limiter gives it up.
+/// Works on an attempt; `None` if its limiter closes the connection.
 async fn work_on(environment: &Environment, server: Server, stream: &mut TcpStream) -> Option<Behaviour> {
     let drains = environment.servers.borrow()[server].state != ServerState::Active;
     let behaviour = match environment.draw(|rng| rng.u32(0..100)) {
@@ -137,13 +137,13 @@
         }
         tokio::select! {
             () = tokio::time::sleep(Duration::from_secs_f64(wait / 1000.0)) => {}
-            // Nothing may come but the end.
+            // A limiter sends nothing before the answer, so a read returns only at the close.
             _ = stream.read(&mut byte) => return None,
         }
     }
 }
 
-/// Breaks a connection off.
+/// Resets a connection.
 fn reset_connection(stream: TcpStream) -> io::Result<()> {
     stream.set_zero_linger()
 }
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -1,6 +1,6 @@
 //! A library that makes system calls of one process fail in ways that Linux documents. It is compiled from
-//! `shim/failing_calls.c` with the C compiler that Rust links with, and loaded by `LD_PRELOAD` into the processes that a
-//! test starts, and into no other.
+//! `shim/failing_calls.c` with the C compiler that Rust links with, and loaded by `LD_PRELOAD` only into the
+//! processes that a test starts.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -9,28 +9,28 @@
 
 const SOURCE: &str = include_str!("../shim/failing_calls.c");
 
-/// Which calls fail, and how often. Chances are in thousandths.
+/// Which calls fail, and how often. Probabilities are in thousandths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FailingCalls {
-    /// Reads from TCP sockets bring fewer bytes than there are.
+    /// Reads from TCP sockets return fewer bytes than are available.
     pub short_reads: u32,
-    /// Writes to TCP sockets take fewer bytes than there is room for.
+    /// Writes to TCP sockets take fewer bytes than fit.
     pub short_writes: u32,
-    /// Reads, writes, accepts and waits end with EINTR.
+    /// Reads, writes, accepts and waits fail with EINTR.
     pub interrupted: u32,
-    /// Accepts end with ECONNABORTED, ENFILE, ENOBUFS or EMFILE.
+    /// Accepts fail with ECONNABORTED, ENFILE, ENOBUFS or EMFILE.
     pub accepts: u32,
-    /// Connects end with EADDRNOTAVAIL, ENETUNREACH or ENOBUFS.
+    /// Connects fail with EADDRNOTAVAIL, ENETUNREACH or ENOBUFS.
     pub connects: u32,
-    /// Reads end with ETIMEDOUT or EHOSTUNREACH.
+    /// Reads fail with ETIMEDOUT or EHOSTUNREACH.
     pub broken: u32,
-    /// So many first calls of `socket` for IPv4 fail.
+    /// Number of first calls of `socket` for IPv4 that fail.
     pub first_sockets: u32,
-    /// So many first calls of `bind` fail.
+    /// Number of first calls of `bind` that fail.
     pub first_binds: u32,
-    /// The wall clock is off by so many milliseconds; the monotonic clock is not.
+    /// Offset of the wall clock in milliseconds; the monotonic clock is exact.
     pub wall_clock_ms: i64,
-    /// Draws which calls fail.
+    /// Seed of the random choice of calls that fail.
     pub seed: u32,
 }
 
@@ -62,9 +62,10 @@
     /// Compiles the library.
     ///
     /// # Errors
-    /// One plain line: there is no C compiler, or it refuses the source.
+    /// There is no C compiler, or it rejects the source.
     pub fn build() -> Result<Shim, String> {
-        let directory = TempDir::with_prefix("marldeal-shim-").map_err(|e| format!("no directory: {e}"))?;
+        let directory =
+            TempDir::with_prefix("marldeal-shim-").map_err(|e| format!("cannot create a directory: {e}"))?;
         let source = directory.path().join("failing_calls.c");
         std::fs::write(&source, SOURCE).map_err(|e| format!("{}: {e}", source.display()))?;
         let shim = Shim { directory };
@@ -74,7 +75,7 @@
             .arg(&source)
             .arg("-ldl")
             .output()
-            .map_err(|e| format!("no C compiler: {e}"))?;
+            .map_err(|e| format!("cannot run the C compiler: {e}"))?;
         match output.status.success() {
             true => Ok(shim),
             false => Err(format!("the shim does not compile: {}", String::from_utf8_lossy(&output.stderr))),
@@ -85,14 +86,14 @@
         self.directory.path().join("failing_calls.so")
     }
 
-    /// What the environment of a process must hold for its calls to fail so.
+    /// Returns the environment variables that make the calls of a process fail.
     pub fn environment(&self, calls: &FailingCalls) -> Vec<(String, String)> {
         let mut all = calls.variables();
         all.push(("LD_PRELOAD".to_string(), self.path().display().to_string()));
         all
     }
 
-    /// The same for opens of one file that fail as long as another file exists.
+    /// Returns the environment variables that make opens of one file fail as long as another file exists.
     pub fn failing_open(&self, path: &Path, while_exists: &Path) -> Vec<(String, String)> {
         let mut all = self.environment(&FailingCalls::default());
         all.push(("SHIM_OPEN_PATH".to_string(), path.display().to_string()));
