--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,7 +1,8 @@
-//! Member customers and their dispatch programs: who asks when, for what, at which limiter, and what a client does next.
+//! Customers and their clients: when a request is made, of which class, at which limiter, and when a client retries.
 //!
-//! Open loop: arrivals are decided by the seed alone and wait for no answer. It sends nothing itself: [`ClientAction`] tells
-//! what a client does, and the host, a virtual network or sockets, carries it out.
+//! The load is an open loop: the seed alone decides the arrivals, which do not wait for answers. This module sends
+//! nothing itself. Each [`ClientAction`] says what a client does, and the caller carries it out in a virtual network or on
+//! sockets.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,209 +15,209 @@
 use crate::draws::{self, Stream};
 use crate::scenario::{Repeats, Scenario, MOST_FIRMS};
 
-/// A member customer.
+/// A customer.
 #[derive(Debug, Clone)]
 pub struct Customer {
-    /// Its number, the same at every limiter.
+    /// Its id, the same at every limiter.
     pub id: CustomerId,
-    /// Its plan.
+    /// Index of its plan.
     pub plan: usize,
-    /// How many limiters get its requests...
+    /// Number of limiters that receive its requests...
     pub spread: u32,
-    /// ...counted round from this one.
+    /// ...starting at this one, in the order of their positions.
     pub first: u32,
-    /// Its requests come through proxies that ask a limiter about each.
+    /// Whether its requests come through proxies that ask a limiter about each.
     pub proxied: bool,
-    /// Units a second that it asks for, without its moods.
-    pub asks: f64,
-    mood: Mood,
-    /// What its moods and the day's troubles make of it.
-    times: f64,
+    /// Units per second that it requests on average, before its pattern and faults change that.
+    pub demand: f64,
+    pattern: Pattern,
+    /// Factors on the demand from its pattern and from faults.
+    demand_factor: f64,
     surge: f64,
-    /// How its requests are dealt out to its limiters, as cumulative shares.
-    dealt: [f64; 4],
-    /// Arrivals drawn before a change of its rate no longer count.
-    turn: u32,
+    /// Cumulative shares of its requests by limiter.
+    limiter_shares: [f64; 4],
+    /// Incremented at each change of its rate; arrivals of an earlier generation no longer count.
+    generation: u32,
     rng: Stream,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Mood {
-    Even,
-    Greedy(f64),
-    Flash(f64),
+enum Pattern {
+    Steady,
+    Sustained(f64),
+    Burst(f64),
 }
 
-/// One try of a client's request.
+/// One try of a request: the request as sent once by the client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Try {
-    /// Which try; never used twice.
+    /// Id of the try, unique within a run.
     pub id: u64,
-    /// Which request: the same for a client's further tries.
+    /// Id of the request, the same for all its tries.
     pub job: u64,
-    /// Whose.
+    /// Index of the customer.
     pub customer: usize,
-    /// Its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// At which limiter.
+    /// The limiter that it is sent to.
     pub limiter: usize,
-    /// Work that it will cost a node.
+    /// Work that the request costs a server, in milliseconds of one core.
     pub work: Millis,
-    /// How long the client waits.
+    /// How long the client waits for an answer.
     pub budget_ms: Millis,
-    /// When the request was first asked for.
+    /// When the request was made.
     pub asked: Millis,
-    /// Which try of the request, from 0.
+    /// Index of the try within its request, from 0.
     pub turn: u32,
 }
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// Served.
+    /// The request was served.
     Served,
-    /// Refused, and not asked again.
+    /// The last try was refused.
     Refused,
-    /// Failed, or nobody was reached, and not asked again.
+    /// The last try failed, or no limiter was reached.
     Failed,
-    /// The client left without an answer.
+    /// The client disconnected without an answer.
     Disconnected,
 }
 
-/// What a client does.
+/// An action of a client.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClientAction {
-    /// Sends a try.
+    /// The client sends a try.
     Send(Try),
-    /// Closes the connection of a try.
+    /// The client closes the connection of a try.
     Disconnect(u64),
-    /// A request is over.
+    /// A request is finished.
     Finished {
-        /// Its last try.
+        /// The last try.
         last: Try,
-        /// How.
+        /// The outcome.
         outcome: ClientOutcome,
     },
 }
 
-/// What came of a try.
+/// Result of a try.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TryResult {
-    /// A limiter's final answer.
+    /// The final answer of a limiter.
     Answer(Answer),
-    /// No connection, or it broke: no limiter answers.
+    /// There was no connection, or it was lost before an answer.
     NoAnswer,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Moment {
-    Arrives { customer: u32, turn: u32 },
-    Again { slot: u32, job: u64 },
-    Patience { slot: u32, try_id: u64 },
-    Moody { customer: u32, on: bool },
-    Shift { customer: u32 },
+enum Event {
+    Arrival { customer: u32, generation: u32 },
+    Retry { slot: u32, job: u64 },
+    Timeout { slot: u32, try_id: u64 },
+    PatternChange { customer: u32, on: bool },
+    LimiterShift { customer: u32 },
     Stranger,
 }
 
 #[derive(Debug, Clone)]
-struct Open {
+struct OpenRequest {
     current: Try,
-    /// When the client's patience with the whole request ends.
-    until: Millis,
-    waits: bool,
+    /// When the client gives up the whole request.
+    give_up_at: Millis,
+    waiting_for_retry: bool,
 }
 
-/// All clients.
+/// The clients of all customers.
 pub struct Clients {
     scenario: Scenario,
     customers: Vec<Customer>,
-    moments: BinaryHeap<Reverse<(u64, u64, Moment)>>,
-    number: u64,
-    /// Requests that are open, by slot; a slot is used again.
-    open: Vec<Option<Open>>,
+    events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    sequence: u64,
+    /// Open requests by slot; slots are reused.
+    open: Vec<Option<OpenRequest>>,
     free: Vec<u32>,
-    /// The slot of each try that is out, and of each request that waits for its next.
+    /// The slot of each outstanding try, and of each request that waits for its next try.
     slots: FxHashMap<u64, u32>,
-    next: u64,
+    last_id: u64,
     rng: Stream,
     end: Millis,
-    /// Strangers a second and their plan.
+    /// Requests of strangers per second, and their plan.
     strangers: Option<(f64, usize)>,
-    usual: usize,
+    regular_customers: usize,
 }
 
-/// Firms well within their quota use this share of it.
-const USUAL_USE: [f64; 2] = [0.1, 0.6];
-/// Firms that use nearly all.
-const FULL_USE: f64 = 0.95;
-/// Seconds of a greedy customer's spells, and of the times between.
-const SPELL_S: [f64; 2] = [10.0, 30.0];
-/// Seconds between the moments of a flash customer.
-const FLASH_EVERY_S: [f64; 2] = [8.0, 30.0];
-/// An answer that is on its way when the time is up is still taken.
+/// Share of their quota that most customers use, minimum and maximum.
+const NORMAL_USE: [f64; 2] = [0.1, 0.6];
+/// Share of their quota that customers with high use request.
+const HIGH_USE: f64 = 0.95;
+/// Length in seconds of periods of sustained excess demand, and of the pauses between them.
+const SUSTAINED_S: [f64; 2] = [10.0, 30.0];
+/// Seconds between short bursts.
+const BURST_INTERVAL_S: [f64; 2] = [8.0, 30.0];
+/// Time after the deadline for which a client still takes an answer, because it may be on its way.
 pub const ANSWER_SLACK_MS: Millis = 50.0;
-/// Numbers of customers begin here; those of strangers at `STRANGERS`.
+/// First ids of customers and of strangers.
 const FIRST_CUSTOMER: CustomerId = 1000;
-const STRANGERS: CustomerId = 1 << 32;
+const FIRST_STRANGER: CustomerId = 1 << 32;
 
-/// Moments are ordered as whole nanoseconds.
+/// Converts a time to whole nanoseconds, by which events are ordered.
 fn nanos(ms: Millis) -> u64 {
     (ms * 1e6).ceil() as u64
 }
 
 impl Clients {
-    /// The clients of a scenario; requests are drawn from `from` on, for as long as it lasts.
+    /// Creates the clients of a scenario. Requests are drawn from `from` on, for the length of the scenario.
     pub fn new(scenario: &Scenario, seed: u64, from: Millis) -> Clients {
         let mut clients = Clients {
             scenario: scenario.clone(),
             customers: Vec::new(),
-            moments: BinaryHeap::new(),
-            number: 0,
+            events: BinaryHeap::new(),
+            sequence: 0,
             open: Vec::new(),
             free: Vec::new(),
             slots: FxHashMap::default(),
-            next: 0,
+            last_id: 0,
             rng: draws::stream(seed, "clients", 0),
             end: from + scenario.seconds * 1000.0,
             strangers: None,
-            usual: 0,
+            regular_customers: 0,
         };
-        clients.enlist(seed, from);
-        clients.usual = clients.customers.len();
+        clients.create_customers(seed, from);
+        clients.regular_customers = clients.customers.len();
         clients
     }
 
-    /// Draws customers, plan by plan, until their use inside the quotas comes to what the scenario wants.
-    fn enlist(&mut self, seed: u64, from: Millis) {
+    /// Draws customers, plan by plan, until their use within the quotas reaches that of the scenario.
+    fn create_customers(&mut self, seed: u64, from: Millis) {
         let units_per_s = self.scenario.requests_per_s() * self.scenario.mean(|c| c.units);
         let c = self.scenario.clients.clone();
         for plan in 0..self.scenario.plans.len() {
-            let wanted = units_per_s * self.scenario.plan_share(plan);
+            let target = units_per_s * self.scenario.plan_share(plan);
             let rate = self.scenario.plans[plan].rate;
             let mut used = 0.0;
-            while used < wanted && self.customers.len() < MOST_FIRMS {
+            while used < target && self.customers.len() < MOST_FIRMS {
                 let index = self.customers.len() as u64;
                 let mut rng = draws::stream(seed, "firm", index);
                 let kind = rng.random::<f64>();
-                let usual = draws::between(&mut rng, USUAL_USE);
-                let most = rng.random::<f64>();
-                let (share, mood) = if kind < c.full {
-                    (FULL_USE, Mood::Even)
+                let normal_use = draws::between(&mut rng, NORMAL_USE);
+                let intensity = rng.random::<f64>();
+                let (share, pattern) = if kind < c.full {
+                    (HIGH_USE, Pattern::Steady)
                 } else if kind < c.full + c.greedy {
-                    (usual, Mood::Greedy(1.0 + (c.greedy_times - 1.0) * most))
+                    (normal_use, Pattern::Sustained(1.0 + (c.greedy_times - 1.0) * intensity))
                 } else if kind < c.full + c.greedy + c.flash {
-                    (usual, Mood::Flash(1.0 + (c.flash_times - 1.0) * most))
+                    (normal_use, Pattern::Burst(1.0 + (c.flash_times - 1.0) * intensity))
                 } else {
-                    (usual, Mood::Even)
+                    (normal_use, Pattern::Steady)
                 };
-                // The last customer of a plan asks for what is still wanted.
-                let asks = (share * rate).min(wanted - used).max(0.02 * rate);
-                used += asks;
+                // The last customer of a plan gets the demand that remains.
+                let demand = (share * rate).min(target - used).max(0.02 * rate);
+                used += demand;
                 let spread =
                     c.spread[0] + (rng.random::<f64>() * f64::from(c.spread[1] - c.spread[0] + 1)) as u32;
                 let limiters = self.scenario.limiters.count;
                 let first = (rng.random::<f64>() * f64::from(limiters)) as u32 % limiters;
-                // A stream of its own: the rest of the draws stay as they are without proxies.
+                // A stream of its own, so that the other draws do not depend on the share of proxies.
                 let proxied = draws::chance(&mut draws::stream(seed, "proxied", index), c.proxied);
                 self.customers.push(Customer {
                     id: FIRST_CUSTOMER + index,
@@ -224,187 +225,191 @@
                     plan,
                     spread: spread.min(limiters).min(4),
                     first,
-                    asks,
-                    mood,
-                    times: 1.0,
+                    demand,
+                    pattern,
+                    demand_factor: 1.0,
                     surge: 1.0,
-                    dealt: [1.0; 4],
-                    turn: 0,
+                    limiter_shares: [1.0; 4],
+                    generation: 0,
                     rng,
                 });
             }
         }
         for customer in 0..self.customers.len() {
-            self.deal(from, customer);
-            self.draw(from, customer);
-            let every = match self.customers[customer].mood {
-                Mood::Even => continue,
-                Mood::Greedy(_) => SPELL_S,
-                Mood::Flash(_) => FLASH_EVERY_S,
+            self.draw_limiter_shares(from, customer);
+            self.draw_arrival(from, customer);
+            let every = match self.customers[customer].pattern {
+                Pattern::Steady => continue,
+                Pattern::Sustained(_) => SUSTAINED_S,
+                Pattern::Burst(_) => BURST_INTERVAL_S,
             };
             let wait = draws::between(&mut self.customers[customer].rng, [0.0, every[1]]);
-            self.note(from + wait * 1000.0, Moment::Moody { customer: customer as u32, on: true });
+            self.schedule(from + wait * 1000.0, Event::PatternChange { customer: customer as u32, on: true });
         }
     }
 
-    /// The customers, by number.
+    /// The customers, by index.
     pub fn customers(&self) -> &[Customer] {
         &self.customers
     }
 
-    /// Requests that are not over.
+    /// Number of open requests.
     pub fn open_requests(&self) -> usize {
         self.slots.len()
     }
 
-    /// All customers, or those of a plan, ask for so many times as much; 1 ends it.
-    pub fn surge(&mut self, now: Millis, plan: Option<usize>, times: f64) {
-        for customer in 0..self.usual {
+    /// Multiplies the demand of all customers, or of those of a plan; a factor of 1 ends the surge.
+    pub fn surge(&mut self, now: Millis, plan: Option<usize>, factor: f64) {
+        for customer in 0..self.regular_customers {
             if plan.is_none_or(|p| p == self.customers[customer].plan) {
-                self.customers[customer].surge = times;
-                self.draw(now, customer);
+                self.customers[customer].surge = factor;
+                self.draw_arrival(now, customer);
             }
         }
     }
 
-    /// The last `customers` customers of the list (they are of the last plan) add `share` to all traffic; 0 ends it.
+    /// Lets the last `customers` customers of the list, which are of the last plan, add `share` to the total traffic. A share
+    /// of 0 ends the flood.
     pub fn flood(&mut self, now: Millis, customers: u32, share: f64) {
-        let total: f64 = self.customers[..self.usual].iter().map(|f| f.asks).sum();
-        let some: Vec<usize> = (0..self.usual).rev().take(customers as usize).collect();
+        let total: f64 = self.customers[..self.regular_customers].iter().map(|state| state.demand).sum();
+        let some: Vec<usize> = (0..self.regular_customers).rev().take(customers as usize).collect();
         for customer in &some {
-            let asks = self.customers[*customer].asks;
-            self.customers[*customer].surge = 1.0 + total * share / (some.len() as f64 * asks);
-            self.draw(now, *customer);
+            let demand = self.customers[*customer].demand;
+            self.customers[*customer].surge = 1.0 + total * share / (some.len() as f64 * demand);
+            self.draw_arrival(now, *customer);
         }
     }
 
-    /// Requests of customers that nobody has seen come at a rate, on a plan; nothing ends it.
+    /// Lets requests of unknown customers (strangers) arrive at a rate per second, on a plan; `None` ends it.
     pub fn strangers(&mut self, now: Millis, strangers: Option<(f64, usize)>) {
-        let before = std::mem::replace(&mut self.strangers, strangers);
-        if before.is_none() && strangers.is_some() {
-            self.note(now, Moment::Stranger);
+        let previous = std::mem::replace(&mut self.strangers, strangers);
+        if previous.is_none() && strangers.is_some() {
+            self.schedule(now, Event::Stranger);
         }
     }
 
-    /// When [`Clients::due`] is to be called.
+    /// When [`Clients::due`] has to be called next.
     pub fn next_due(&self) -> Option<Millis> {
-        self.moments.peek().map(|Reverse((at, ..))| *at as f64 / 1e6)
+        self.events.peek().map(|Reverse((at, ..))| *at as f64 / 1e6)
     }
 
-    /// Does what is due.
+    /// Handles all events that are due and appends the actions of clients.
     pub fn due(&mut self, now: Millis, out: &mut Vec<ClientAction>) {
-        while self.moments.peek().is_some_and(|Reverse((at, ..))| *at as f64 / 1e6 <= now) {
-            let Some(Reverse((_, _, moment))) = self.moments.pop() else { return };
-            match moment {
-                Moment::Arrives { customer, turn } => self.arrives(now, customer as usize, turn, out),
-                Moment::Again { slot, job } => self.again(now, slot, job, out),
-                Moment::Patience { slot, try_id } => self.leaves(now, slot, try_id, out),
-                Moment::Moody { customer, on } => self.moody(now, customer as usize, on),
-                Moment::Shift { customer } => self.deal(now, customer as usize),
-                Moment::Stranger => self.stranger(now, out),
+        while self.events.peek().is_some_and(|Reverse((at, ..))| *at as f64 / 1e6 <= now) {
+            let Some(Reverse((_, _, event))) = self.events.pop() else { return };
+            match event {
+                Event::Arrival { customer, generation } => {
+                    self.arrive(now, customer as usize, generation, out)
+                }
+                Event::Retry { slot, job } => self.retry(now, slot, job, out),
+                Event::Timeout { slot, try_id } => self.time_out(now, slot, try_id, out),
+                Event::PatternChange { customer, on } => self.change_pattern(now, customer as usize, on),
+                Event::LimiterShift { customer } => self.draw_limiter_shares(now, customer as usize),
+                Event::Stranger => self.arrive_stranger(now, out),
             }
         }
     }
 
-    /// A try has come to its end.
-    pub fn try_ended(&mut self, now: Millis, try_id: u64, got: TryResult, out: &mut Vec<ClientAction>) {
+    /// Handles the result of a try: finishes the request, or schedules a retry.
+    pub fn try_ended(&mut self, now: Millis, try_id: u64, result: TryResult, out: &mut Vec<ClientAction>) {
         let Some(slot) = self.slots.get(&try_id).copied() else { return };
         let Some(open) = self.open[slot as usize].as_ref() else { return };
         let current = open.current.clone();
         let class = &self.scenario.classes[current.class];
-        let (advice, outcome, may) = match got {
-            TryResult::Answer(Answer::Served) => return self.over(slot, ClientOutcome::Served, out),
+        let (advised_wait, outcome, may_retry) = match result {
+            TryResult::Answer(Answer::Served) => return self.finish(slot, ClientOutcome::Served, out),
             TryResult::Answer(Answer::Refused { retry_ms }) => (retry_ms, ClientOutcome::Refused, true),
-            // What may have run is asked again only if a repeat does no harm.
+            // A request that may have run is retried only if a repeat does no harm.
             TryResult::Answer(Answer::Failed) | TryResult::NoAnswer => {
                 let keyed = class.repeats == Repeats::Keyed && now - current.asked < class.window_s * 1000.0;
                 (0.0, ClientOutcome::Failed, class.repeats == Repeats::Safe || keyed)
             }
         };
-        let until = open.until;
+        let give_up_at = open.give_up_at;
         let c = &self.scenario.clients;
-        let times = 2f64.powi(current.turn as i32);
-        let mut wait = draws::between(&mut self.rng, c.backoff_ms) * times;
+        let backoff_factor = 2f64.powi(current.turn as i32);
+        let mut wait = draws::between(&mut self.rng, c.backoff_ms) * backoff_factor;
         if draws::chance(&mut self.rng, c.obey) {
-            wait = wait.max(advice);
+            wait = wait.max(advised_wait);
         }
-        if !may || current.turn >= c.retries || now + wait >= until {
-            return self.over(slot, outcome, out);
+        if !may_retry || current.turn >= c.retries || now + wait >= give_up_at {
+            return self.finish(slot, outcome, out);
         }
         self.slots.remove(&try_id);
-        // Kept under a number that no answer names, until it is sent again.
-        let id = self.number_try();
+        // Until it is sent again, the request is kept under a new id, which no answer refers to.
+        let id = self.next_id();
         self.slots.insert(id, slot);
         if let Some(open) = self.open[slot as usize].as_mut() {
             open.current.id = id;
-            open.waits = true;
+            open.waiting_for_retry = true;
         }
-        self.note(now + wait, Moment::Again { slot, job: current.job });
+        self.schedule(now + wait, Event::Retry { slot, job: current.job });
     }
 
-    fn number_try(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    fn note(&mut self, at: Millis, moment: Moment) {
-        self.number += 1;
-        self.moments.push(Reverse((nanos(at), self.number, moment)));
+    fn schedule(&mut self, at: Millis, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((nanos(at), self.sequence, event)));
     }
 
-    /// Draws a customer's next arrival, in place of one drawn before: Poisson arrivals have no memory.
-    fn draw(&mut self, now: Millis, customer: usize) {
+    /// Draws a customer's next arrival, which replaces the one drawn before. That is correct because Poisson arrivals are
+    /// memoryless.
+    fn draw_arrival(&mut self, now: Millis, customer: usize) {
         let units = self.scenario.mean(|c| c.units);
-        let f = &mut self.customers[customer];
-        f.turn = f.turn.wrapping_add(1);
-        let per_ms = f.asks * f.times * f.surge / units / 1000.0;
+        let state = &mut self.customers[customer];
+        state.generation = state.generation.wrapping_add(1);
+        let per_ms = state.demand * state.demand_factor * state.surge / units / 1000.0;
         if per_ms <= 0.0 {
             return;
         }
-        let (at, turn) = (now + draws::gap(&mut f.rng, per_ms), f.turn);
+        let (at, generation) = (now + draws::gap(&mut state.rng, per_ms), state.generation);
         if at < self.end {
-            self.note(at, Moment::Arrives { customer: customer as u32, turn });
+            self.schedule(at, Event::Arrival { customer: customer as u32, generation });
         }
     }
 
-    /// Deals a customer's requests out anew: one of its limiters gets the most.
-    fn deal(&mut self, now: Millis, customer: usize) {
+    /// Draws how a customer's requests are spread over its limiters; one of them gets the largest share.
+    fn draw_limiter_shares(&mut self, now: Millis, customer: usize) {
         let shift = self.scenario.clients.shift_s;
-        let f = &mut self.customers[customer];
-        let spread = f.spread as usize;
-        let mut parts = [0.0; 4];
-        for part in &mut parts[..spread] {
-            *part = 0.2 + f.rng.random::<f64>();
+        let state = &mut self.customers[customer];
+        let spread = state.spread as usize;
+        let mut weights = [0.0; 4];
+        for weight in &mut weights[..spread] {
+            *weight = 0.2 + state.rng.random::<f64>();
         }
-        parts[(f.rng.random::<f64>() * spread as f64) as usize % spread] += 1.5;
-        let whole: f64 = parts.iter().sum();
+        weights[(state.rng.random::<f64>() * spread as f64) as usize % spread] += 1.5;
+        let total: f64 = weights.iter().sum();
         let mut sum = 0.0;
-        for (dealt, part) in f.dealt.iter_mut().zip(parts) {
-            sum += part / whole;
-            *dealt = sum;
+        for (share, weight) in state.limiter_shares.iter_mut().zip(weights) {
+            sum += weight / total;
+            *share = sum;
         }
-        let at = now + draws::between(&mut f.rng, shift) * 1000.0;
+        let at = now + draws::between(&mut state.rng, shift) * 1000.0;
         if spread > 1 && at < self.end {
-            self.note(at, Moment::Shift { customer: customer as u32 });
+            self.schedule(at, Event::LimiterShift { customer: customer as u32 });
         }
     }
 
-    fn moody(&mut self, now: Millis, customer: usize, on: bool) {
+    fn change_pattern(&mut self, now: Millis, customer: usize, on: bool) {
         let flash_s = self.scenario.clients.flash_s;
         let rate = self.scenario.plans[self.customers[customer].plan].rate;
-        let f = &mut self.customers[customer];
-        let (times, lasts, rests) = match f.mood {
-            Mood::Even => return,
-            Mood::Greedy(times) => (times, SPELL_S, SPELL_S),
-            Mood::Flash(times) => (times, flash_s, FLASH_EVERY_S),
+        let state = &mut self.customers[customer];
+        let (factor, active_s, pause_s) = match state.pattern {
+            Pattern::Steady => return,
+            Pattern::Sustained(factor) => (factor, SUSTAINED_S, SUSTAINED_S),
+            Pattern::Burst(factor) => (factor, flash_s, BURST_INTERVAL_S),
         };
-        f.times = if on { times * rate / f.asks } else { 1.0 };
-        let next = draws::between(&mut f.rng, if on { lasts } else { rests });
-        self.draw(now, customer);
-        self.note(now + next * 1000.0, Moment::Moody { customer: customer as u32, on: !on });
+        state.demand_factor = if on { factor * rate / state.demand } else { 1.0 };
+        let next = draws::between(&mut state.rng, if on { active_s } else { pause_s });
+        self.draw_arrival(now, customer);
+        self.schedule(now + next * 1000.0, Event::PatternChange { customer: customer as u32, on: !on });
     }
 
-    fn stranger(&mut self, now: Millis, out: &mut Vec<ClientAction>) {
+    fn arrive_stranger(&mut self, now: Millis, out: &mut Vec<ClientAction>) {
         let Some((per_s, plan)) = self.strangers else { return };
         if now >= self.end || self.customers.len() >= MOST_FIRMS {
             return;
@@ -412,98 +417,101 @@
         let index = self.customers.len();
         let limiters = self.scenario.limiters.count;
         let first = (self.rng.random::<f64>() * f64::from(limiters)) as u32 % limiters;
-        let rng = draws::stream(self.next, "stranger", index as u64);
+        let rng = draws::stream(self.last_id, "stranger", index as u64);
         self.customers.push(Customer {
-            id: STRANGERS + index as u64,
+            id: FIRST_STRANGER + index as u64,
             proxied: false,
             plan,
             spread: 1,
             first,
-            asks: 0.0,
-            mood: Mood::Even,
-            times: 1.0,
+            demand: 0.0,
+            pattern: Pattern::Steady,
+            demand_factor: 1.0,
             surge: 1.0,
-            dealt: [1.0; 4],
-            turn: 0,
+            limiter_shares: [1.0; 4],
+            generation: 0,
             rng,
         });
-        self.asks(now, index, out);
+        self.start_request(now, index, out);
         let at = now + draws::gap(&mut self.rng, per_s / 1000.0);
-        self.note(at, Moment::Stranger);
+        self.schedule(at, Event::Stranger);
     }
 
-    fn arrives(&mut self, now: Millis, customer: usize, turn: u32, out: &mut Vec<ClientAction>) {
-        if self.customers[customer].turn == turn {
-            self.asks(now, customer, out);
-            self.draw(now, customer);
+    fn arrive(&mut self, now: Millis, customer: usize, generation: u32, out: &mut Vec<ClientAction>) {
+        if self.customers[customer].generation == generation {
+            self.start_request(now, customer, out);
+            self.draw_arrival(now, customer);
         }
     }
 
-    fn asks(&mut self, now: Millis, customer: usize, out: &mut Vec<ClientAction>) {
-        let f = &mut self.customers[customer];
+    fn start_request(&mut self, now: Millis, customer: usize, out: &mut Vec<ClientAction>) {
+        let state = &mut self.customers[customer];
         let shares: f64 = self.scenario.classes.iter().map(|c| c.share).sum();
-        let mut pick = f.rng.random::<f64>() * shares;
+        let mut pick = state.rng.random::<f64>() * shares;
         let class = self.scenario.classes.iter().position(|c| {
             pick -= c.share;
             pick < 0.0
         });
         let class = class.unwrap_or(0);
-        let work = draws::work(&mut f.rng, self.scenario.nodes.law, self.scenario.classes[class].work_ms);
+        let work = draws::work(&mut state.rng, self.scenario.nodes.law, self.scenario.classes[class].work_ms);
         let give_up = self.scenario.classes[class].give_up_s * 1000.0;
-        let job = self.number_try();
-        let first =
+        let job = self.next_id();
+        let first_try =
             Try { id: 0, job, customer, class, limiter: 0, work, budget_ms: 0.0, asked: now, turn: 0 };
         let slot = self.free.pop().unwrap_or_else(|| {
             self.open.push(None);
             self.open.len() as u32 - 1
         });
-        self.open[slot as usize] = Some(Open { current: first, until: now + give_up, waits: false });
+        self.open[slot as usize] =
+            Some(OpenRequest { current: first_try, give_up_at: now + give_up, waiting_for_retry: false });
         self.send(now, slot, out);
     }
 
-    fn again(&mut self, now: Millis, slot: u32, job: u64, out: &mut Vec<ClientAction>) {
-        let Some(open) = self.open[slot as usize].as_mut().filter(|o| o.waits && o.current.job == job) else {
+    fn retry(&mut self, now: Millis, slot: u32, job: u64, out: &mut Vec<ClientAction>) {
+        let Some(open) =
+            self.open[slot as usize].as_mut().filter(|o| o.waiting_for_retry && o.current.job == job)
+        else {
             return;
         };
-        open.waits = false;
+        open.waiting_for_retry = false;
         open.current.turn += 1;
         self.slots.remove(&open.current.id);
         self.send(now, slot, out);
     }
 
     fn send(&mut self, now: Millis, slot: u32, out: &mut Vec<ClientAction>) {
-        let id = self.number_try();
+        let id = self.next_id();
         let c = &self.scenario.clients;
         let Some(open) = self.open[slot as usize].as_mut() else { return };
-        let f = &mut self.customers[open.current.customer];
-        let pick = f.rng.random::<f64>();
-        let at = f.dealt.iter().position(|share| pick < *share).unwrap_or(0) as u32;
-        let limiter = (f.first + at.min(f.spread - 1)) % self.scenario.limiters.count;
+        let state = &mut self.customers[open.current.customer];
+        let pick = state.rng.random::<f64>();
+        let at = state.limiter_shares.iter().position(|share| pick < *share).unwrap_or(0) as u32;
+        let limiter = (state.first + at.min(state.spread - 1)) % self.scenario.limiters.count;
         let give_up = self.scenario.classes[open.current.class].give_up_s * 1000.0;
         let patience = draws::between(&mut self.rng, c.patience);
-        let left = open.until - now;
+        let remaining = open.give_up_at - now;
         open.current.id = id;
         open.current.limiter = limiter as usize;
-        open.current.budget_ms = (give_up * patience).min(left).max(1.0);
-        let mut leaves = now + open.current.budget_ms + ANSWER_SLACK_MS;
+        open.current.budget_ms = (give_up * patience).min(remaining).max(1.0);
+        let mut times_out_at = now + open.current.budget_ms + ANSWER_SLACK_MS;
         if draws::chance(&mut self.rng, c.leave) {
-            leaves = now + open.current.budget_ms * self.rng.random::<f64>();
+            times_out_at = now + open.current.budget_ms * self.rng.random::<f64>();
         }
-        let said = open.current.clone();
+        let sent = open.current.clone();
         self.slots.insert(id, slot);
-        out.push(ClientAction::Send(said));
-        self.note(leaves, Moment::Patience { slot, try_id: id });
+        out.push(ClientAction::Send(sent));
+        self.schedule(times_out_at, Event::Timeout { slot, try_id: id });
     }
 
-    fn leaves(&mut self, _now: Millis, slot: u32, try_id: u64, out: &mut Vec<ClientAction>) {
+    fn time_out(&mut self, _now: Millis, slot: u32, try_id: u64, out: &mut Vec<ClientAction>) {
         if self.slots.get(&try_id) != Some(&slot) {
             return;
         }
         out.push(ClientAction::Disconnect(try_id));
-        self.over(slot, ClientOutcome::Disconnected, out);
+        self.finish(slot, ClientOutcome::Disconnected, out);
     }
 
-    fn over(&mut self, slot: u32, outcome: ClientOutcome, out: &mut Vec<ClientAction>) {
+    fn finish(&mut self, slot: u32, outcome: ClientOutcome, out: &mut Vec<ClientAction>) {
         let Some(open) = self.open[slot as usize].take() else { return };
         self.slots.remove(&open.current.id);
         self.free.push(slot);
--- a/crates/rehearsal/src/server_model.rs
+++ b/crates/rehearsal/src/server_model.rs
@@ -1,406 +1,415 @@
-//! The parameters of a booking node: cores that share their time among requests in work, a bounded waiting room, a cold start
-//! with falling over, pauses, and a table of connections.
+//! The model of a back-end server: cores that share their time among the requests in service, a bounded queue, a cold start
+//! during which overload makes the server fail, stalls, and a connection table.
 //!
-//! It knows no clock, no network and no limiter: the time is an argument. While `n` requests are in work, each gets
-//! `speed · share(t) · efficiency · min(1, cores / n)` milliseconds of work a millisecond (egalitarian processor sharing;
-//! with as many slots as cores this is first come, first served). `share(t)` rises evenly from the cold share to one.
-//! All requests in work progress alike, so one running total decides who is done next, and the total is inverted in
-//! closed form: no small steps, no drift.
+//! The model knows no clock, network or limiter: the time is an argument. While `n` requests are in service, each gets
+//! `speed · share(t) · efficiency · min(1, cores / n)` milliseconds of work per millisecond (egalitarian processor
+//! sharing; with as many slots as cores this is first come, first served). `share(t)` rises linearly from the cold share
+//! to one. All requests in service progress at the same rate, so one running total decides which completes next. The
+//! total is inverted in closed form, which needs no time steps and does not drift.
 
 use std::collections::VecDeque;
 
 use fawnhill::Millis;
 
-/// What a node is made of.
+/// Parameters of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerParameters {
-    /// Requests that progress at full speed side by side.
+    /// Number of requests that progress at full speed at the same time.
     pub cores: f64,
-    /// Requests in work at most.
+    /// Maximum number of requests in service.
     pub slots: usize,
-    /// Requests that wait at most; beyond it they are turned away unseen.
+    /// Maximum number of queued requests; further ones are rejected before they run.
     pub queue: usize,
-    /// Work done a millisecond by one core when warm.
+    /// Work per millisecond of one core when warm, in milliseconds.
     pub speed: f64,
-    /// Capacity of a node that has just started, as a share.
+    /// Share of its capacity that a server has when it has just started.
     pub cold_share: f64,
-    /// Time until it is warm.
+    /// Time from the start until the server is warm.
     pub cold_ms: Millis,
-    /// A cold node falls over when sent this many times what it can do...
+    /// A cold server fails when it is sent more than this multiple of the work that it can do...
     pub fall_multiple: f64,
-    /// ...within a window of this length; 0 for never.
+    /// ...within a window of this length; 0 disables the failure.
     pub fall_ms: Millis,
-    /// Share of its capacity that is lost when `slots + queue` requests are held, in proportion.
+    /// Share of the capacity that is lost when `slots + queue` requests are held; fewer requests cost proportionally less.
     pub thrash: f64,
-    /// Connections that it holds at most.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Share of its capacity that a full table of connections takes, in proportion.
+    /// Share of the capacity that a full connection table costs; fewer connections cost proportionally less.
     pub table_tax: f64,
     /// Work that a new connection costs.
     pub handshake_ms: Millis,
-    /// Work of a request stops when it is called off; else it runs on.
+    /// Whether work on a request stops when it is cancelled. Otherwise it runs to its end.
     pub cancel_stops: bool,
 }
 
 impl ServerParameters {
-    /// Work that it can do in a millisecond when warm.
+    /// Work per millisecond of all cores when warm, in milliseconds.
     pub fn capacity(&self) -> f64 {
         self.cores * self.speed
     }
 }
 
-/// What a node has been asked to do: `key` is the caller's.
+/// A request as the server sees it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Job {
-    /// The caller's name for it, unique while it is held.
+    /// Key chosen by the caller, unique among the requests that the server holds.
     pub key: u64,
     /// Milliseconds of work on one core.
     pub work: Millis,
-    /// The sender had been told that this node started: counts for whose fault a fall is.
+    /// Whether the sender had been notified that this server started; decides who is to blame for an overload failure.
     pub sender_notified: bool,
 }
 
-/// Why a request was not taken in.
+/// Why a request was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// No room, or it drains: turned away unseen.
+    /// Slots and queue are full, or the server is draining. The request did not run.
     Full,
-    /// It has fallen over by this very request, and all that it held is lost.
+    /// The request overloaded the cold server, which failed and lost all requests that it held.
     Overloaded,
-    /// It does not run.
+    /// The server is not running.
     Down,
 }
 
-/// What became of a request that was called off.
+/// The effect of cancelling a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cancellation {
-    /// It had not begun.
+    /// The request was queued and is removed.
     Waiting,
-    /// It had begun and stopped.
+    /// The request was in service and is stopped.
     Stopped,
-    /// It runs on.
+    /// The request is in service and runs to its end.
     RunsOn,
-    /// It is not held.
+    /// The server does not hold the request.
     Unknown,
 }
 
-/// A request that is done.
+/// A completed request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Completion {
-    /// Which.
+    /// The key of its job.
     pub key: u64,
     /// The work that it took.
     pub work: Millis,
-    /// It had been called off and ran on.
+    /// Whether it had been cancelled and ran to its end nevertheless.
     pub cancelled: bool,
 }
 
-/// A fall: who had pushed.
+/// The overload failure of a cold server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OverloadFailure {
-    /// When.
+    /// When the server failed.
     pub at: Millis,
-    /// Share of the work that came from senders who had been told of its start.
+    /// Share of the work in the window that came from senders who had been notified of its start.
     pub notified_share: f64,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Working {
+struct Running {
     job: Job,
+    /// Value of the running total at which the job is complete.
     ends: f64,
-    called_off: bool,
+    cancel_requested: bool,
 }
 
-/// One booking node.
+/// A back-end server.
 #[derive(Debug, Clone)]
 pub struct ServerModel {
     parameters: ServerParameters,
     running: bool,
-    /// When it started; nothing for long ago (warm).
+    /// When it started; `None` if it has always been warm.
     started: Option<Millis>,
-    drains: bool,
-    /// Stalled or paused: nothing progresses.
-    halted: bool,
-    slowness: f64,
-    working: Vec<Working>,
+    draining: bool,
+    /// Nothing progresses.
+    stalled: bool,
+    /// Factor by which work takes longer.
+    slowdown: f64,
+    in_service: Vec<Running>,
     waiting: VecDeque<Job>,
-    /// Work that each request in work has had since the node is there.
+    /// Work that a request in service since the beginning would have received.
     total: f64,
-    /// When `total` was brought up to date.
+    /// When `total` was last updated.
     at: Millis,
     connections: usize,
-    pushes: VecDeque<(Millis, Millis, bool)>,
-    fall: Option<OverloadFailure>,
+    /// Arrivals in the current window of a cold server: time, work, and whether the sender had been notified.
+    recent_arrivals: VecDeque<(Millis, Millis, bool)>,
+    overload_failure: Option<OverloadFailure>,
     completed_work_ms: f64,
 }
 
-/// Slack of the fall-over budget: this many mean pushes, "for chance".
-const FALL_SLACK_PUSHES: f64 = 2.0;
-/// Rounding: a request with less work left than this is done.
-const NOTHING_MS: f64 = 1e-6;
+/// Slack of the overload limit, in mean arrivals, so that a single large request at a low rate causes no failure.
+const OVERLOAD_SLACK_ARRIVALS: f64 = 2.0;
+/// Rounding tolerance: a request with less remaining work than this is complete, relative to its size.
+const WORK_TOLERANCE_MS: f64 = 1e-6;
 
 impl ServerModel {
-    /// A node that has run for long.
+    /// Creates a running server that is warm.
     pub fn warm(parameters: ServerParameters, now: Millis) -> ServerModel {
         ServerModel {
             parameters,
             running: true,
             started: None,
-            drains: false,
-            halted: false,
-            slowness: 1.0,
-            working: Vec::new(),
+            draining: false,
+            stalled: false,
+            slowdown: 1.0,
+            in_service: Vec::new(),
             waiting: VecDeque::new(),
             total: 0.0,
             at: now,
             connections: 0,
-            pushes: VecDeque::new(),
-            fall: None,
+            recent_arrivals: VecDeque::new(),
+            overload_failure: None,
             completed_work_ms: 0.0,
         }
     }
 
-    /// What it is made of.
+    /// The parameters of the server.
     pub fn parameters(&self) -> &ServerParameters {
         &self.parameters
     }
 
-    /// Its process runs.
+    /// Whether the process of the server runs.
     pub fn running(&self) -> bool {
         self.running
     }
 
-    /// When it last started; 0 for long ago, as the roster tells it.
+    /// When the server last started; 0 if it has always been warm, as in the server list.
     pub fn started(&self) -> Millis {
         self.started.unwrap_or(0.0)
     }
 
-    /// Requests in work and waiting.
+    /// Number of requests in service and queued.
     pub fn held(&self) -> usize {
-        self.working.len() + self.waiting.len()
+        self.in_service.len() + self.waiting.len()
     }
 
-    /// Work done so far, in milliseconds of one core.
+    /// Work done so far, in milliseconds of one core. Work of cancelled requests counts as far as it was done.
     pub fn completed_work_ms(&self) -> f64 {
         self.completed_work_ms
     }
 
-    /// Its fall, if it fell since its last start.
+    /// The overload failure since the last start, if there was one.
     pub fn overload_failure(&self) -> Option<OverloadFailure> {
-        self.fall
+        self.overload_failure
     }
 
-    /// Its process starts, cold.
+    /// Starts the process, cold.
     pub fn start(&mut self, now: Millis) {
-        self.settle(now);
+        self.advance(now);
         self.running = true;
         self.started = Some(now);
-        (self.drains, self.halted, self.fall) = (false, false, None);
-        self.pushes.clear();
+        (self.draining, self.stalled, self.overload_failure) = (false, false, None);
+        self.recent_arrivals.clear();
     }
 
-    /// Its process ends; what it held is given back, as lost, also what had been called off and ran on.
+    /// Ends the process and returns the keys of the requests that it held, cancelled ones that still ran included.
     pub fn exit(&mut self, now: Millis) -> Vec<u64> {
-        self.settle(now);
+        self.advance(now);
         (self.running, self.connections) = (false, 0);
-        let mut lost: Vec<u64> = self.working.drain(..).map(|w| w.job.key).collect();
+        let mut lost: Vec<u64> = self.in_service.drain(..).map(|w| w.job.key).collect();
         lost.extend(self.waiting.drain(..).map(|j| j.key));
         lost
     }
 
-    /// From now on it turns new requests away and completes what it has.
+    /// Drains the server: from now on it rejects new requests and completes those that it holds.
     pub fn drain(&mut self) {
-        self.drains = true;
+        self.draining = true;
     }
 
-    /// Stops all progress, or lets it go on. Connections stay open and requests are still taken in.
-    pub fn halt(&mut self, now: Millis, halted: bool) {
-        self.settle(now);
-        self.halted = halted;
+    /// Stalls the server, or ends the stall. Connections stay open and requests are still accepted.
+    pub fn halt(&mut self, now: Millis, stalled: bool) {
+        self.advance(now);
+        self.stalled = stalled;
     }
 
-    /// Its work takes this many times as long.
-    pub fn slow(&mut self, now: Millis, times: f64) {
-        self.settle(now);
-        self.slowness = times;
+    /// Makes work take `factor` times as long; 1 is normal speed.
+    pub fn slow(&mut self, now: Millis, factor: f64) {
+        self.advance(now);
+        self.slowdown = factor;
     }
 
-    /// Share of its warm capacity that it has by its age alone.
+    /// Share of the warm capacity that the server has at its age.
     pub fn share(&self, now: Millis) -> f64 {
         let Some(age) = self.started.map(|s| now - s) else { return 1.0 };
         let ServerParameters { cold_share, cold_ms, .. } = self.parameters;
         (cold_share + (1.0 - cold_share) * (age / cold_ms).clamp(0.0, 1.0)).min(1.0)
     }
 
-    /// A new connection: false if its table is full or nobody listens. Costs it work.
+    /// Opens a connection. Returns false if the connection table is full or the server is down.
     pub fn connect(&mut self, now: Millis) -> bool {
         if !self.running || self.connections >= self.parameters.connections {
             return false;
         }
-        self.settle(now);
+        self.advance(now);
         self.connections += 1;
         true
     }
 
-    /// So many connections have been closed.
+    /// Closes a number of connections.
     pub fn disconnect(&mut self, now: Millis, connections: usize) {
-        self.settle(now);
+        self.advance(now);
         self.connections = self.connections.saturating_sub(connections);
     }
 
-    /// A request has come whole; `handshake` adds the cost of its connection.
+    /// Accepts a request that was received completely; `handshake` adds the cost of a new connection.
+    ///
+    /// # Errors
+    /// The reason for which the request is rejected.
     pub fn arrive(&mut self, now: Millis, mut job: Job, handshake: bool) -> Result<(), Rejection> {
         if !self.running {
             return Err(Rejection::Down);
         }
-        self.settle(now);
+        self.advance(now);
         if handshake {
             job.work += self.parameters.handshake_ms;
         }
-        if self.pushed(now, job) {
+        if self.record_arrival(now, job) {
             return Err(Rejection::Overloaded);
         }
-        if self.drains
-            || (self.working.len() >= self.parameters.slots && self.waiting.len() >= self.parameters.queue)
+        if self.draining
+            || (self.in_service.len() >= self.parameters.slots && self.waiting.len() >= self.parameters.queue)
         {
             return Err(Rejection::Full);
         }
         self.waiting.push_back(job);
-        self.fill();
+        self.start_waiting();
         Ok(())
     }
 
-    /// Work that is still to be done for a request, 0 if it is not held.
+    /// Remaining work of a request; 0 if the server does not hold it.
     pub fn remaining_work(&mut self, now: Millis, key: u64) -> Millis {
-        self.settle(now);
-        let working = self.working.iter().find(|w| w.job.key == key).map(|w| (w.ends - self.total).max(0.0));
-        working.or(self.waiting.iter().find(|j| j.key == key).map(|j| j.work)).unwrap_or(0.0)
+        self.advance(now);
+        let in_service =
+            self.in_service.iter().find(|w| w.job.key == key).map(|w| (w.ends - self.total).max(0.0));
+        in_service.or(self.waiting.iter().find(|j| j.key == key).map(|j| j.work)).unwrap_or(0.0)
     }
 
-    /// Takes back a request: its client has left or its limiter waits no longer.
+    /// Cancels a request whose client has disconnected or whose limiter no longer waits.
     pub fn cancel(&mut self, now: Millis, key: u64) -> Cancellation {
-        self.settle(now);
+        self.advance(now);
         if let Some(at) = self.waiting.iter().position(|j| j.key == key) {
             self.waiting.remove(at);
             return Cancellation::Waiting;
         }
-        let Some(at) = self.working.iter().position(|w| w.job.key == key && !w.called_off) else {
+        let Some(at) = self.in_service.iter().position(|w| w.job.key == key && !w.cancel_requested) else {
             return Cancellation::Unknown;
         };
-        if self.parameters.cancel_stops && !self.halted {
-            let left = (self.working[at].ends - self.total).max(0.0);
-            self.completed_work_ms += (self.working[at].job.work - left).max(0.0);
-            self.working.swap_remove(at);
-            self.fill();
+        if self.parameters.cancel_stops && !self.stalled {
+            let left = (self.in_service[at].ends - self.total).max(0.0);
+            self.completed_work_ms += (self.in_service[at].job.work - left).max(0.0);
+            self.in_service.swap_remove(at);
+            self.start_waiting();
             return Cancellation::Stopped;
         }
-        self.working[at].called_off = true;
+        self.in_service[at].cancel_requested = true;
         Cancellation::RunsOn
     }
 
-    /// When the next request is done, if nothing else happens.
+    /// When the next request completes if nothing else happens.
     pub fn next_due(&self) -> Option<Millis> {
-        let left = self.working.iter().map(|w| w.ends).min_by(f64::total_cmp)? - self.total;
+        let left = self.in_service.iter().map(|w| w.ends).min_by(f64::total_cmp)? - self.total;
         let rate = self.rate();
-        (rate > 0.0).then(|| self.after(left.max(0.0) / rate))
+        (rate > 0.0).then(|| self.time_after(left.max(0.0) / rate))
     }
 
-    /// Gives out what is done by now.
+    /// Appends the requests that are complete by now.
     pub fn due(&mut self, now: Millis, out: &mut Vec<Completion>) {
-        self.settle(now);
-        // Of several that end at one moment the order is that of their keys, not of the table.
+        self.advance(now);
+        // Requests that complete at the same time are ordered by key, not by their place in the table.
         let from = out.len();
         let mut at = 0;
-        while at < self.working.len() {
-            let left = self.working[at].ends - self.total;
-            if left > NOTHING_MS * self.working[at].job.work.max(1.0) {
+        while at < self.in_service.len() {
+            let left = self.in_service[at].ends - self.total;
+            if left > WORK_TOLERANCE_MS * self.in_service[at].job.work.max(1.0) {
                 at += 1;
                 continue;
             }
-            let Working { job, called_off, .. } = self.working.swap_remove(at);
+            let Running { job, cancel_requested, .. } = self.in_service.swap_remove(at);
             self.completed_work_ms += job.work;
-            out.push(Completion { key: job.key, work: job.work, cancelled: called_off });
+            out.push(Completion { key: job.key, work: job.work, cancelled: cancel_requested });
         }
         out[from..].sort_by_key(|d| d.key);
-        self.fill();
+        self.start_waiting();
     }
 
-    fn fill(&mut self) {
-        while self.working.len() < self.parameters.slots {
+    fn start_waiting(&mut self) {
+        while self.in_service.len() < self.parameters.slots {
             let Some(job) = self.waiting.pop_front() else { return };
-            self.working.push(Working { job, ends: self.total + job.work, called_off: false });
+            self.in_service.push(Running { job, ends: self.total + job.work, cancel_requested: false });
         }
     }
 
-    /// Work a millisecond that each request in work gets when the share of capacity is one.
+    /// Work per millisecond that each request in service gets when the share of capacity is one.
     fn rate(&self) -> f64 {
-        if self.halted || !self.running || self.working.is_empty() {
+        if self.stalled || !self.running || self.in_service.is_empty() {
             return 0.0;
         }
         let m = &self.parameters;
         let fullness = self.held() as f64 / (m.slots + m.queue) as f64;
         let table = self.connections as f64 / m.connections.max(1) as f64;
         let efficiency = (1.0 - m.thrash * fullness) * (1.0 - m.table_tax * table);
-        m.speed / self.slowness * efficiency * (m.cores / self.working.len() as f64).min(1.0)
+        m.speed / self.slowdown * efficiency * (m.cores / self.in_service.len() as f64).min(1.0)
     }
 
-    /// Brings the running total up to `now`.
-    fn settle(&mut self, now: Millis) {
+    /// Updates the running total to `now`.
+    fn advance(&mut self, now: Millis) {
         let rate = self.rate();
         if rate > 0.0 {
-            self.total += rate * (self.grown(now) - self.grown(self.at));
+            self.total += rate * (self.share_integral(now) - self.share_integral(self.at));
         }
         self.at = self.at.max(now);
     }
 
-    /// Integral of the share of capacity from the start (or from 0 for a warm node) to `t`.
-    fn grown(&self, t: Millis) -> f64 {
+    /// Integral of the share of capacity from the start to `t`; from 0 for a server that has always been warm.
+    fn share_integral(&self, t: Millis) -> f64 {
         let Some(started) = self.started else { return t };
         let ServerParameters { cold_share: a, cold_ms, .. } = self.parameters;
         let age = t - started;
         let ramp = age.clamp(0.0, cold_ms);
-        let grown = if cold_ms > 0.0 { a * ramp + (1.0 - a) * ramp * ramp / (2.0 * cold_ms) } else { 0.0 };
-        grown + (age - ramp).max(0.0)
+        let integral = if cold_ms > 0.0 { a * ramp + (1.0 - a) * ramp * ramp / (2.0 * cold_ms) } else { 0.0 };
+        integral + (age - ramp).max(0.0)
     }
 
-    /// When the integral has grown by `more` since the total was brought up to date.
-    fn after(&self, more: f64) -> Millis {
+    /// When the integral will have grown by `more` since the total was last updated.
+    fn time_after(&self, more: f64) -> Millis {
         let Some(started) = self.started else { return self.at + more };
         let ServerParameters { cold_share: a, cold_ms, .. } = self.parameters;
-        let goal = self.grown(self.at) + more;
-        let whole = cold_ms * (1.0 + a) / 2.0;
-        if goal >= whole {
-            return started + cold_ms + (goal - whole);
+        let target = self.share_integral(self.at) + more;
+        let ramp_integral = cold_ms * (1.0 + a) / 2.0;
+        if target >= ramp_integral {
+            return started + cold_ms + (target - ramp_integral);
         }
         if a >= 1.0 {
-            return started + goal;
+            return started + target;
         }
-        // a·s + (1 − a)·s² / 2T = goal, solved for s in the form that does not cancel for small goals.
+        // a·s + (1 − a)·s² / 2T = target, solved for s in the form without cancellation for small targets.
         let b = (1.0 - a) / cold_ms;
-        started + 2.0 * goal / (a + (a * a + 2.0 * b * goal).sqrt())
+        started + 2.0 * target / (a + (a * a + 2.0 * b * target).sqrt())
     }
 
-    /// Notes what reaches it while it is cold; true if that pushes it over. The budget of the window that ends now, or
-    /// of the first whole one after its start: multiple × capacity over the window, and some slack.
-    fn pushed(&mut self, now: Millis, job: Job) -> bool {
+    /// Records an arrival at a cold server. Returns true if it overloads the server: the work sent within the window exceeds
+    /// the multiple of what the server can do in it, plus slack. The window ends now, or is the first full one after the
+    /// start.
+    fn record_arrival(&mut self, now: Millis, job: Job) -> bool {
         let Some(started) = self.started else { return false };
         let ServerParameters { cold_ms, fall_ms, fall_multiple, .. } = self.parameters;
         if fall_ms <= 0.0 || now - started > cold_ms {
             return false;
         }
-        self.pushes.push_back((now, job.work, job.sender_notified));
+        self.recent_arrivals.push_back((now, job.work, job.sender_notified));
         let end = now.max(started + fall_ms);
-        while self.pushes.front().is_some_and(|p| p.0 < end - fall_ms) {
-            self.pushes.pop_front();
+        while self.recent_arrivals.front().is_some_and(|p| p.0 < end - fall_ms) {
+            self.recent_arrivals.pop_front();
         }
-        let sent: f64 = self.pushes.iter().map(|p| p.1).sum();
-        let told: f64 = self.pushes.iter().filter(|p| p.2).map(|p| p.1).sum();
-        let mean = sent / self.pushes.len() as f64;
-        let could = self.parameters.capacity() * (self.grown(end) - self.grown(end - fall_ms));
-        if sent <= fall_multiple * could + FALL_SLACK_PUSHES * mean {
+        let sent: f64 = self.recent_arrivals.iter().map(|p| p.1).sum();
+        let notified: f64 = self.recent_arrivals.iter().filter(|p| p.2).map(|p| p.1).sum();
+        let mean = sent / self.recent_arrivals.len() as f64;
+        let capacity =
+            self.parameters.capacity() * (self.share_integral(end) - self.share_integral(end - fall_ms));
+        if sent <= fall_multiple * capacity + OVERLOAD_SLACK_ARRIVALS * mean {
             return false;
         }
-        self.fall = Some(OverloadFailure { at: now, notified_share: told / sent });
+        self.overload_failure = Some(OverloadFailure { at: now, notified_share: notified / sent });
         true
     }
 }
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -1,15 +1,15 @@
-//! The virtual world: clients, limiters, nodes and the network between them on one virtual clock, under one seed.
+//! The virtual world: clients, limiters, servers and the network between them on one virtual clock, under one seed.
 //!
-//! Each limiter is the real [`Engine`] with the decision module in it. Nothing here decides what a limiter does; what
-//! the world decides (delays, losses, work) is drawn from the seed. One run is one thread and one queue of events; events
-//! of one moment come in the order in which they were noted, so that a seed gives the same run everywhere.
+//! Each limiter is the real [`Engine`] with the decision module in it; the world decides nothing for it. Network delays,
+//! losses and work are drawn from the seed. A run uses one thread and one event queue. Events at the same time are
+//! handled in the order in which they were scheduled, so that a seed gives the same run on every machine.
 
+mod attempts;
 mod clients;
 mod limiters;
-mod nodes;
 mod proxies;
+mod servers;
 mod timeline;
-mod way;
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -32,106 +32,116 @@
 use crate::scenario::{Repeats, Scenario, Trouble, What};
 use crate::server_model::{Cancellation, Completion, Job, Rejection, ServerModel};
 
-/// When a scenario begins on the world's clock: a steady clock that no limiter may take for 0.
+/// Time on the world's clock at which a scenario begins. It is above 0 because limiters treat a time of 0 as unset.
 pub const BEGIN_MS: Millis = 10_000_000.0;
-/// Limiters start so long before the clients, so that their ceilings have filled.
-const EARLY_MS: Millis = 6000.0;
-/// Time allowed after the last arrival for all to be answered.
-const AFTER_MS: Millis = 20_000.0;
-/// One way between client and limiter, least and most.
-const CLIENT_MS: [f64; 2] = [0.2, 1.0];
-/// Work that a node spends on a repeat that it drops.
-const REPEAT_MS: Millis = 1.0;
-/// A limiter that stood still is not held to the deadlines that passed meanwhile, until so long after it goes on.
-const THAW_MS: Millis = 1000.0;
-/// Most idle connections that a limiter keeps to a node.
-const MOST_IDLE: usize = 64;
+/// Time for which limiters run before the first client, so that their ceilings are full.
+const WARM_UP_MS: Millis = 6000.0;
+/// Time allowed after the last arrival for all requests to be answered.
+const COMPLETION_TIMEOUT_MS: Millis = 20_000.0;
+/// One-way latency between client and limiter, minimum and maximum.
+const CLIENT_LATENCY_MS: [f64; 2] = [0.2, 1.0];
+/// Work that a server spends on a repeat that it drops.
+const REPEAT_WORK_MS: Millis = 1.0;
+/// Time after a stall during which a limiter is not held to the deadlines that passed while it was stalled.
+const STALL_GRACE_MS: Millis = 1000.0;
+/// Maximum number of idle connections that a limiter keeps to a server.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 #[derive(Debug)]
 enum Event {
-    Clients { at: u64 },
+    ClientsDue { at: u64 },
     TryArrives(Box<Try>),
-    Left { limiter: usize, try_id: u64 },
-    GivenUp { key: u64 },
-    Answered { try_id: u64, got: TryResult },
-    Due { limiter: usize, epoch: u32, at: u64 },
-    Roster { limiter: usize, entries: Arc<[ServerEntry]> },
-    Mail { limiter: usize, from: u32, body: Vec<u8> },
-    Connects { key: u64 },
+    ClientDisconnected { limiter: usize, try_id: u64 },
+    ProxyTimeout { key: u64 },
+    AnswerArrives { try_id: u64, result: TryResult },
+    LimiterDue { limiter: usize, epoch: u32, at: u64 },
+    ServerListArrives { limiter: usize, entries: Arc<[ServerEntry]> },
+    MessageArrives { limiter: usize, from: u32, body: Vec<u8> },
+    ConnectArrives { key: u64 },
     ConnectTimeout { key: u64 },
-    Reaches { key: u64 },
-    CancelArrives { node: usize, key: u64 },
-    NodeDue { node: usize, turn: u32 },
-    Ended { key: u64, outcome: Outcome },
-    Stopped { key: u64, outcome: Outcome },
-    Begin { trouble: usize },
-    End { trouble: usize },
-    Blink { trouble: usize, on: bool },
-    NodeExit { node: usize },
-    Closes { limiter: usize, epoch: u32, down_ms: Millis },
-    Killed { limiter: usize, epoch: u32, down_ms: Millis },
-    Up { limiter: usize },
-    Tick,
+    RequestArrives { key: u64 },
+    CancelArrives { server: usize, key: u64 },
+    ServerDue { server: usize, generation: u32 },
+    AttemptEnded { key: u64, outcome: Outcome },
+    AttemptStopped { key: u64, outcome: Outcome },
+    FaultBegins { fault: usize },
+    FaultEnds { fault: usize },
+    FaultStep { fault: usize, on: bool },
+    ServerExits { server: usize },
+    LimiterCloses { limiter: usize, epoch: u32, down_ms: Millis },
+    LimiterKilled { limiter: usize, epoch: u32, down_ms: Millis },
+    LimiterStarts { limiter: usize },
+    SecondEnds,
 }
 
+/// An event with its time in nanoseconds and its sequence number, by which it is ordered.
 #[derive(Debug)]
-struct Noted(u64, u64, Event);
+struct ScheduledEvent(u64, u64, Event);
 
-impl PartialEq for Noted {
-    fn eq(&self, other: &Noted) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl Eq for Noted {}
-impl PartialOrd for Noted {
-    fn partial_cmp(&self, other: &Noted) -> Option<std::cmp::Ordering> {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Noted {
-    fn cmp(&self, other: &Noted) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
 }
 
-/// Moments as whole nanoseconds, rounded up: what is due has come.
+/// Converts a time to whole nanoseconds, rounded up so that an event is never handled before its time.
 fn nanos(ms: Millis) -> u64 {
     (ms * 1e6).ceil() as u64
 }
 
 struct Limiter {
+    /// `None` while the limiter is down.
     engine: Option<Engine>,
+    /// Incremented at each start and stop; events of an earlier epoch are ignored.
     epoch: u32,
     zone: u32,
     listening: bool,
-    /// It stands still until then, or did; 0 for never.
-    frozen_until: Millis,
-    armed: Option<f64>,
-    open: FxHashMap<RequestId, u64>,
-    ids: FxHashMap<u64, RequestId>,
-    /// What proxies present, one stream a try, and the attempt that a proxy carries for it.
+    /// End of the current or last stall; 0 if the limiter was never stalled.
+    stalled_until: Millis,
+    /// When the engine is called next.
+    scheduled_at: Option<f64>,
+    /// Tries and requests that are in progress, each by the id of the other.
+    try_by_request: FxHashMap<RequestId, u64>,
+    request_by_try: FxHashMap<u64, RequestId>,
     external: Option<ExternalProcessor>,
-    presented: FxHashSet<u64>,
-    carried: FxHashMap<u64, u64>,
+    /// Tries that a proxy has presented, one stream per try, and the attempt that the proxy carries for each.
+    proxied_tries: FxHashSet<u64>,
+    proxied_attempts: FxHashMap<u64, u64>,
     attempts: FxHashMap<(RequestId, u32), u64>,
-    /// Idle connections by node: since when.
-    idle: Vec<Vec<Millis>>,
-    /// The roster as its machine's agent has it.
-    view: Vec<ServerEntry>,
-    /// When the agent hears the last change sent so far.
-    heard: Millis,
+    /// For each server, since when each idle connection to it has been idle.
+    idle_since: Vec<Vec<Millis>>,
+    /// The server list that the limiter has received.
+    known_servers: Vec<ServerEntry>,
+    /// When the last change of the server list sent so far arrives.
+    last_notice_at: Millis,
     rng: Stream,
 }
 
-struct Machine {
-    node: ServerModel,
+struct SimulatedServer {
+    model: ServerModel,
     id: ServerId,
     zone: u32,
-    turn: u32,
+    /// Incremented whenever the next completion is rescheduled; due events of an earlier generation are ignored.
+    generation: u32,
     condition: Condition,
+    /// Packets to and from the server are lost.
     silent: bool,
+    /// Share of requests answered with an error.
     errors: f64,
+    /// Share of requests whose connection is reset.
     resets: f64,
+    /// Work completed up to the start of the current second.
     before_ms: f64,
     rng: Stream,
 }
@@ -139,28 +149,31 @@
 struct Attempt {
     limiter: usize,
     epoch: u32,
-    /// Nothing for one that a proxy carries.
+    /// `None` if a proxy carries the attempt.
     id: Option<RequestId>,
     attempt: u32,
     try_id: u64,
-    node: usize,
-    way: Millis,
-    sent: Millis,
-    fresh: bool,
-    /// Its connection is up; from then on it may have been written, and may run.
+    server: usize,
+    /// One-way latency to the server.
+    latency: Millis,
+    sent_at: Millis,
+    /// The attempt opened a new connection.
+    new_connection: bool,
+    /// The connection is established; from then on the request may have been written and may run.
     connected: bool,
-    /// Its limiter has heard an outcome.
-    over: bool,
-    at_node: bool,
-    /// Its client has left, when so much of its work was still to be done.
-    left_with: Option<Millis>,
+    /// The limiter has received an outcome.
+    ended: bool,
+    at_server: bool,
+    /// Work that remained when the client disconnected.
+    work_at_disconnect: Option<Millis>,
+    /// The server drops the request as a repeat.
     repeat: bool,
     job: u64,
     class: usize,
     work: Millis,
 }
 
-struct Sent {
+struct SentTry {
     job: u64,
     customer: usize,
     class: usize,
@@ -172,27 +185,28 @@
 pub struct World {
     scenario: Scenario,
     now: Millis,
-    queue: BinaryHeap<Reverse<Noted>>,
-    number: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of events scheduled so far.
+    sequence: u64,
     clients: Clients,
-    clients_at: Option<u64>,
+    clients_due_at: Option<u64>,
     limiters: Vec<Limiter>,
-    machines: Vec<Machine>,
+    servers: Vec<SimulatedServer>,
     by_id: FxHashMap<ServerId, usize>,
     attempts: FxHashMap<u64, Attempt>,
     next_attempt: u64,
-    tries: FxHashMap<u64, Sent>,
-    /// Requests of which a try was inside the quota when it was sent on.
-    inside: FxHashMap<u64, bool>,
-    /// All-seeing stores of what is asked for, by customer.
-    asked: Vec<TokenBucket>,
-    /// Firms that are not strangers.
-    usual: usize,
-    post: Network,
-    /// How often each limiter hears nothing of the roster now.
-    roster_silent: Vec<u32>,
-    /// Roster changes that a limiter cannot hear of now.
-    unheard: Vec<Vec<Arc<[ServerEntry]>>>,
+    tries: FxHashMap<u64, SentTry>,
+    /// For each request that was sent on, whether one of its tries was inside the quota at that time.
+    inside_quota: FxHashMap<u64, bool>,
+    /// For each customer, the token bucket that a single limiter receiving all requests would have.
+    quota_buckets: Vec<TokenBucket>,
+    /// Number of customers of the scenario; those after them are strangers.
+    regular_customers: usize,
+    network: Network,
+    /// For each limiter, the number of faults that keep server list changes from it now.
+    discovery_silence: Vec<u32>,
+    /// For each limiter, server list changes that cannot reach it now.
+    held_server_lists: Vec<Vec<Arc<[ServerEntry]>>>,
     oracle: Oracle,
     recorder: Recorder,
     account: Account,
@@ -200,50 +214,52 @@
     events: u64,
     rng: Stream,
     outputs: Vec<Output>,
-    said: Vec<ClientAction>,
-    done: Vec<Completion>,
-    tap: Option<OutputHook>,
-    /// Time that the limiters took for their own work, where it is measured.
+    actions: Vec<ClientAction>,
+    completions: Vec<Completion>,
+    output_hook: Option<OutputHook>,
+    /// Time that the limiters took for their decisions, if measured.
     decision_time: Option<std::time::Duration>,
 }
 
-/// Tampers with what a limiter asks to be done, for tests of the oracle: what it returns is done instead.
+/// Replaces outputs of limiters, for tests of the oracle. It gets the time, the limiter and one output; the outputs that
+/// it returns are performed instead.
 pub type OutputHook = Box<dyn FnMut(Millis, usize, Output) -> Vec<Output> + Send>;
 
-/// What a run leaves.
+/// The result of a run.
 pub struct Run {
-    /// What it came to.
+    /// Figures of the whole run.
     pub figures: Figures,
-    /// Each second.
+    /// Figures of each second.
     pub seconds: Vec<Second>,
-    /// Time that the limiters took for their own work, as this machine has it; nothing unless it was measured.
+    /// Real time that the limiters took for their decisions; `None` unless [`World::with_decision_time`] was called.
     pub decision_time: Option<std::time::Duration>,
 }
 
 impl World {
-    /// A world before its first event.
+    /// Creates the world of a scenario under a seed, before its first event.
     ///
     /// # Errors
-    /// When the limiters cannot be served with the scenario's settings; it names the setting.
+    /// If the scenario has faults that the virtual world cannot simulate, or settings that no limiter accepts. The text
+    /// names the key or the setting.
     pub fn new(scenario: &Scenario, seed: u64) -> Result<World, String> {
         if let Some(wrong) = scenario.not_virtual().first() {
             return Err(wrong.to_string());
         }
         let scenario = &scenario.drawn(seed);
-        let start = BEGIN_MS - EARLY_MS;
+        let start = BEGIN_MS - WARM_UP_MS;
         let count = scenario.limiters.count as usize;
-        let nodes = scenario.nodes.count as usize;
-        let mut machines = Vec::with_capacity(nodes);
-        for n in 0..nodes {
+        let server_count = scenario.nodes.count as usize;
+        let mut servers = Vec::with_capacity(server_count);
+        for n in 0..server_count {
             let mut rng = draws::stream(seed, "node", n as u64);
             let speed = draws::between(&mut rng, scenario.nodes.speed);
-            // Ids tell nothing of zone, kind or age.
+            // Ids are drawn, so that they reveal neither zone nor age.
             let id: ServerId = format!("n-{:08x}", rng.random::<u32>()).into();
-            machines.push(Machine {
-                node: ServerModel::warm(scenario.model(speed), start),
+            servers.push(SimulatedServer {
+                model: ServerModel::warm(scenario.model(speed), start),
                 id,
                 zone: n as u32 % scenario.buildings,
-                turn: 0,
+                generation: 0,
                 condition: Condition::Serving,
                 silent: false,
                 errors: 0.0,
@@ -252,44 +268,44 @@
                 rng,
             });
         }
-        let by_id = machines.iter().enumerate().map(|(n, m)| (m.id.clone(), n)).collect();
-        let view: Vec<ServerEntry> = machines.iter().map(Machine::entry).collect();
+        let by_id = servers.iter().enumerate().map(|(n, m)| (m.id.clone(), n)).collect();
+        let known_servers: Vec<ServerEntry> = servers.iter().map(SimulatedServer::entry).collect();
         let limiters = (0..count).map(|l| Limiter {
             engine: None,
             epoch: 0,
             zone: l as u32 % scenario.buildings,
             listening: false,
-            frozen_until: 0.0,
-            armed: None,
-            open: FxHashMap::default(),
-            ids: FxHashMap::default(),
+            stalled_until: 0.0,
+            scheduled_at: None,
+            try_by_request: FxHashMap::default(),
+            request_by_try: FxHashMap::default(),
             external: None,
-            presented: FxHashSet::default(),
-            carried: FxHashMap::default(),
+            proxied_tries: FxHashSet::default(),
+            proxied_attempts: FxHashMap::default(),
             attempts: FxHashMap::default(),
-            idle: vec![Vec::new(); nodes],
-            view: view.clone(),
-            heard: start,
+            idle_since: vec![Vec::new(); server_count],
+            known_servers: known_servers.clone(),
+            last_notice_at: start,
             rng: draws::stream(seed, "limiter", l as u64),
         });
         let mut world = World {
             now: start,
             queue: BinaryHeap::new(),
-            number: 0,
+            sequence: 0,
             clients: Clients::new(scenario, seed, BEGIN_MS),
-            clients_at: None,
+            clients_due_at: None,
             limiters: limiters.collect(),
-            machines,
+            servers,
             by_id,
             attempts: FxHashMap::default(),
             next_attempt: 0,
             tries: FxHashMap::default(),
-            inside: FxHashMap::default(),
-            asked: Vec::new(),
-            usual: 0,
-            post: Network::new(scenario, start),
-            roster_silent: vec![0; count],
-            unheard: vec![Vec::new(); count],
+            inside_quota: FxHashMap::default(),
+            quota_buckets: Vec::new(),
+            regular_customers: 0,
+            network: Network::new(scenario, start),
+            discovery_silence: vec![0; count],
+            held_server_lists: vec![Vec::new(); count],
             oracle: Oracle::new(scenario, BEGIN_MS),
             recorder: Recorder::new(scenario, BEGIN_MS),
             account: Account::new(scenario.limiters.count, BEGIN_MS, BEGIN_MS + scenario.seconds * 1000.0),
@@ -297,69 +313,70 @@
             events: 0,
             rng: draws::stream(seed, "world", 0),
             outputs: Vec::new(),
-            said: Vec::new(),
-            done: Vec::new(),
-            tap: None,
+            actions: Vec::new(),
+            completions: Vec::new(),
+            output_hook: None,
             decision_time: None,
             scenario: scenario.clone(),
         };
-        world.usual = world.clients.customers().len();
+        world.regular_customers = world.clients.customers().len();
         for limiter in 0..count {
-            // Not in step: their rounds of work lie apart, as those of real machines do.
+            // Limiters start at different times, so that their periodic work is not synchronized.
             let at = start + 100.0 * world.rng.random::<f64>();
             world.now = start;
-            world.note(at, Event::Up { limiter });
+            world.schedule(at, Event::LimiterStarts { limiter });
         }
-        for trouble in 0..scenario.timeline.len() {
-            world.note(BEGIN_MS + scenario.timeline[trouble].at_s * 1000.0, Event::Begin { trouble });
+        for fault in 0..scenario.timeline.len() {
+            world.schedule(BEGIN_MS + scenario.timeline[fault].at_s * 1000.0, Event::FaultBegins { fault });
         }
-        world.stir();
-        world.note(BEGIN_MS + 1000.0, Event::Tick);
-        // A setting that no limiter can serve shows before the run.
+        world.reschedule_clients();
+        world.schedule(BEGIN_MS + 1000.0, Event::SecondEnds);
+        // Settings that no limiter accepts are reported before the run.
         Engine::new(scenario.settings(0), 0, start)?;
         Ok(world)
     }
 
-    /// How many customers there are.
+    /// Number of customers, strangers included.
     pub fn customer_count(&self) -> usize {
         self.clients.customers().len()
     }
 
-    /// Lets `tap` change what limiters ask to be done.
-    pub fn with_output_hook(mut self, tap: OutputHook) -> World {
-        self.tap = Some(tap);
+    /// Passes each output of a limiter through `hook` before it is performed.
+    pub fn with_output_hook(mut self, hook: OutputHook) -> World {
+        self.output_hook = Some(hook);
         self
     }
 
-    /// Measures the time that the limiters take for their own work: the one figure that differs from run to run.
+    /// Measures the real time that the limiters take for their decisions. This is the only figure that differs between
+    /// two runs of the same seed.
     pub fn with_decision_time(mut self) -> World {
         self.decision_time = Some(std::time::Duration::ZERO);
         self
     }
 
-    /// Plays to the end. `progress` is told each second of the scenario that has passed.
+    /// Runs the scenario to its end. `progress` is called after each second of the scenario.
     pub fn play(mut self, mut progress: impl FnMut(f64)) -> Run {
         let last = BEGIN_MS + self.scenario.seconds * 1000.0;
-        let mut told = BEGIN_MS;
-        while let Some(Reverse(Noted(at, _, event))) = self.queue.pop() {
+        let mut reported = BEGIN_MS;
+        while let Some(Reverse(ScheduledEvent(at, _, event))) = self.queue.pop() {
             self.now = self.now.max(at as f64 / 1e6);
-            if self.now > last + AFTER_MS
+            if self.now > last + COMPLETION_TIMEOUT_MS
                 || (self.now > last && self.clients.open_requests() == 0 && self.attempts.is_empty())
             {
                 break;
             }
-            if self.now >= told + 1000.0 {
-                told += 1000.0;
-                progress((told - BEGIN_MS) / 1000.0);
+            if self.now >= reported + 1000.0 {
+                reported += 1000.0;
+                progress((reported - BEGIN_MS) / 1000.0);
             }
             self.events += 1;
-            self.happens(event);
+            self.handle_event(event);
         }
         self.finish()
     }
 
     fn finish(mut self) -> Run {
-        self.recorder.completed_work_ms = self.machines.iter().map(|m| m.node.completed_work_ms()).sum();
+        self.recorder.completed_work_ms = self.servers.iter().map(|m| m.model.completed_work_ms()).sum();
         let broken = self.oracle.violations().to_vec();
         let (mut figures, seconds) =
             self.recorder.finish(self.seed, &broken, self.oracle.violation_count(), self.events);
@@ -367,110 +384,110 @@
         Run { figures, seconds, decision_time: self.decision_time }
     }
 
-    fn note(&mut self, at: Millis, event: Event) {
-        self.number += 1;
-        self.queue.push(Reverse(Noted(nanos(at.max(self.now)), self.number, event)));
+    fn schedule(&mut self, at: Millis, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse(ScheduledEvent(nanos(at.max(self.now)), self.sequence, event)));
     }
 
-    fn happens(&mut self, event: Event) {
-        // A limiter that stands still takes things in when it goes on, in their order.
+    fn handle_event(&mut self, event: Event) {
+        // A stalled limiter handles its events when the stall ends, in their order.
         let to = match &event {
             Event::TryArrives(t) => Some(t.limiter),
-            Event::Left { limiter, .. } | Event::Due { limiter, .. } | Event::Roster { limiter, .. } => {
-                Some(*limiter)
-            }
-            Event::Mail { limiter, .. } => Some(*limiter),
-            Event::Ended { key, .. } | Event::ConnectTimeout { key } | Event::GivenUp { key } => {
+            Event::ClientDisconnected { limiter, .. }
+            | Event::LimiterDue { limiter, .. }
+            | Event::ServerListArrives { limiter, .. } => Some(*limiter),
+            Event::MessageArrives { limiter, .. } => Some(*limiter),
+            Event::AttemptEnded { key, .. } | Event::ConnectTimeout { key } | Event::ProxyTimeout { key } => {
                 self.attempts.get(key).map(|a| a.limiter)
             }
             _ => None,
         };
-        if let Some(until) = to.map(|l| self.limiters[l].frozen_until).filter(|until| *until > self.now) {
-            return self.note(until, event);
+        if let Some(until) = to.map(|l| self.limiters[l].stalled_until).filter(|until| *until > self.now) {
+            return self.schedule(until, event);
         }
         match event {
-            Event::Clients { at } => {
-                // One that was noted before an earlier moment came up means nothing.
-                if self.clients_at != Some(at) {
+            Event::ClientsDue { at } => {
+                // An event that was superseded by an earlier one is ignored.
+                if self.clients_due_at != Some(at) {
                     return;
                 }
-                self.clients_at = None;
-                let mut said = std::mem::take(&mut self.said);
-                self.clients.due(self.now, &mut said);
-                self.hear(said);
+                self.clients_due_at = None;
+                let mut actions = std::mem::take(&mut self.actions);
+                self.clients.due(self.now, &mut actions);
+                self.apply_client_actions(actions);
             }
-            Event::TryArrives(said) => self.try_arrives(*said),
-            Event::Left { limiter, try_id } => self.left(limiter, try_id),
-            Event::GivenUp { key } => self.given_up(key),
-            Event::Answered { try_id, got } => {
-                let mut said = std::mem::take(&mut self.said);
-                self.clients.try_ended(self.now, try_id, got, &mut said);
-                self.hear(said);
+            Event::TryArrives(sent) => self.receive_try(*sent),
+            Event::ClientDisconnected { limiter, try_id } => self.receive_disconnect(limiter, try_id),
+            Event::ProxyTimeout { key } => self.expire_proxied_attempt(key),
+            Event::AnswerArrives { try_id, result } => {
+                let mut actions = std::mem::take(&mut self.actions);
+                self.clients.try_ended(self.now, try_id, result, &mut actions);
+                self.apply_client_actions(actions);
             }
-            Event::Due { limiter, epoch, at } => {
+            Event::LimiterDue { limiter, epoch, at } => {
                 let l = &self.limiters[limiter];
-                if l.epoch == epoch && l.armed.is_some_and(|armed| armed.to_bits() == at) {
-                    self.limiters[limiter].armed = None;
-                    self.tell(limiter, Input::TimerExpired);
-                    self.give(limiter, external::Input::TimerExpired);
+                if l.epoch == epoch && l.scheduled_at.is_some_and(|due| due.to_bits() == at) {
+                    self.limiters[limiter].scheduled_at = None;
+                    self.handle_input(limiter, Input::TimerExpired);
+                    self.handle_external(limiter, external::Input::TimerExpired);
                 }
             }
-            Event::Roster { limiter, entries } => self.roster_heard(limiter, entries),
-            Event::Mail { limiter, from, body } => self.mail_arrives(limiter, from, body),
-            Event::Connects { key } => self.connects(key),
+            Event::ServerListArrives { limiter, entries } => self.receive_server_list(limiter, entries),
+            Event::MessageArrives { limiter, from, body } => self.receive_message(limiter, from, body),
+            Event::ConnectArrives { key } => self.connect(key),
             Event::ConnectTimeout { key } => {
                 if self.attempts.get(&key).is_some_and(|a| !a.connected) {
-                    self.ended(key, Outcome::NoConnection);
+                    self.end_attempt(key, Outcome::NoConnection);
                 }
             }
-            Event::Reaches { key } => self.reaches(key),
-            Event::CancelArrives { node, key } => self.called_off(node, key),
-            Event::NodeDue { node, turn } => {
-                if self.machines[node].turn == turn {
-                    self.node_due(node);
+            Event::RequestArrives { key } => self.request_arrives(key),
+            Event::CancelArrives { server, key } => self.cancel_arrives(server, key),
+            Event::ServerDue { server, generation } => {
+                if self.servers[server].generation == generation {
+                    self.server_due(server);
                 }
             }
-            Event::Ended { key, outcome } => self.ended(key, outcome),
-            Event::Stopped { key, outcome } => self.hear_end(key, outcome),
-            Event::Begin { trouble } => self.begins(trouble),
-            Event::End { trouble } => self.ends(trouble),
-            Event::Blink { trouble, on } => self.blinks(trouble, on),
-            Event::NodeExit { node } => self.node_exits(node),
-            Event::Closes { limiter, epoch, down_ms } => self.closes(limiter, epoch, down_ms),
-            Event::Killed { limiter, epoch, down_ms } => {
+            Event::AttemptEnded { key, outcome } => self.end_attempt(key, outcome),
+            Event::AttemptStopped { key, outcome } => self.report_attempt_end(key, outcome),
+            Event::FaultBegins { fault } => self.begin_fault(fault),
+            Event::FaultEnds { fault } => self.end_fault(fault),
+            Event::FaultStep { fault, on } => self.step_fault(fault, on),
+            Event::ServerExits { server } => self.exit_server(server),
+            Event::LimiterCloses { limiter, epoch, down_ms } => self.close_limiter(limiter, epoch, down_ms),
+            Event::LimiterKilled { limiter, epoch, down_ms } => {
                 if self.limiters[limiter].epoch == epoch {
-                    self.dies(limiter, down_ms);
+                    self.stop_limiter(limiter, down_ms);
                 }
             }
-            Event::Up { limiter } => self.comes_up(limiter),
-            Event::Tick => self.tick(),
+            Event::LimiterStarts { limiter } => self.start_limiter(limiter),
+            Event::SecondEnds => self.tick(),
         }
     }
 
     fn tick(&mut self) {
         let now = self.now;
-        let mut busy = Vec::with_capacity(self.machines.len());
-        let mut held = Vec::with_capacity(self.machines.len());
-        for m in &mut self.machines {
-            let done = m.node.completed_work_ms();
-            busy.push(((done - m.before_ms) / (m.node.parameters().capacity() * 1000.0)) as f32);
-            held.push(m.node.held() as f32);
+        let mut busy = Vec::with_capacity(self.servers.len());
+        let mut held = Vec::with_capacity(self.servers.len());
+        for m in &mut self.servers {
+            let done = m.model.completed_work_ms();
+            busy.push(((done - m.before_ms) / (m.model.parameters().capacity() * 1000.0)) as f32);
+            held.push(m.model.held() as f32);
             m.before_ms = done;
         }
         self.recorder.tick(now, busy, held);
         self.oracle.expire_effects(now);
-        self.note(now + 1000.0, Event::Tick);
+        self.schedule(now + 1000.0, Event::SecondEnds);
     }
 }
 
 impl Limiter {
-    /// It stands still, or has just gone on: what it owed meanwhile it could not do.
+    /// Returns whether the limiter is stalled or was until a moment ago, so that missed deadlines are not its fault.
     fn excused(&self, now: Millis) -> bool {
-        self.frozen_until > 0.0 && now - self.frozen_until < THAW_MS
+        self.stalled_until > 0.0 && now - self.stalled_until < STALL_GRACE_MS
     }
 }
 
-impl Machine {
+impl SimulatedServer {
     fn entry(&self) -> ServerEntry {
         ServerEntry {
             server: self.id.clone(),
@@ -478,7 +495,7 @@
             cell: 0,
             condition: self.condition,
             weight: 1.0,
-            started: self.node.started(),
+            started: self.model.started(),
         }
     }
 }
--- a/crates/rehearsal/src/world/proxies.rs
+++ b/crates/rehearsal/src/world/proxies.rs
@@ -1,58 +1,60 @@
-//! Proxies: they ask a limiter about each request, carry out what it says, and tell what came of it.
+//! Proxies that ask a limiter about each request, carry out its verdict and report the outcome.
 
 use super::*;
 
 impl World {
-    pub(super) fn give(&mut self, limiter: usize, input: external::Input) {
+    pub(super) fn handle_external(&mut self, limiter: usize, input: external::Input) {
         let Limiter { engine, external, .. } = &mut self.limiters[limiter];
         let (Some(engine), Some(external)) = (engine, external) else { return };
         let mut out = Vec::new();
         external.handle(self.now, input, engine, &mut out);
         for item in out {
             match item {
-                Action::Engine(output) => self.perform(limiter, vec![output]),
-                Action::Reply { stream, verdict } => self.proxy_told(limiter, stream, verdict),
+                Action::Engine(output) => self.perform_outputs(limiter, vec![output]),
+                Action::Reply { stream, verdict } => self.apply_verdict(limiter, stream, verdict),
             }
         }
-        self.arm(limiter);
+        self.schedule_limiter(limiter);
     }
 
-    pub(super) fn proxy_told(&mut self, limiter: usize, try_id: u64, verdict: Verdict) {
+    pub(super) fn apply_verdict(&mut self, limiter: usize, try_id: u64, verdict: Verdict) {
         let answer = match verdict {
-            Verdict::Admit(grant) | Verdict::Retry(grant) => return self.proxy_sends(limiter, try_id, grant),
+            Verdict::Admit(grant) | Verdict::Retry(grant) => {
+                return self.send_proxied_attempt(limiter, try_id, grant)
+            }
             Verdict::PassThrough => Answer::Served,
             Verdict::Refuse { retry_ms } => Answer::Refused { retry_ms },
             Verdict::Busy => Answer::Refused { retry_ms: 0.0 },
             Verdict::Fail | Verdict::Conflict(_) => Answer::Failed,
         };
-        if self.limiters[limiter].presented.remove(&try_id) {
-            self.drop_carried(limiter, try_id);
-            self.answered(limiter, try_id, answer);
-            self.give(limiter, external::Input::Closed { stream: try_id });
+        if self.limiters[limiter].proxied_tries.remove(&try_id) {
+            self.drop_proxied_attempt(limiter, try_id);
+            self.send_answer(limiter, try_id, answer);
+            self.handle_external(limiter, external::Input::Closed { stream: try_id });
         }
     }
 
-    pub(super) fn proxy_sends(&mut self, limiter: usize, try_id: u64, grant: Grant) {
-        if let Some(key) = self.sends(limiter, try_id, None, grant.attempt, &grant.server) {
-            self.limiters[limiter].carried.insert(try_id, key);
-            self.note(grant.deadline, Event::GivenUp { key });
+    pub(super) fn send_proxied_attempt(&mut self, limiter: usize, try_id: u64, grant: Grant) {
+        if let Some(key) = self.send_attempt(limiter, try_id, None, grant.attempt, &grant.server) {
+            self.limiters[limiter].proxied_attempts.insert(try_id, key);
+            self.schedule(grant.deadline, Event::ProxyTimeout { key });
         }
     }
 
-    /// A proxy gives an attempt up whose time is over.
-    pub(super) fn given_up(&mut self, key: u64) {
-        if let Some(a) = self.attempts.get(&key).filter(|a| !a.over) {
+    /// Ends an attempt of a proxy at its deadline.
+    pub(super) fn expire_proxied_attempt(&mut self, key: u64) {
+        if let Some(a) = self.attempts.get(&key).filter(|a| !a.ended) {
             let outcome = if a.connected { Outcome::TimedOut } else { Outcome::NoConnection };
-            self.abandon(key);
-            self.hear_end(key, outcome);
+            self.abandon_attempt(key);
+            self.report_attempt_end(key, outcome);
         }
     }
 
-    /// The attempt that a proxy carries for a try is of no use any more.
-    pub(super) fn drop_carried(&mut self, limiter: usize, try_id: u64) {
-        if let Some(key) = self.limiters[limiter].carried.remove(&try_id) {
-            if self.attempts.get(&key).is_some_and(|a| !a.over) {
-                self.abandon(key);
+    /// Abandons the attempt that a proxy carries for a try, if there is one.
+    pub(super) fn drop_proxied_attempt(&mut self, limiter: usize, try_id: u64) {
+        if let Some(key) = self.limiters[limiter].proxied_attempts.remove(&try_id) {
+            if self.attempts.get(&key).is_some_and(|a| !a.ended) {
+                self.abandon_attempt(key);
                 self.oracle.attempt_ended(try_id, self.now, Outcome::Cancelled);
             }
         }
--- a/crates/rehearsal/src/world/timeline.rs
+++ b/crates/rehearsal/src/world/timeline.rs
@@ -1,14 +1,14 @@
-//! What goes wrong, and when.
+//! Begins and ends the faults of the timeline.
 
 use super::*;
 
 impl World {
-    pub(super) fn begins(&mut self, trouble: usize) {
-        let t: Trouble = self.scenario.timeline[trouble].clone();
-        let nodes = self.scenario.nodes_of(&t);
+    pub(super) fn begin_fault(&mut self, fault: usize) {
+        let t: Trouble = self.scenario.timeline[fault].clone();
+        let servers = self.scenario.nodes_of(&t);
         let until = self.now + t.for_s * 1000.0;
         let limiters: Vec<usize> = t.limiters.iter().flatten().map(|l| *l as usize).collect();
-        self.post.begin_fault(trouble, &t);
+        self.network.begin_fault(fault, &t);
         match t.what {
             What::Surge => {
                 let plan = t.plan.as_deref().and_then(|p| self.scenario.plan(p));
@@ -19,56 +19,59 @@
                 let plan = t.plan.as_deref().and_then(|p| self.scenario.plan(p)).unwrap_or(0);
                 self.clients.strangers(self.now, t.per_s.map(|per_s| (per_s, plan)));
             }
-            What::Exit => nodes.iter().for_each(|n| self.node_exits(*n)),
+            What::Exit => servers.iter().for_each(|n| self.exit_server(*n)),
             What::Drain => {
-                for node in nodes {
-                    self.machines[node].node.drain();
-                    self.publish(node, Condition::Draining);
-                    self.note(self.now + t.after_s.unwrap_or(0.0) * 1000.0, Event::NodeExit { node });
+                for server in servers {
+                    self.servers[server].model.drain();
+                    self.publish_condition(server, Condition::Draining);
+                    self.schedule(
+                        self.now + t.after_s.unwrap_or(0.0) * 1000.0,
+                        Event::ServerExits { server },
+                    );
                 }
             }
-            What::Stall => nodes.iter().for_each(|n| self.halts(*n, true)),
-            What::Pause => self.blinks(trouble, true),
+            What::Stall => servers.iter().for_each(|n| self.set_stalled(*n, true)),
+            What::Pause => self.step_fault(fault, true),
             What::Slow => {
-                for node in nodes {
-                    self.machines[node].node.slow(self.now, t.times.unwrap_or(1.0).max(0.01));
-                    self.rearm(node);
+                for server in servers {
+                    self.servers[server].model.slow(self.now, t.times.unwrap_or(1.0).max(0.01));
+                    self.schedule_server(server);
                 }
             }
-            What::Errors => nodes.iter().for_each(|n| self.machines[*n].errors = t.share.unwrap_or(0.0)),
-            What::Resets => nodes.iter().for_each(|n| self.machines[*n].resets = t.share.unwrap_or(0.0)),
+            What::Errors => servers.iter().for_each(|n| self.servers[*n].errors = t.share.unwrap_or(0.0)),
+            What::Resets => servers.iter().for_each(|n| self.servers[*n].resets = t.share.unwrap_or(0.0)),
             What::Vanish => {
-                for node in nodes {
-                    self.machines[node].silent = true;
-                    self.node_exits(node);
+                for server in servers {
+                    self.servers[server].silent = true;
+                    self.exit_server(server);
                 }
             }
-            What::RosterSilent => self.hushes(&t, 1),
-            What::Restart => limiters.iter().for_each(|l| self.asked_to_end(*l, t.for_s * 1000.0)),
-            What::Kill => limiters.iter().for_each(|l| self.dies(*l, t.for_s * 1000.0)),
+            What::RosterSilent => self.silence_discovery(&t, 1),
+            What::Restart => limiters.iter().for_each(|l| self.terminate_limiter(*l, t.for_s * 1000.0)),
+            What::Kill => limiters.iter().for_each(|l| self.stop_limiter(*l, t.for_s * 1000.0)),
             What::Freeze => {
                 for l in limiters {
-                    self.limiters[l].frozen_until = until;
+                    self.limiters[l].stalled_until = until;
                 }
             }
             What::Rolling => {
-                self.asked_to_end(0, t.down_s.unwrap_or(0.0) * 1000.0);
+                self.terminate_limiter(0, t.down_s.unwrap_or(0.0) * 1000.0);
                 for limiter in 1..self.limiters.len() {
                     let at = self.now + t.every_s.unwrap_or(1.0) * 1000.0 * limiter as f64;
-                    self.note(at, Event::Blink { trouble, on: true });
+                    self.schedule(at, Event::FaultStep { fault, on: true });
                 }
             }
-            // The post's, or played by processes only.
+            // Other faults belong to the network, or are simulated with real processes only.
             _ => {}
         }
-        self.note(until, Event::End { trouble });
-        self.stir();
+        self.schedule(until, Event::FaultEnds { fault });
+        self.reschedule_clients();
     }
 
-    pub(super) fn ends(&mut self, trouble: usize) {
-        let t: Trouble = self.scenario.timeline[trouble].clone();
-        let nodes = self.scenario.nodes_of(&t);
-        self.post.end_fault(trouble, &t);
+    pub(super) fn end_fault(&mut self, fault: usize) {
+        let t: Trouble = self.scenario.timeline[fault].clone();
+        let servers = self.scenario.nodes_of(&t);
+        self.network.end_fault(fault, &t);
         match t.what {
             What::Surge => {
                 let plan = t.plan.as_deref().and_then(|p| self.scenario.plan(p));
@@ -77,70 +80,70 @@
             What::Flood => self.clients.flood(self.now, t.firms.unwrap_or(1), 0.0),
             What::Strangers => self.clients.strangers(self.now, None),
             What::Exit | What::Drain | What::Vanish => {
-                for node in nodes {
-                    self.machines[node].silent = false;
-                    self.node_exits(node);
-                    self.node_starts(node);
+                for server in servers {
+                    self.servers[server].silent = false;
+                    self.exit_server(server);
+                    self.start_server(server);
                 }
             }
-            What::Stall | What::Pause => nodes.iter().for_each(|n| self.halts(*n, false)),
+            What::Stall | What::Pause => servers.iter().for_each(|n| self.set_stalled(*n, false)),
             What::Slow => {
-                for node in nodes {
-                    self.machines[node].node.slow(self.now, 1.0);
-                    self.rearm(node);
+                for server in servers {
+                    self.servers[server].model.slow(self.now, 1.0);
+                    self.schedule_server(server);
                 }
             }
-            What::Errors => nodes.iter().for_each(|n| self.machines[*n].errors = 0.0),
-            What::Resets => nodes.iter().for_each(|n| self.machines[*n].resets = 0.0),
-            What::Cut | What::Part => self.flush_roster(),
+            What::Errors => servers.iter().for_each(|n| self.servers[*n].errors = 0.0),
+            What::Resets => servers.iter().for_each(|n| self.servers[*n].resets = 0.0),
+            What::Cut | What::Part => self.send_held_server_lists(),
             What::RosterSilent => {
-                self.hushes(&t, -1);
-                self.flush_roster();
+                self.silence_discovery(&t, -1);
+                self.send_held_server_lists();
             }
-            // What was begun ends by itself, or is the post's, or is played by processes only.
+            // Other faults end by themselves, belong to the network, or are simulated with real processes only.
             _ => {}
         }
-        self.stir();
+        self.reschedule_clients();
     }
 
-    /// The roster is silent towards some limiters, or all, or is so no longer.
-    fn hushes(&mut self, t: &Trouble, by: i32) {
-        for (l, silent) in self.roster_silent.iter_mut().enumerate() {
+    /// Changes the number of faults that keep server list changes from the limiters of a fault, or from all.
+    fn silence_discovery(&mut self, t: &Trouble, by: i32) {
+        for (l, silent) in self.discovery_silence.iter_mut().enumerate() {
             if t.limiters.as_ref().is_none_or(|some| some.contains(&(l as u32))) {
                 *silent = silent.saturating_add_signed(by);
             }
         }
     }
 
-    /// Pauses come and go; a rolling restart takes its next limiter.
-    pub(super) fn blinks(&mut self, trouble: usize, on: bool) {
-        let t: Trouble = self.scenario.timeline[trouble].clone();
+    /// Advances a periodic fault: pauses or resumes servers, or restarts the next limiter of a rolling restart.
+    pub(super) fn step_fault(&mut self, fault: usize, on: bool) {
+        let t: Trouble = self.scenario.timeline[fault].clone();
         let every = t.every_s.unwrap_or(1.0) * 1000.0;
         let began = BEGIN_MS + t.at_s * 1000.0;
         if t.what == What::Rolling {
             let limiter = ((self.now - began) / every).round() as usize;
             if limiter < self.limiters.len() {
-                self.asked_to_end(limiter, t.down_s.unwrap_or(0.0) * 1000.0);
+                self.terminate_limiter(limiter, t.down_s.unwrap_or(0.0) * 1000.0);
             }
             return;
         }
         if self.now >= began + t.for_s * 1000.0 {
             return;
         }
-        self.scenario.nodes_of(&t).iter().for_each(|n| self.halts(*n, on));
+        self.scenario.nodes_of(&t).iter().for_each(|n| self.set_stalled(*n, on));
         let length = t.length_s.unwrap_or(0.1) * 1000.0;
         let next = if on { length } else { (every - length).max(1.0) };
-        self.note(self.now + next, Event::Blink { trouble, on: !on });
+        self.schedule(self.now + next, Event::FaultStep { fault, on: !on });
     }
 
-    pub(super) fn halts(&mut self, node: usize, halted: bool) {
-        self.machines[node].node.halt(self.now, halted);
-        self.rearm(node);
+    pub(super) fn set_stalled(&mut self, server: usize, stalled: bool) {
+        self.servers[server].model.halt(self.now, stalled);
+        self.schedule_server(server);
     }
 
-    /// Clients may be due at another moment now.
-    pub(super) fn stir(&mut self) {
-        let said = std::mem::take(&mut self.said);
-        self.hear(said);
+    /// Schedules the clients anew; their next event may have moved.
+    pub(super) fn reschedule_clients(&mut self) {
+        let actions = std::mem::take(&mut self.actions);
+        self.apply_client_actions(actions);
     }
 }
