--- a/crates/bench/src/customers.rs
+++ b/crates/bench/src/customers.rs
@@ -1,5 +1,5 @@
-//! Measures a limiter on one core with many customers and under floods of unknown customers: latency, CPU, memory, and
-//! the service of the known customers.
+//! Measures a limiter on one core with many customers and under floods of unknown customers: latency, CPU, memory,
+//! and the service of the known customers.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -141,8 +141,8 @@
     }
 }
 
-/// Sends requests at times that do not depend on the answers (open loop). Latency counts from the time at which a request
-/// was due, so that it includes the requests that a stalled limiter delays.
+/// Sends requests at times that do not depend on the answers (open loop). Latency counts from the time at which a
+/// request was due, so that it includes the requests that a stalled limiter delays.
 pub(crate) async fn open_loop(
     addr: SocketAddr,
     rate: f64,
--- a/crates/bench/src/harness.rs
+++ b/crates/bench/src/harness.rs
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Runs all timers that expire within `duration_ms` without requests, and returns the microseconds that each call took.
+    /// Runs all timers that expire within `duration_ms` without requests, and returns the microseconds that each call
+    /// took.
     #[allow(dead_code)]
     pub fn run_timers(&mut self, duration_ms: f64) -> Vec<f64> {
         let end = self.now + duration_ms;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,6 @@
-//! Benchmarks that compare a limiter with a minimal baseline in the same run: `external` with a tonic server that echoes
-//! the same messages, `direct` with a single-threaded hyper proxy. The number of requests is bounded. Not part of CI.
+//! Benchmarks that compare a limiter with a minimal baseline in the same run: `external` with a tonic server that
+//! echoes the same messages, `direct` with a single-threaded hyper proxy. The number of requests is bounded. Not part
+//! of CI.
 #![forbid(unsafe_code)]
 
 mod customers;
@@ -39,7 +40,8 @@
         #[arg(long, default_value_t = 20_000)]
         count: usize,
     },
-    /// Measures latency, CPU and memory with many customers, and the service of known customers under a flood of unknown ones.
+    /// Measures latency, CPU and memory with many customers, and the service of known customers under a flood of
+    /// unknown ones.
     Firms(customers::Options),
     /// Measures the cost of one limiter by servers, tenants, peers and open requests, and writes a slope file.
     Slopes(slopes::Options),
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -159,15 +159,15 @@
         Process::start(command, prefix, files)
     }
 
-    /// Returns the CPU time used so far, in seconds. Uses the scheduler's count of all threads in nanoseconds if the kernel
-    /// reports it (proc(5), `schedstat`), and clock ticks otherwise.
+    /// Returns the CPU time used so far, in seconds. Uses the scheduler's count of all threads in nanoseconds if the
+    /// kernel reports it (proc(5), `schedstat`), and clock ticks otherwise.
     pub fn cpu(&self) -> Result<f64, String> {
         if let Some(ns) = self.scheduled_ns() {
             return Ok(ns / 1e9);
         }
         let text = self.proc("stat")?;
-        // The command name in parentheses may contain spaces, so fields are counted after it (proc(5): utime is field 14,
-        // stime field 15).
+        // The command name in parentheses may contain spaces, so fields are counted after it (proc(5): utime is field
+        // 14, stime field 15).
         let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).ok_or("no CPU figure");
         Ok((ticks(11)? + ticks(12)?) / TICKS_PER_S)
--- a/crates/bench/src/propagation.rs
+++ b/crates/bench/src/propagation.rs
@@ -1,5 +1,5 @@
-//! Measures how long a change of the server list takes to reach many limiter processes. The management listener of each
-//! limiter reports how many servers it has discovered.
+//! Measures how long a change of the server list takes to reach many limiter processes. The management listener of
+//! each limiter reports how many servers it has discovered.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -41,8 +41,8 @@
     text.lines().find_map(|l| l.strip_prefix("discovered=")?.parse().ok())
 }
 
-/// Waits until all limiters have the given number of servers. Returns the milliseconds until the first limiter and until
-/// the last one.
+/// Waits until all limiters have the given number of servers. Returns the milliseconds until the first limiter and
+/// until the last one.
 fn wait_for_count(limiters: &[Process], servers: u32) -> Result<(f64, f64), String> {
     let started = Instant::now();
     let mut waiting: Vec<SocketAddr> = limiters.iter().map(|l| l.addr).collect();
--- a/crates/bench/src/slopes.rs
+++ b/crates/bench/src/slopes.rs
@@ -1,6 +1,6 @@
 //! Measures the cost of one limiter on one core by servers in the list, tenants, peers and open requests, for
-//! `marldeal capacity`. Each figure is measured at three sizes or more. Times are relative to requests that go directly to
-//! the server.
+//! `marldeal capacity`. Each figure is measured at three sizes or more. Times are relative to requests that go
+//! directly to the server.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
--- a/marldeal/src/command/demo.rs
+++ b/marldeal/src/command/demo.rs
@@ -1,5 +1,5 @@
-//! `marldeal demo`: simulated servers and discovery, two limiters as separate processes, and traffic of some customers, all
-//! on loopback. One server is drained half way.
+//! `marldeal demo`: simulated servers and discovery, two limiters as separate processes, and traffic of some
+//! customers, all on loopback. One server is drained half way.
 
 use std::collections::BTreeMap;
 use std::io::{IsTerminal, Write};
--- a/marldeal/src/command/faults.rs
+++ b/marldeal/src/command/faults.rs
@@ -44,8 +44,8 @@
 struct RunOptions {
     /// A name from `faults list` or `rehearse list`, or a TOML file.
     plan: String,
-    /// Number of limiters. Servers and load are scaled, so that each limiter has as many servers and as much load as in the
-    /// plan.
+    /// Number of limiters. Servers and load are scaled, so that each limiter has as many servers and as much load as
+    /// in the plan.
     #[arg(long, value_parser = clap::value_parser!(u32).range(1..=300))]
     limiters: Option<u32>,
     /// One seed, or the first and last seed as FIRST..LAST.
--- a/marldeal/src/command/rehearse.rs
+++ b/marldeal/src/command/rehearse.rs
@@ -125,8 +125,9 @@
         /// Factor on all quotas. Smaller quotas give more customers with the same total use.
         #[arg(long, default_value_t = 1.0)]
         quota: f64,
-        /// The scenario to scale instead, with its own servers and load per limiter: a name from `rehearse list`, a scenario
-        /// of the planned size (size/calm, size/zone-lost, size/regions-parted, size/replaced), or a TOML file.
+        /// The scenario to scale instead, with its own servers and load per limiter: a name from `rehearse list`, a
+        /// scenario of the planned size (size/calm, size/zone-lost, size/regions-parted, size/replaced), or a TOML
+        /// file.
         #[arg(long, value_name = "SCENARIO", conflicts_with_all = ["nodes_each", "messages", "quota"])]
         like: Option<String>,
         /// Number of regions, overriding the scenario's.
@@ -144,8 +145,8 @@
         /// Writes the figures of all sizes as JSON.
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Fails if messages per request, or the limiters' work per request, grow by more than this factor from the first size
-        /// to any other.
+        /// Fails if messages per request, or the limiters' work per request, grow by more than this factor from the
+        /// first size to any other.
         #[arg(long, value_name = "TIMES")]
         most_growth: Option<f64>,
         /// Writes a self-contained HTML page of growth curves.
@@ -290,8 +291,8 @@
     }
 }
 
-/// Maximum difference between a figure on sockets and in the simulation. On sockets the network adds no delay, messages
-/// take a different time, and requests reach the servers in a different order.
+/// Maximum difference between a figure on sockets and in the simulation. On sockets the network adds no delay,
+/// messages take a different time, and requests reach the servers in a different order.
 const TOLERANCE: f64 = 0.04;
 /// Note on the figures that a run on sockets does not have.
 const NOT_MEASURED: &str =
--- a/marldeal/src/lib.rs
+++ b/marldeal/src/lib.rs
@@ -1,5 +1,5 @@
-//! The limiter as a library: listeners, connections and other I/O around `marldeal-engine`. This crate makes no decisions
-//! of its own; `fawnhill` and other crates without I/O make them.
+//! The limiter as a library: listeners, connections and other I/O around `marldeal-engine`. This crate makes no
+//! decisions of its own; `fawnhill` and other crates without I/O make them.
 //!
 //! ```
 //! // All errors in an extension file are reported, each with its key.
--- a/marldeal/src/logging.rs
+++ b/marldeal/src/logging.rs
@@ -1,7 +1,7 @@
 //! Logging to standard error, as plain lines for people or as one JSON object per line for programs.
 //!
-//! Log lines are `tracing` events. Events that a program may act on have an `event` field and further fields, whose names
-//! are stable between versions. The plain format shows only the message.
+//! Log lines are `tracing` events. Events that a program may act on have an `event` field and further fields, whose
+//! names are stable between versions. The plain format shows only the message.
 
 use std::fmt;
 
@@ -27,8 +27,8 @@
 pub struct Options {
     /// Format of the lines.
     pub form: Format,
-    /// Also logs the life cycle of each request and connection (accepted, sent, ended, answered, closed) with reasons.
-    /// This takes several lines per request and is meant for debugging, not for normal operation.
+    /// Also logs the life cycle of each request and connection (accepted, sent, ended, answered, closed) with
+    /// reasons. This takes several lines per request and is meant for debugging, not for normal operation.
     pub requests: bool,
 }
 
--- a/marldeal/src/settings/config.rs
+++ b/marldeal/src/settings/config.rs
@@ -1,4 +1,5 @@
-//! The start configuration: the JSON file that `ROUTER_CONFIG` names, with single environment variables overriding it.
+//! The start configuration: the JSON file that `ROUTER_CONFIG` names, with single environment variables overriding
+//! it.
 
 use std::net::SocketAddr;
 
@@ -72,8 +73,8 @@
     pub known_servers: Option<ServerList>,
     /// Idle time after which a connection to a server is closed, in milliseconds.
     pub server_idle_ms: f64,
-    /// Longest time during which a draining server still receives new requests after the discovery agent was notified of
-    /// the drain, in milliseconds.
+    /// Longest time during which a draining server still receives new requests after the discovery agent was notified
+    /// of the drain, in milliseconds.
     pub drain_grace_ms: f64,
     /// Durations of the drain and stop phases.
     pub timings: Timings,
@@ -146,8 +147,8 @@
 /// Minimum time after SIGTERM during which requests are accepted: new connections arrive for 0.4 s.
 const MIN_DRAIN_MS: f64 = 600.0;
 
-/// Returns how long requests are accepted after SIGTERM, so that each can still be answered before SIGKILL. The module
-/// ends a request at its aim if a later answer earns nothing.
+/// Returns how long requests are accepted after SIGTERM, so that each can still be answered before SIGKILL. The
+/// module ends a request at its aim if a later answer earns nothing.
 fn drain_ms(settings: &Setup) -> f64 {
     let deadline = |c: &wire::Class| c.deadline_ms.unwrap_or(0.0).min(MAX_DEADLINE_MS);
     let end = |c: &wire::Class| if c.late_worth > 0.0 { MAX_DEADLINE_MS } else { c.aim_ms };
@@ -180,8 +181,8 @@
         Config::read(variable, |path| transient::retry_blocking(|| std::fs::read_to_string(path)))
     }
 
-    /// Reads the configuration again while serving. Ignores `ROUTER_DISCOVERY`, which holds the value of the start: only
-    /// the file can name another address.
+    /// Reads the configuration again while serving. Ignores `ROUTER_DISCOVERY`, which holds the value of the start:
+    /// only the file can name another address.
     ///
     /// # Errors
     /// Describes the first error, in one line.
--- a/marldeal/src/settings/errors.rs
+++ b/marldeal/src/settings/errors.rs
@@ -94,8 +94,8 @@
     text
 }
 
-/// Replaces the value at a path by an empty value of a type that fits, so that a required field stays present. Returns
-/// false if no type fits.
+/// Replaces the value at a path by an empty value of a type that fits, so that a required field stays present.
+/// Returns false if no type fits.
 fn replace<T: DeserializeOwned>(value: &mut Value, path: &[String]) -> bool {
     for placeholder in ["0", "\"\"", "false", "[]", "{}"] {
         let mut candidate = value.clone();
@@ -121,8 +121,8 @@
     })
 }
 
-/// Removes the value at a path. Returns false if there is none, or if it is an array element, whose removal would shift
-/// the indices of later elements.
+/// Removes the value at a path. Returns false if there is none, or if it is an array element, whose removal would
+/// shift the indices of later elements.
 fn remove(value: &mut Value, path: &[String]) -> bool {
     let Some((last, parents)) = path.split_last() else { return false };
     let table = at(value, parents).and_then(Value::as_object_mut);
--- a/marldeal/src/settings/extensions.rs
+++ b/marldeal/src/settings/extensions.rs
@@ -1,5 +1,5 @@
-//! Extensions, which the platform's configuration does not cover. They are enabled by a TOML file of their own, in which
-//! unknown keys are errors.
+//! Extensions, which the platform's configuration does not cover. They are enabled by a TOML file of their own, in
+//! which unknown keys are errors.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -171,8 +171,8 @@
     pub first_message_ms: f64,
     /// Maximum lifetime of a stream, in milliseconds.
     pub stream_ms: f64,
-    /// Time within which a proxy must answer a PING (RFC 9113, section 6.7), in milliseconds. Otherwise its connection is
-    /// closed.
+    /// Time within which a proxy must answer a PING (RFC 9113, section 6.7), in milliseconds. Otherwise its
+    /// connection is closed.
     pub keepalive_ms: f64,
     /// Asks proxies to extend their message timeout while the module holds a request.
     pub override_message_timeout: bool,
