--- a/marldeal/src/command/faults.rs
+++ b/marldeal/src/command/faults.rs
@@ -51,7 +51,7 @@
     /// One seed, or the first and last seed as FIRST..LAST.
     #[arg(long, default_value = "1", value_parser = seeds)]
     seeds: Seeds,
-    /// Also simulates the plan with the same seeds in the virtual world, if that can run it.
+    /// Also simulates the plan with the same seeds, if the simulation supports it.
     #[arg(long)]
     beside: bool,
     /// Counts a server that is idle for more than 2 s while others queue as a violation.
@@ -121,7 +121,7 @@
                 }
                 invalid += usize::from(!errors.is_empty());
                 if errors.is_empty() {
-                    let also = if plan.not_virtual().is_empty() { ", in the virtual world too" } else { "" };
+                    let also = if plan.not_virtual().is_empty() { ", also in the simulation" } else { "" };
                     println!("{name}: good{also}");
                 }
             }
--- a/marldeal/tests/faults.rs
+++ b/marldeal/tests/faults.rs
@@ -175,7 +175,7 @@
         "timeline[3].discovery: nodes or discovery is expected, not both",
         "timeline[4].discovery: not expected",
         "timeline[4].moment: not expected",
-        "calm: good, in the virtual world too",
+        "calm: good, also in the simulation",
         "proxies run in the simulation only",
     ] {
         assert!(out.contains(part), "{part:?} in {out}");
--- a/marldeal/tests/rehearse.rs
+++ b/marldeal/tests/rehearse.rs
@@ -71,7 +71,7 @@
     let unknown = text(&rehearse(&["no-such-day"]).stderr);
     assert!(unknown.contains("no-such-day") && unknown.contains("rehearse list"), "{unknown}");
     let impossible = text(&rehearse(&["half-behind-proxies", "--sockets"]).stderr);
-    assert!(impossible.contains("proxies are played in the virtual world only"), "{impossible}");
+    assert!(impossible.contains("clients.proxied: proxies run in the simulation only"), "{impossible}");
 }
 
 /// Real limiters, nodes and clients on loopback, with an exit, a drain and a restarted limiter. How close the figures come
