--- a/marldeal/tests/capacity.rs
+++ b/marldeal/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! `marldeal capacity` and `rehearse scale` as operators run them: the committed page's tables come from the committed
-//! slopes, what is missing is named, and what grows too fast ends with an error.
+//! `marldeal capacity` and `rehearse scale` on the command line: the tables of the committed page follow from
+//! the committed slopes, missing inputs are named, and growth beyond the limit ends with an error.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -28,9 +28,9 @@
     marldeal(&arguments)
 }
 
-/// The page's tables are what the command prints, line by line.
+/// The page contains the tables that the command prints, line by line.
 #[test]
-fn the_page_holds_what_the_command_prints_from_the_committed_slopes() {
+fn page_contains_the_tables_from_the_committed_slopes() {
     let page =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/CAPACITY.md")).expect("a page");
     for (size, more) in [
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_page_shows_each_resource_with_its_bound() {
+fn report_shows_each_resource_with_its_bound() {
     let dir = tempfile::tempdir().expect("a directory");
     let page = dir.path().join("page.html");
     let output = table("deploy/size/two-years.toml", &["--report", page.to_str().expect("a plain path")]);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_is_missing_or_wrong_is_named_with_its_place() {
+fn missing_and_invalid_inputs_are_reported_with_their_location() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = |name: &str, content: &str| -> PathBuf {
         let at = dir.path().join(name);
@@ -70,25 +70,25 @@
         at
     };
     let size = path("size.toml", "[fleet]\nlimiters = 3\n");
-    let said = text(&table(size.to_str().expect("plain"), &[]).stderr);
-    assert!(said.contains("size.toml") && said.contains("fleet"), "{said}");
-    let few = marldeal(&[
+    let error = text(&table(size.to_str().expect("plain"), &[]).stderr);
+    assert!(error.contains("size.toml") && error.contains("fleet"), "{error}");
+    let incomplete = marldeal(&[
         "capacity",
         "--size",
         "deploy/size/two-years.toml",
         "--slopes",
         "docs/capacity/told.toml",
     ]);
-    let said = text(&few.stderr);
-    assert_eq!(few.status.code(), Some(1));
-    assert!(said.contains("has not been measured"), "{said}");
-    let twice =
+    let error = text(&incomplete.stderr);
+    assert_eq!(incomplete.status.code(), Some(1));
+    assert!(error.contains("has not been measured"), "{error}");
+    let duplicate =
         marldeal(&["capacity", "--size", "deploy/size/two-years.toml", "--slopes", SLOPES[0], SLOPES[0]]);
-    assert!(text(&twice.stderr).contains("in two files"), "{}", text(&twice.stderr));
+    assert!(text(&duplicate.stderr).contains("in two files"), "{}", text(&duplicate.stderr));
 }
 
 #[test]
-fn growing_tiers_leave_slopes_and_fail_where_words_grow_too_fast() {
+fn growing_tiers_write_slopes_and_fail_beyond_the_growth_limit() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = |name: &str| dir.path().join(name).to_str().expect("a plain path").to_string();
     let (slopes, json) = (path("slopes.toml"), path("figures.json"));
@@ -106,14 +106,14 @@
     let series = read.find("prefetch_wait_ms_p99", "limiters").expect("the series");
     assert_eq!(series.points.iter().map(|p| p.0).collect::<Vec<_>>(), [3.0, 4.0, 6.0]);
     assert!(series.run.starts_with("marldeal rehearse scale --like size/calm"), "{}", series.run);
-    // One limiter tells nobody anything: from two on there are words.
-    let grows = scale("2,6", &["--most-growth", "0.1"]);
-    assert_eq!(grows.status.code(), Some(1));
-    assert!(text(&grows.stderr).contains("per request grows by a factor"), "{}", text(&grows.stderr));
+    // A single limiter sends no messages, so the sizes start at two.
+    let failed = scale("2,6", &["--most-growth", "0.1"]);
+    assert_eq!(failed.status.code(), Some(1));
+    assert!(text(&failed.stderr).contains("per request grows by a factor"), "{}", text(&failed.stderr));
 }
 
 #[test]
-fn the_extension_is_read_and_its_mistakes_are_named() {
+fn extension_file_is_read_and_its_errors_are_reported() {
     let dir = tempfile::tempdir().expect("a directory");
     let check = |content: &str| {
         let at = dir.path().join("extensions.toml");
@@ -127,7 +127,7 @@
         ("[prefetch]\nmax_customers = 0\n", "prefetch.max_customers: 0 is not between 1 and 1000000"),
         ("[prefetch]\nmax_customer = 5\n", "max_customer"),
     ] {
-        let (good, said) = check(content);
-        assert!(!good && said.contains(expected), "{said}");
+        let (valid, output) = check(content);
+        assert!(!valid && output.contains(expected), "{output}");
     }
 }
--- a/marldeal/tests/command_line.rs
+++ b/marldeal/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The program's commands, as a newcomer runs them.
+//! The program's commands `demo` and `check`, and a start without a configuration.
 
 use std::process::{Command, Output};
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_demonstration_ends_with_a_table_and_a_drain_that_was_kept() {
+fn demo_prints_a_table_and_reports_the_drain() {
     let output = marldeal(&["demo", "--seconds", "3"]);
     let out = text(&output.stdout);
     assert!(output.status.success(), "{out}{}", text(&output.stderr));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn without_a_configuration_it_says_so_and_ends() {
+fn start_without_a_configuration_fails_with_a_message() {
     let output = marldeal(&[]);
     assert_eq!(
         (output.status.code(), text(&output.stderr).trim()),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn check_names_each_mistake_of_a_configuration() {
+fn check_reports_every_error_of_a_configuration() {
     let path = std::env::temp_dir().join(format!("marldeal-check-{}.json", std::process::id()));
     let file = |listen: &str, balancers: i32, rate: f64, seed: &str| {
         format!(
--- a/marldeal/tests/external.rs
+++ b/marldeal/tests/external.rs
@@ -1,5 +1,5 @@
-//! The external processor on sockets: the real program, stand-in proxies that ask it and enforce what it says, and
-//! stand-in nodes. Each test causes the failure it is named after.
+//! The external processor on sockets: the real program, stand-in proxies that ask it and enforce its verdicts,
+//! and stub servers. Each test causes the failure it is named after.
 
 mod stubs;
 
@@ -30,15 +30,15 @@
     }
 }
 
-/// A quota of a few units, 4 at least, that fills by one in two seconds.
-fn quota(units: u32) -> impl Fn(String) -> String {
+/// Gives the plan a burst of `units` units, refilled by one unit every two seconds, and turns on `RetryAfter`.
+fn with_quota(units: u32) -> impl Fn(String) -> String {
     move |c| {
         c.replace(r#""Rate":0,"StoreSize":0"#, &format!(r#""Rate":0.5,"StoreSize":{units}"#))
             .replace(r#""Cancelling":true"#, r#""Cancelling":true,"RetryAfter":true"#)
     }
 }
 
-fn same(config: String) -> String {
+fn unchanged(config: String) -> String {
     config
 }
 
@@ -50,21 +50,22 @@
         .expect("a connection")
 }
 
-async fn presented(channel: &Channel, call: &Call, count: Option<u32>) -> Stream {
+/// Opens a stream and sends the request headers, with `count` as the proxy's attempt count.
+async fn present(channel: &Channel, call: &Call, count: Option<u32>) -> Stream {
     let stream = Stream::open(channel.clone()).await.expect("a stream");
     assert!(stream.send(request_headers(&call.request(), count)).await);
     stream
 }
 
-/// What a stream is told next, in short.
-async fn told(stream: &mut Stream) -> String {
+/// The next message on a stream, abbreviated: `go SERVER`, `retry SERVER`, `pass`, a status, a gRPC code or `end`.
+async fn next_verdict(stream: &mut Stream) -> String {
     match stream.next().await {
         Ok(answer) => match answer.response {
             Some(Verdict::RequestHeaders(r)) => {
                 format!("go {}", set_header(r.response.as_ref(), DESTINATION_HEADER).unwrap_or_default())
             }
             Some(Verdict::ResponseHeaders(r)) => match set_header(r.response.as_ref(), RETRY_HEADER) {
-                Some(node) => format!("retry {node}"),
+                Some(server) => format!("retry {server}"),
                 None => "pass".to_string(),
             },
             Some(Verdict::ImmediateResponse(r)) => r.status.map_or(0, |s| s.code).to_string(),
@@ -76,55 +77,60 @@
     }
 }
 
-fn answered(status: u16, more: &[(&str, &str)]) -> Phase {
+/// The message in which a proxy reports the head of a server's answer.
+fn response_headers(status: u16, more: &[(&str, &str)]) -> Phase {
     let mut pairs = vec![(":status", status.to_string())];
     pairs.extend(more.iter().map(|(name, value)| (*name, value.to_string())));
     Phase::ResponseHeaders(headers(pairs, true))
 }
 
-/// Stops the program; the line that it ends with tells what was left open.
-fn stop(node: &mut Node) -> String {
-    node.signal("TERM");
-    assert_eq!(node.exit_code(), Some(0));
-    node.wait_log("external processor: ");
-    let log = node.log();
-    log.lines().rev().find(|l| l.contains("external processor: ")).expect("a last line").to_string()
+/// Stops the program and returns its last log line of the external processor, which counts what was left open.
+fn stop(limiter: &mut Limiter) -> String {
+    limiter.signal("TERM");
+    assert_eq!(limiter.exit_code(), Some(0));
+    limiter.wait_log("external processor: ");
+    let log = limiter.log();
+    log.lines()
+        .rev()
+        .find(|l| l.contains("external processor: "))
+        .expect("a line of the external processor")
+        .to_string()
 }
 
 #[tokio::test]
-async fn a_proxy_is_told_where_to_send_and_passes_the_answer_on() {
+async fn proxy_gets_a_destination_and_passes_the_answer_on() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], same, "");
-    let channel = channel(node.processor()).await;
-    let mut stream = presented(&channel, &call("c-1", "look"), Some(1)).await;
+    let mut limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "");
+    let channel = channel(limiter.processor_addr()).await;
+    let mut stream = present(&channel, &call("c-1", "look"), Some(1)).await;
     let answer = stream.next().await.expect("an answer");
     assert_eq!(metadata(&answer, "envoy.lb", DESTINATION_HEADER), Some(server.addr.to_string()));
     let mode = answer.mode_override.expect("a mode");
     assert_eq!(
         (mode.response_header_mode, mode.response_body_mode),
         (1, 0),
-        "headers are asked for, bodies not"
+        "response headers are requested, bodies are not"
     );
-    let Some(Verdict::RequestHeaders(go)) = answer.response else { panic!("not let in") };
+    let Some(Verdict::RequestHeaders(go)) = answer.response else { panic!("not admitted") };
     let header = |name| set_header(go.response.as_ref(), name).expect(name);
     assert_eq!(header(DESTINATION_HEADER), server.addr.to_string());
     assert!(header("x-envoy-upstream-rq-timeout-ms").parse::<u64>().is_ok_and(|ms| ms <= 3000));
     assert!(header("x-time-left").parse::<f64>().is_ok_and(|s| s <= 3.0));
-    stream.send(answered(200, &[])).await;
-    assert_eq!(told(&mut stream).await, "pass");
+    stream.send(response_headers(200, &[])).await;
+    assert_eq!(next_verdict(&mut stream).await, "pass");
 
-    let proxy = Proxy::connect(node.processor(), RetryMode::PerTry).await.expect("a proxy");
+    let proxy = Proxy::connect(limiter.processor_addr(), RetryMode::PerTry).await.expect("a proxy");
     let done = proxy.handle(&call("c-2", "book").request()).await.expect("an answer");
     assert_eq!((done.status, &done.body[..]), (200, &b"booked"[..]));
-    assert_eq!(server.request_count(), 1, "the first stream was only talk");
-    assert!(stop(&mut node).contains("0 open"));
+    assert_eq!(server.request_count(), 1, "the first stream sent nothing to the server");
+    assert!(stop(&mut limiter).contains("0 open"));
 }
 
 #[tokio::test]
-async fn beyond_its_quota_a_firm_is_refused_with_advice() {
+async fn customer_beyond_its_quota_is_refused_with_retry_after() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], quota(4), "");
-    let proxy = Proxy::connect(node.processor(), RetryMode::None).await.expect("a proxy");
+    let limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], with_quota(4), "");
+    let proxy = Proxy::connect(limiter.processor_addr(), RetryMode::None).await.expect("a proxy");
     let mut statuses = Vec::new();
     for n in 0..6 {
         let done = proxy.handle(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
@@ -132,22 +138,22 @@
         statuses.push(done.status);
     }
     assert_eq!(statuses, [200, 200, 200, 200, 429, 429]);
-    // Direct mode counts with it: the same account is empty there too.
-    assert_eq!(ask(&node, &get("look", "")).status, 429);
+    // Direct mode draws on the same quota, which is used up there too.
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 429);
     assert_eq!(server.request_count(), 4);
 }
 
-/// Both shapes of a further attempt: the first answer never ran, the second serves; the firm pays once.
+/// Both forms of a retry: the first attempt never ran, the second one is served; the customer is charged once.
 #[tokio::test]
-async fn a_further_attempt_is_carried_out_by_the_proxy_in_both_shapes() {
+async fn proxy_carries_out_a_retry_in_both_modes() {
     for (shape, extension) in
         [(RetryMode::PerTry, "retries = \"presented\""), (RetryMode::SameStream, "retries = \"looped\"")]
     {
         let script = Script { faults: vec![(0..2, Fault::Unprocessed)], ..Script::default() };
         let servers = [Stub::scripted(script), Stub::scripted(Script::default())];
         let all = [("s-1", &servers[0], "active"), ("s-2", &servers[1], "active")];
-        let node = Node::proxied(&all, quota(4), extension);
-        let proxy = Proxy::connect(node.processor(), shape).await.expect("a proxy");
+        let limiter = Limiter::with_external_processor(&all, with_quota(4), extension);
+        let proxy = Proxy::connect(limiter.processor_addr(), shape).await.expect("a proxy");
         let mut attempts = 0;
         for n in 0..4 {
             let done = proxy.handle(&call(&format!("c-{n}"), "book").request()).await.expect("an answer");
@@ -156,38 +162,40 @@
         }
         assert_eq!(servers[0].request_count() + servers[1].request_count(), attempts);
         let last = proxy.handle(&call("c-9", "book").request()).await.expect("an answer");
-        assert_eq!(last.status, 429, "four tries were paid for, whatever their attempts");
+        assert_eq!(last.status, 429, "four requests were charged, however many attempts they took");
     }
 }
 
-/// What has run, or may have, ends as a failure that promises nothing: 502, not the node's 500.
+/// A request that ran or may have run ends as 502, which does not allow a retry, instead of the server's 500.
 #[tokio::test]
-async fn a_keyed_request_that_keeps_failing_ends_as_502() {
+async fn keyed_request_that_keeps_failing_ends_as_502() {
     let script = Script { faults: vec![(0..99, Fault::Error)], ..Script::default() };
     let server = Stub::scripted(script);
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "retries = \"looped\"");
-    let proxy = Proxy::connect(node.processor(), RetryMode::SameStream).await.expect("a proxy");
+    let limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "retries = \"looped\"");
+    let proxy = Proxy::connect(limiter.processor_addr(), RetryMode::SameStream).await.expect("a proxy");
     let done = proxy.handle(&call("c-1", "book").request()).await.expect("an answer");
     assert_eq!(done.status, 502);
     assert!((1..=3).contains(&server.request_count()) && server.max_concurrent_requests() == 1);
 }
 
-/// A node that is never reached has not run anything: a refusal, and no unit of doubt.
+/// A request whose server could not be reached did not run, so it is refused.
 #[tokio::test]
-async fn a_node_that_cannot_be_reached_is_a_refusal() {
+async fn unreachable_server_leads_to_a_refusal() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "retries = \"looped\"");
+    let limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "retries = \"looped\"");
     server.close();
-    let proxy = Proxy::connect(node.processor(), RetryMode::SameStream).await.expect("a proxy");
+    let proxy = Proxy::connect(limiter.processor_addr(), RetryMode::SameStream).await.expect("a proxy");
     let done = proxy.handle(&call("c-1", "book").request()).await.expect("an answer");
     assert_eq!((done.status, server.request_count()), (429, 0));
 }
 
 #[tokio::test]
-async fn bad_heads_are_answered_as_in_direct_mode() {
+async fn malformed_heads_are_answered_as_in_direct_mode() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], same, "");
-    let channel = channel(node.processor()).await;
+    let mut limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "");
+    let channel = channel(limiter.processor_addr()).await;
     type Change = fn(&mut Vec<(&'static str, String)>);
     let changes: [(&str, Change); 8] = [
         ("400", |h| h.retain(|(n, _)| *n != "x-weight")),
@@ -207,20 +215,20 @@
         change(&mut pairs);
         let mut stream = Stream::open(channel.clone()).await.expect("a stream");
         stream.send(Phase::RequestHeaders(headers(pairs, true))).await;
-        assert_eq!(told(&mut stream).await, expected);
+        assert_eq!(next_verdict(&mut stream).await, expected);
     }
-    assert!(stop(&mut node).contains("presented: 0"));
+    assert!(stop(&mut limiter).contains("presented: 0"));
 }
 
-/// Headers of a proxy's own choice tell class, customer and plan; the path is the member firm's.
+/// Class, customer and plan are read from headers chosen in the settings; the path is the tenant's own.
 #[tokio::test]
-async fn headers_are_mapped_as_the_extension_file_says() {
+async fn headers_are_mapped_as_configured() {
     let server = Stub::scripted(Script::default());
     let extension =
         "[external_processor.headers]\nclass = \"x-kind\"\ncustomer = \"x-firm\"\nplan = \"x-plan\"\n\
                      [external_processor.defaults]\ntime_left_s = 1.5\nweight = \"units=1,spread=1,first=0\"";
-    let node = Node::proxied(&[("s-1", &server, "active")], same, extension);
-    let mut stream = Stream::open(channel(node.processor()).await).await.expect("a stream");
+    let limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, extension);
+    let mut stream = Stream::open(channel(limiter.processor_addr()).await).await.expect("a stream");
     let pairs = [
         (":method", "PUT"),
         (":path", "/any/thing/at/all"),
@@ -231,131 +239,137 @@
     ];
     let pairs = pairs.iter().map(|(n, v)| (*n, v.to_string())).collect();
     stream.send(Phase::RequestHeaders(headers(pairs, true))).await;
-    assert_eq!(told(&mut stream).await, format!("go {}", server.addr));
+    assert_eq!(next_verdict(&mut stream).await, format!("go {}", server.addr));
 }
 
-/// The proxy leaves while the module still holds the request, for its only node drains: nothing remains open, nothing
-/// was sent, and no unit stays taken.
+/// The proxy cancels while the core still holds the request because its only server drains: nothing stays open,
+/// nothing was sent, and no unit stays charged.
 #[tokio::test]
-async fn a_proxy_that_cancels_before_the_verdict_leaves_nothing_behind() {
+async fn cancellation_before_the_verdict_releases_the_request() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], quota(4), "");
-    node.discovery.push(&update_line(2, true, &[("s-1", server.addr, "leaving")]));
-    node.wait_log("Draining");
-    let channel = channel(node.processor()).await;
+    let mut limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], with_quota(4), "");
+    limiter.discovery.push(&update_line(2, true, &[("s-1", server.addr, "leaving")]));
+    limiter.wait_log("Draining");
+    let channel = channel(limiter.processor_addr()).await;
     for n in 0..3 {
-        let mut stream = presented(&channel, &call(&format!("c-{n}"), "look"), Some(1)).await;
+        let mut stream = present(&channel, &call(&format!("c-{n}"), "look"), Some(1)).await;
         let early = tokio::time::timeout(Duration::from_millis(30), stream.next()).await;
-        assert!(early.is_err(), "the module holds it: {early:?}");
+        assert!(early.is_err(), "the core holds the request: {early:?}");
         drop(stream);
     }
-    // Answered behind the cancels on the same connection: they have come by then.
+    // This answer comes after the cancellations on the same connection, so they have arrived by then.
     let mut bad = Stream::open(channel.clone()).await.expect("a stream");
     bad.send(Phase::RequestHeaders(headers(Vec::new(), true))).await;
-    assert_eq!(told(&mut bad).await, "400");
+    assert_eq!(next_verdict(&mut bad).await, "400");
     tokio::time::sleep(Duration::from_millis(50)).await;
-    node.discovery.push(&update_line(3, true, &[("s-1", server.addr, "active")]));
-    node.wait_log("Serving");
-    wait_for("readiness", || ready(&node) == 200);
-    // Had the three kept their units, one would be left.
+    limiter.discovery.push(&update_line(3, true, &[("s-1", server.addr, "active")]));
+    limiter.wait_log("Serving");
+    wait_for("readiness", || ready(&limiter) == 200);
+    // Only one unit would be left if the three cancelled requests were still charged.
     for n in 0..3 {
-        let mut stream = presented(&channel, &call(&format!("d-{n}"), "look"), Some(1)).await;
-        assert!(told(&mut stream).await.starts_with("go"), "unit {n} of the four is there");
-        stream.send(answered(200, &[])).await;
-        assert_eq!(told(&mut stream).await, "pass");
+        let mut stream = present(&channel, &call(&format!("d-{n}"), "look"), Some(1)).await;
+        assert!(next_verdict(&mut stream).await.starts_with("go"), "unit {n} of the four is available");
+        stream.send(response_headers(200, &[])).await;
+        assert_eq!(next_verdict(&mut stream).await, "pass");
     }
-    let line = stop(&mut node);
+    let line = stop(&mut limiter);
     assert!(line.contains("0 open") && line.contains("taken: 6, let_in: 3, again: 0"), "{line}");
 }
 
-/// Leaving after the verdict is another matter: the attempt may have reached the node, and its units stay taken, as
-/// when a client of direct mode leaves.
+/// After the verdict the attempt may have reached the server, so its units stay charged, as when a client of
+/// direct mode disconnects.
 #[tokio::test]
-async fn a_proxy_that_cancels_after_the_verdict_has_spent_its_units() {
+async fn cancellation_after_the_verdict_keeps_the_units_charged() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], quota(4), "again_ms = 50");
-    let channel = channel(node.processor()).await;
+    let mut limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], with_quota(4), "again_ms = 50");
+    let channel = channel(limiter.processor_addr()).await;
     for n in 0..4 {
-        let mut stream = presented(&channel, &call(&format!("c-{n}"), "book"), Some(1)).await;
-        assert!(told(&mut stream).await.starts_with("go"));
+        let mut stream = present(&channel, &call(&format!("c-{n}"), "book"), Some(1)).await;
+        assert!(next_verdict(&mut stream).await.starts_with("go"));
         drop(stream);
     }
-    let mut stream = presented(&channel, &call("c-9", "book"), Some(1)).await;
-    assert_eq!(told(&mut stream).await, "429");
+    let mut stream = present(&channel, &call("c-9", "book"), Some(1)).await;
+    assert_eq!(next_verdict(&mut stream).await, "429");
     drop(stream);
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let line = stop(&mut node);
+    let line = stop(&mut limiter);
     assert!(line.contains("0 open") && line.contains("unreported: 4"), "{line}");
 }
 
-/// The same request on two streams and on two connections at once: one is let in, the others hear that it is open.
+/// The same request on several streams and connections at once: one is admitted, the others get 409.
 #[tokio::test]
-async fn a_request_presented_twice_at_once_is_let_in_once() {
+async fn request_presented_twice_at_once_is_admitted_once() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "");
-    let one = channel(node.processor()).await;
-    let other = channel(node.processor()).await;
+    let limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "");
+    let one = channel(limiter.processor_addr()).await;
+    let other = channel(limiter.processor_addr()).await;
     let call = call("c-1", "book");
-    let mut first = presented(&one, &call, Some(1)).await;
-    assert!(told(&mut first).await.starts_with("go"));
+    let mut first = present(&one, &call, Some(1)).await;
+    assert!(next_verdict(&mut first).await.starts_with("go"));
     for (channel, count) in [(&one, Some(1)), (&other, Some(1)), (&other, None), (&one, Some(7))] {
-        let mut second = presented(channel, &call, count).await;
-        assert_eq!(told(&mut second).await, "409");
+        let mut second = present(channel, &call, count).await;
+        assert_eq!(next_verdict(&mut second).await, "409");
     }
-    // One that asks something else under that name is no repeat of it; neither is one of the direct front.
+    // A different request with the same id is no repeat; neither is one of direct mode.
     let mut different = call.clone();
     different.customer.id += 1;
-    let mut second = presented(&other, &different, Some(1)).await;
-    assert_eq!(told(&mut second).await, "409");
-    assert_eq!(ask(&node, &get("look", "")).status, 409, "its id is c-1 as well");
-    first.send(answered(200, &[])).await;
-    assert_eq!(told(&mut first).await, "pass");
-    // Served: the answer cannot be given again.
-    let mut late = presented(&other, &call, Some(2)).await;
-    assert_eq!(told(&mut late).await, "409");
-}
-
-/// The next try comes while the stream of the last one seems to be there still: it waits for its end, then goes on,
-/// and never beside it.
+    let mut second = present(&other, &different, Some(1)).await;
+    assert_eq!(next_verdict(&mut second).await, "409");
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 409, "its id is c-1 too");
+    first.send(response_headers(200, &[])).await;
+    assert_eq!(next_verdict(&mut first).await, "pass");
+    // The request was served, and its answer cannot be given again.
+    let mut late = present(&other, &call, Some(2)).await;
+    assert_eq!(next_verdict(&mut late).await, "409");
+}
+
+/// A repeated presentation arrives while the previous stream still seems open: it waits until that one has
+/// ended and never runs beside it.
 #[tokio::test]
-async fn the_next_presentation_waits_for_the_stream_before_it() {
+async fn next_presentation_waits_for_the_previous_stream() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], same, "handover_ms = 5000");
-    let (one, other) = (channel(node.processor()).await, channel(node.processor()).await);
+    let mut limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "handover_ms = 5000");
+    let (one, other) = (channel(limiter.processor_addr()).await, channel(limiter.processor_addr()).await);
     let call = call("c-1", "book");
-    let mut first = presented(&one, &call, Some(1)).await;
-    assert!(told(&mut first).await.starts_with("go"));
-    let mut second = presented(&other, &call, Some(2)).await;
+    let mut first = present(&one, &call, Some(1)).await;
+    assert!(next_verdict(&mut first).await.starts_with("go"));
+    let mut second = present(&other, &call, Some(2)).await;
     let early = tokio::time::timeout(Duration::from_millis(100), second.next()).await;
-    assert!(early.is_err(), "told something beside the attempt that is out: {early:?}");
+    assert!(early.is_err(), "answered while the first attempt was open: {early:?}");
     drop(first);
-    assert!(told(&mut second).await.starts_with("go"));
-    second.send(answered(200, &[])).await;
-    assert_eq!(told(&mut second).await, "pass");
+    assert!(next_verdict(&mut second).await.starts_with("go"));
+    second.send(response_headers(200, &[])).await;
+    assert_eq!(next_verdict(&mut second).await, "pass");
     drop(second);
-    assert!(stop(&mut node).contains("taken: 1,"));
+    assert!(stop(&mut limiter).contains("taken: 1,"));
 }
 
-/// A later try of a request that this limiter does not know: what may have run elsewhere is not sent again.
+/// A repeated keyed request that this limiter does not know may have run elsewhere, so it is not sent again.
 #[tokio::test]
-async fn an_unknown_later_try_of_a_keyed_request_fails() {
+async fn unknown_retry_of_a_keyed_request_fails() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "");
-    let channel = channel(node.processor()).await;
-    let mut stream = presented(&channel, &call("c-1", "book"), Some(2)).await;
-    assert_eq!(told(&mut stream).await, "502");
-    let mut stream = presented(&channel, &call("c-2", "look"), Some(2)).await;
-    assert!(told(&mut stream).await.starts_with("go"), "one that is safe to repeat goes on");
+    let limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "");
+    let channel = channel(limiter.processor_addr()).await;
+    let mut stream = present(&channel, &call("c-1", "book"), Some(2)).await;
+    assert_eq!(next_verdict(&mut stream).await, "502");
+    let mut stream = present(&channel, &call("c-2", "look"), Some(2)).await;
+    assert!(
+        next_verdict(&mut stream).await.starts_with("go"),
+        "a request that is safe to repeat is admitted"
+    );
 }
 
-/// The same request presented to two limiters: neither knows of the other's. What is held: one attempt at a time at
-/// each. What is not: both let it in, and it is paid for twice. A keyed one takes effect once, by its key.
+/// The same request presented to two limiters, which do not know of each other's: both admit it and it is
+/// charged twice, with one attempt at a time at each. A keyed request still takes effect once, by its key.
 #[tokio::test]
-async fn two_limiters_both_let_the_same_request_in() {
+async fn two_limiters_both_admit_the_same_request() {
     let server = Stub::scripted(Script::default());
-    let nodes = [0, 1].map(|_| Node::proxied(&[("s-1", &server, "active")], quota(2), ""));
-    for node in &nodes {
-        let proxy = Proxy::connect(node.processor(), RetryMode::PerTry).await.expect("a proxy");
+    let limiters =
+        [0, 1].map(|_| Limiter::with_external_processor(&[("s-1", &server, "active")], with_quota(2), ""));
+    for limiter in &limiters {
+        let proxy = Proxy::connect(limiter.processor_addr(), RetryMode::PerTry).await.expect("a proxy");
         let done = proxy.handle(&call("c-1", "book").request()).await.expect("an answer");
         assert_eq!(done.status, 200);
     }
@@ -363,49 +377,53 @@
     assert_eq!(keys, [Some("key-c-1".to_string()), Some("key-c-1".to_string())]);
 }
 
-/// A proxy that never reports: the module's time for the request bounds it, the final answer comes unasked, and the
-/// open slots come free.
+/// A proxy never reports a result: when the time of the request is up, the final answer is sent unasked and the
+/// slots become free.
 #[tokio::test]
-async fn a_proxy_that_never_reports_hears_the_final_answer_unasked() {
+async fn proxy_that_never_reports_gets_the_final_answer_unasked() {
     let server = Stub::scripted(Script::default());
     let open = |c: String| c.replace(r#""Rate":0,"StoreSize":0"#, r#""Rate":0,"StoreSize":0,"AtOnce":2"#);
-    let node = Node::proxied(&[("s-1", &server, "active")], open, "");
-    let channel = channel(node.processor()).await;
+    let limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], open, "");
+    let channel = channel(limiter.processor_addr()).await;
     let mut silent = Vec::new();
     for n in 0..2 {
-        let mut stream = presented(&channel, &call(&format!("c-{n}"), "look"), Some(1)).await;
-        assert!(told(&mut stream).await.starts_with("go"));
+        let mut stream = present(&channel, &call(&format!("c-{n}"), "look"), Some(1)).await;
+        assert!(next_verdict(&mut stream).await.starts_with("go"));
         silent.push(stream);
     }
-    let mut third = presented(&channel, &call("c-3", "look"), Some(1)).await;
-    assert_eq!(told(&mut third).await, "429", "two are out at once");
+    let mut third = present(&channel, &call("c-3", "look"), Some(1)).await;
+    assert_eq!(next_verdict(&mut third).await, "429", "two requests are open");
     for mut stream in silent {
-        // Safe to repeat: a refusal, though it may be running.
-        assert_eq!(told(&mut stream).await, "429");
+        // Refused though it may be running, since it is safe to repeat.
+        assert_eq!(next_verdict(&mut stream).await, "429");
     }
-    let mut fourth = presented(&channel, &call("c-4", "look"), Some(1)).await;
-    assert!(told(&mut fourth).await.starts_with("go"), "the slots are free again");
+    let mut fourth = present(&channel, &call("c-4", "look"), Some(1)).await;
+    assert!(next_verdict(&mut fourth).await.starts_with("go"), "the slots are free again");
 }
 
-/// A flood of streams on one connection takes what that connection may have, and no other's turn.
+/// A flood of streams on one connection is limited to that connection's share and does not delay other proxies.
 #[tokio::test]
-async fn a_flood_of_streams_leaves_other_proxies_their_turn() {
+async fn flood_of_streams_does_not_delay_other_proxies() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], same, "max_concurrent_streams = 16");
-    let flooding = channel(node.processor()).await;
+    let mut limiter = Limiter::with_external_processor(
+        &[("s-1", &server, "active")],
+        unchanged,
+        "max_concurrent_streams = 16",
+    );
+    let flooding = channel(limiter.processor_addr()).await;
     let flood: Vec<_> = (0..400)
         .map(|n| {
             let channel = flooding.clone();
             tokio::spawn(async move {
-                let mut stream = presented(&channel, &call(&format!("f-{n}"), "look"), Some(1)).await;
-                let told = told(&mut stream).await;
+                let mut stream = present(&channel, &call(&format!("f-{n}"), "look"), Some(1)).await;
+                let verdict = next_verdict(&mut stream).await;
                 tokio::time::sleep(Duration::from_secs(5)).await;
-                told
+                verdict
             })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let proxy = Proxy::connect(node.processor(), RetryMode::None).await.expect("a proxy");
+    let proxy = Proxy::connect(limiter.processor_addr(), RetryMode::None).await.expect("a proxy");
     let began = Instant::now();
     for n in 0..20 {
         let done = proxy.handle(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
@@ -415,80 +433,85 @@
     flood.iter().for_each(|task| task.abort());
     drop(flooding);
     drop(proxy);
-    let line = stop(&mut node);
-    assert!(line.contains("presented: 36,"), "16 streams of the flood, 20 of the other: {line}");
+    let line = stop(&mut limiter);
+    assert!(line.contains("presented: 36,"), "16 streams of the flood and 20 of the other proxy: {line}");
 }
 
-/// More than may be open: turned away at once, and harmlessly.
+/// A request beyond the limit on open requests is rejected at once with 503.
 #[tokio::test]
-async fn beyond_the_bound_on_open_requests_a_presentation_is_turned_away() {
+async fn request_over_the_limit_on_open_requests_is_rejected() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "max_open_requests = 3");
-    let channel = channel(node.processor()).await;
+    let limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "max_open_requests = 3");
+    let channel = channel(limiter.processor_addr()).await;
     let mut open = Vec::new();
     for n in 0..3 {
-        let mut stream = presented(&channel, &call(&format!("c-{n}"), "book"), Some(1)).await;
-        assert!(told(&mut stream).await.starts_with("go"));
+        let mut stream = present(&channel, &call(&format!("c-{n}"), "book"), Some(1)).await;
+        assert!(next_verdict(&mut stream).await.starts_with("go"));
         open.push(stream);
     }
-    let mut more = presented(&channel, &call("c-9", "book"), Some(1)).await;
-    assert_eq!(told(&mut more).await, "503");
+    let mut rejected = present(&channel, &call("c-9", "book"), Some(1)).await;
+    assert_eq!(next_verdict(&mut rejected).await, "503");
 }
 
 #[tokio::test]
-async fn messages_out_of_order_end_the_stream_with_the_reason() {
+async fn out_of_order_messages_end_the_stream_with_an_error() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], same, "max_message_bytes = 4096");
-    let channel = channel(node.processor()).await;
+    let mut limiter = Limiter::with_external_processor(
+        &[("s-1", &server, "active")],
+        unchanged,
+        "max_message_bytes = 4096",
+    );
+    let channel = channel(limiter.processor_addr()).await;
     let open = || async { Stream::open(channel.clone()).await.expect("a stream") };
 
     let mut stream = open().await;
-    stream.send(answered(200, &[])).await;
-    assert_eq!(told(&mut stream).await, "InvalidArgument");
+    stream.send(response_headers(200, &[])).await;
+    assert_eq!(next_verdict(&mut stream).await, "InvalidArgument");
 
     let mut stream = open().await;
     stream.send(Phase::RequestBody(ext::HttpBody::default())).await;
-    assert_eq!(told(&mut stream).await, "InvalidArgument");
+    assert_eq!(next_verdict(&mut stream).await, "InvalidArgument");
 
     let mut stream = open().await;
     stream.send_message(ext::ProcessingRequest::default()).await;
-    assert_eq!(told(&mut stream).await, "InvalidArgument");
+    assert_eq!(next_verdict(&mut stream).await, "InvalidArgument");
 
-    let mut stream = presented(&channel, &call("c-1", "look"), Some(1)).await;
-    assert!(told(&mut stream).await.starts_with("go"));
+    let mut stream = present(&channel, &call("c-1", "look"), Some(1)).await;
+    assert!(next_verdict(&mut stream).await.starts_with("go"));
     stream.send(request_headers(&call("c-2", "look").request(), Some(1))).await;
-    assert_eq!(told(&mut stream).await, "InvalidArgument");
+    assert_eq!(next_verdict(&mut stream).await, "InvalidArgument");
 
-    let mut stream = presented(&channel, &call("c-3", "look"), Some(1)).await;
-    assert!(told(&mut stream).await.starts_with("go"));
+    let mut stream = present(&channel, &call("c-3", "look"), Some(1)).await;
+    assert!(next_verdict(&mut stream).await.starts_with("go"));
     stream.send(Phase::ResponseHeaders(headers(vec![(":status", "many".to_string())], true))).await;
-    assert_eq!(told(&mut stream).await, "InvalidArgument");
+    assert_eq!(next_verdict(&mut stream).await, "InvalidArgument");
 
     let mut stream = open().await;
     let long = headers(vec![("x-long", "x".repeat(8192))], true);
     stream.send(Phase::RequestHeaders(long)).await;
-    assert_eq!(told(&mut stream).await, "OutOfRange");
+    assert_eq!(next_verdict(&mut stream).await, "OutOfRange");
 
-    // What a proxy may send though nobody asked: it is told to carry on, in the order of its messages.
-    let mut stream = presented(&channel, &call("c-4", "book"), Some(1)).await;
+    // Messages that a proxy may send unasked are answered with `continue`, in the order in which they were sent.
+    let mut stream = present(&channel, &call("c-4", "book"), Some(1)).await;
     stream.send(Phase::RequestBody(ext::HttpBody { end_of_stream: true, ..Default::default() })).await;
-    assert!(told(&mut stream).await.starts_with("go"));
+    assert!(next_verdict(&mut stream).await.starts_with("go"));
     let body = stream.next().await.expect("an answer").response;
     assert!(matches!(body, Some(Verdict::RequestBody(_))), "{body:?}");
-    stream.send(answered(200, &[])).await;
-    assert_eq!(told(&mut stream).await, "pass");
+    stream.send(response_headers(200, &[])).await;
+    assert_eq!(next_verdict(&mut stream).await, "pass");
     stream.send(Phase::ResponseTrailers(ext::HttpTrailers::default())).await;
     let trailers = stream.next().await.expect("an answer").response;
     assert!(matches!(trailers, Some(Verdict::ResponseTrailers(_))), "{trailers:?}");
     drop(stream);
-    // What broke the order after its verdict is an orphan until nobody can come back for it.
+    // A request whose stream ended after its verdict stays open until it can no longer be presented again.
     tokio::time::sleep(Duration::from_millis(1200)).await;
-    assert!(stop(&mut node).contains("0 open"));
+    assert!(stop(&mut limiter).contains("0 open"));
 }
 
 /// A message with a field that this version does not know.
 #[derive(Clone, PartialEq, prost::Message)]
-struct Newer {
+struct NewerMessage {
     #[prost(message, optional, tag = "2")]
     request_headers: Option<ext::HttpHeaders>,
     #[prost(string, tag = "900")]
@@ -496,17 +519,17 @@
 }
 
 #[tokio::test]
-async fn unknown_fields_are_passed_over() {
+async fn unknown_fields_are_ignored() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "");
-    let mut grpc = tonic::client::Grpc::new(channel(node.processor()).await);
+    let limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "");
+    let mut grpc = tonic::client::Grpc::new(channel(limiter.processor_addr()).await);
     grpc.ready().await.expect("ready");
     let Phase::RequestHeaders(known) = request_headers(&call("c-1", "look").request(), None) else {
         panic!()
     };
-    let message = Newer { request_headers: Some(known), unheard: "of".to_string() };
+    let message = NewerMessage { request_headers: Some(known), unheard: "of".to_string() };
     let path = "/envoy.service.ext_proc.v3.ExternalProcessor/Process".parse().expect("a path");
-    let codec = tonic_prost::ProstCodec::<Newer, ext::ProcessingResponse>::default();
+    let codec = tonic_prost::ProstCodec::<NewerMessage, ext::ProcessingResponse>::default();
     let requests = tokio_stream::StreamExt::chain(tokio_stream::once(message), tokio_stream::pending());
     let answers = grpc.streaming(tonic::Request::new(requests), path, codec).await.expect("a stream");
     let answer = answers.into_inner().message().await.expect("no error").expect("an answer");
@@ -514,10 +537,10 @@
 }
 
 #[tokio::test]
-async fn in_observability_mode_nothing_is_answered_or_decided() {
+async fn observability_mode_answers_and_decides_nothing() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], quota(1), "");
-    let mut stream = Stream::open(channel(node.processor()).await).await.expect("a stream");
+    let mut limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], with_quota(1), "");
+    let mut stream = Stream::open(channel(limiter.processor_addr()).await).await.expect("a stream");
     for n in 0..3 {
         let request = Some(request_headers(&call(&format!("c-{n}"), "look").request(), None));
         stream
@@ -527,17 +550,22 @@
     let answer = tokio::time::timeout(Duration::from_millis(300), stream.next()).await;
     assert!(answer.is_err(), "{answer:?}");
     drop(stream);
-    assert_eq!(ask(&node, &get("look", "")).status, 200, "the quota's one unit is there still");
-    let line = stop(&mut node);
+    assert_eq!(
+        send_request(&limiter, &get("look", "")).status,
+        200,
+        "the one unit of the quota is still available"
+    );
+    let line = stop(&mut limiter);
     assert!(line.contains("3 observed") && line.contains("presented: 0,"), "{line}");
 }
 
-/// A half-open proxy: it said hello and answers no PING. It is cut, and what it carried is over.
+/// A half-open connection, on which PINGs stay unanswered after the preface, is closed.
 #[tokio::test]
-async fn a_connection_that_answers_no_ping_is_closed() {
+async fn connection_without_ping_answers_is_closed() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "keepalive_ms = 200");
-    let mut raw = TcpStream::connect(node.processor()).expect("connect");
+    let limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "keepalive_ms = 200");
+    let mut raw = TcpStream::connect(limiter.processor_addr()).expect("connect");
     raw.set_read_timeout(Some(Duration::from_secs(10))).expect("time-out");
     // Preface and an empty SETTINGS frame (RFC 9113, sections 3.4 and 6.5).
     raw.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\x04\0\0\0\0\0").expect("write");
@@ -546,28 +574,30 @@
     assert!(ended.is_ok() || ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
 }
 
-/// Connections that say nothing, and more of them than may be open: cut, and the others are served.
+/// Silent connections beyond the connection limit are closed, and other proxies are served.
 #[tokio::test]
-async fn silent_connections_keep_nobody_out_for_long() {
+async fn silent_connections_are_closed() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "max_connections = 4");
+    let limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "max_connections = 4");
     let mut silent: Vec<TcpStream> =
-        (0..4).map(|_| TcpStream::connect(node.processor()).expect("connect")).collect();
-    node.wait_log("external processor on");
+        (0..4).map(|_| TcpStream::connect(limiter.processor_addr()).expect("connect")).collect();
+    limiter.wait_log("external processor on");
     std::thread::sleep(Duration::from_millis(100));
-    let mut refused = TcpStream::connect(node.processor()).expect("connect");
+    let mut refused = TcpStream::connect(limiter.processor_addr()).expect("connect");
     refused.set_read_timeout(Some(Duration::from_secs(10))).expect("time-out");
-    assert_eq!(refused.read(&mut [0; 8]).unwrap_or(0), 0, "one too many is closed at once");
-    node.wait_log("4 connections are open");
+    assert_eq!(refused.read(&mut [0; 8]).unwrap_or(0), 0, "the connection over the limit is closed at once");
+    limiter.wait_log("4 connections are open");
     for stream in &mut silent {
         stream.set_read_timeout(Some(Duration::from_secs(10))).expect("time-out");
         let mut all = Vec::new();
         let _ = stream.read_to_end(&mut all);
     }
-    let proxy = Proxy::connect(node.processor(), RetryMode::None).await.expect("a proxy");
+    let proxy = Proxy::connect(limiter.processor_addr(), RetryMode::None).await.expect("a proxy");
     assert_eq!(proxy.handle(&call("c-1", "look").request()).await.expect("an answer").status, 200);
 }
 
+/// A message in the length-prefixed framing of gRPC.
 fn framed(message: &ext::ProcessingRequest) -> Bytes {
     let body = prost::Message::encode_to_vec(message);
     let mut all = vec![0];
@@ -576,12 +606,14 @@
     all.into()
 }
 
-/// A proxy that gives no flow-control window: its verdicts cannot be told, yet nobody else waits and nothing is left.
+/// A proxy without a flow-control window cannot receive its verdicts: no other proxy waits, and nothing stays
+/// open.
 #[tokio::test]
-async fn stalled_flow_control_holds_up_nobody_else() {
+async fn stalled_flow_control_does_not_delay_other_proxies() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], same, "again_ms = 50");
-    let tcp = tokio::net::TcpStream::connect(node.processor()).await.expect("connect");
+    let mut limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "again_ms = 50");
+    let tcp = tokio::net::TcpStream::connect(limiter.processor_addr()).await.expect("connect");
     let (h2, connection) = h2::client::Builder::new()
         .initial_window_size(0)
         .handshake::<_, Bytes>(tcp)
@@ -593,7 +625,7 @@
     for n in 0..32 {
         let request = hyper::Request::post(format!(
             "http://{}/envoy.service.ext_proc.v3.ExternalProcessor/Process",
-            node.processor()
+            limiter.processor_addr()
         ))
         .header("content-type", "application/grpc")
         .header("te", "trailers")
@@ -606,7 +638,7 @@
         stalled.push((answer, body));
         h2 = h2.ready().await.expect("ready");
     }
-    let proxy = Proxy::connect(node.processor(), RetryMode::None).await.expect("a proxy");
+    let proxy = Proxy::connect(limiter.processor_addr(), RetryMode::None).await.expect("a proxy");
     for n in 0..20 {
         let done = proxy.handle(&call(&format!("c-{n}"), "look").request()).await.expect("an answer");
         assert_eq!(done.status, 200);
@@ -614,35 +646,36 @@
     drop((stalled, h2, proxy));
     driving.abort();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let line = stop(&mut node);
+    let line = stop(&mut limiter);
     assert!(line.contains("0 open") && line.contains("presented: 52,"), "{line}");
 }
 
-/// SIGTERM while decisions are open: those end well, new streams are turned away (GOAWAY), and the program ends.
+/// SIGTERM while requests are open: these are finished, new streams are rejected (GOAWAY), and the process ends.
 #[tokio::test]
-async fn a_drain_finishes_what_is_open_and_takes_nothing_new() {
+async fn sigterm_finishes_open_requests_and_accepts_no_new_ones() {
     let server = Stub::scripted(Script::default());
-    let mut node = Node::proxied(&[("s-1", &server, "active")], same, "");
-    let one = channel(node.processor()).await;
-    let mut open = presented(&one, &call("c-1", "book"), Some(1)).await;
-    assert!(told(&mut open).await.starts_with("go"));
-    node.signal("TERM");
-    node.wait_log("SIGTERM: finishing");
+    let mut limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "");
+    let one = channel(limiter.processor_addr()).await;
+    let mut open = present(&one, &call("c-1", "book"), Some(1)).await;
+    assert!(next_verdict(&mut open).await.starts_with("go"));
+    limiter.signal("TERM");
+    limiter.wait_log("SIGTERM: finishing");
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert!(TcpStream::connect(node.processor()).is_err(), "the listener is closed");
-    open.send(answered(200, &[])).await;
-    assert_eq!(told(&mut open).await, "pass");
+    assert!(TcpStream::connect(limiter.processor_addr()).is_err(), "the listener is closed");
+    open.send(response_headers(200, &[])).await;
+    assert_eq!(next_verdict(&mut open).await, "pass");
     drop(open);
-    assert_eq!(node.exit_code(), Some(0));
-    assert!(node.log().contains("0 open, 0 observed"), "{}", node.log());
+    assert_eq!(limiter.exit_code(), Some(0));
+    assert!(limiter.log().contains("0 open, 0 observed"), "{}", limiter.log());
 }
 
-/// The two smaller protocols decide from the same core: a firm's units are the same ones.
+/// The authorization and rate-limit protocols use the same core, so a customer's units are shared with them.
 #[tokio::test]
 async fn authorization_and_rate_limit_service_share_the_quota() {
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], quota(4), "assumed_ms = 10");
-    let channel = channel(node.processor()).await;
+    let limiter =
+        Limiter::with_external_processor(&[("s-1", &server, "active")], with_quota(4), "assumed_ms = 10");
+    let channel = channel(limiter.processor_addr()).await;
 
     let mut authorization = auth::authorization_client::AuthorizationClient::new(channel.clone());
     let check = |name: &str| {
@@ -663,7 +696,7 @@
     assert_eq!(answer.status.map(|s| s.code), Some(0));
     let Some(auth::check_response::HttpResponse::OkResponse(ok)) = answer.http_response else { panic!() };
     assert!(ok.headers.iter().any(|h| h.header.as_ref().is_some_and(|h| h.key == DESTINATION_HEADER)));
-    // The same request again is no further attempt here: this protocol cannot say so.
+    // The same request again does not count as a retry, since this protocol cannot express one.
     let again = authorization.check(check("a-1")).await.expect("an answer").into_inner();
     assert_ne!(again.status.map(|s| s.code), Some(0));
 
@@ -689,7 +722,7 @@
         domain: "booking".into(),
         ..Default::default()
     };
-    // One of the four units went to the check above.
+    // The check above used one of the four units.
     for _ in 0..3 {
         let ok = limits.should_rate_limit(request.clone()).await.expect("an answer").into_inner();
         assert_eq!(ok.overall_code, rls::rate_limit_response::Code::Ok as i32);
@@ -707,20 +740,23 @@
     assert_eq!(server.request_count(), 0);
 }
 
-/// With trailers asked for, a good answer counts once it has come whole: a proxy that breaks off before that reports a
-/// request that may have run, not a served one.
+/// With trailers requested, an answer counts as served only once it is complete: a proxy that breaks off
+/// earlier leaves a request that may have run.
 #[tokio::test]
-async fn with_trailers_an_answer_counts_once_it_has_come_whole() {
+async fn with_trailers_an_answer_counts_once_complete() {
     let server = Stub::scripted(Script::default());
-    let mut node =
-        Node::proxied(&[("s-1", &server, "active")], same, "response_trailers = true\nagain_ms = 50");
-    let channel = channel(node.processor()).await;
+    let mut limiter = Limiter::with_external_processor(
+        &[("s-1", &server, "active")],
+        unchanged,
+        "response_trailers = true\nagain_ms = 50",
+    );
+    let channel = channel(limiter.processor_addr()).await;
     let begun = || Phase::ResponseHeaders(headers(vec![(":status", "200".to_string())], false));
-    let mut whole = presented(&channel, &call("c-1", "book"), Some(1)).await;
+    let mut whole = present(&channel, &call("c-1", "book"), Some(1)).await;
     let answer = whole.next().await.expect("an answer");
-    assert_eq!(answer.mode_override.map(|m| m.response_trailer_mode), Some(1), "trailers are asked for");
+    assert_eq!(answer.mode_override.map(|m| m.response_trailer_mode), Some(1), "trailers are requested");
     whole.send(begun()).await;
-    assert_eq!(told(&mut whole).await, "pass");
+    assert_eq!(next_verdict(&mut whole).await, "pass");
     for _ in 0..2 {
         whole.send(Phase::ResponseTrailers(ext::HttpTrailers::default())).await;
         assert!(matches!(
@@ -728,14 +764,14 @@
             Some(Verdict::ResponseTrailers(_))
         ));
     }
-    let mut broken = presented(&channel, &call("c-2", "book"), Some(1)).await;
-    assert!(told(&mut broken).await.starts_with("go"));
+    let mut broken = present(&channel, &call("c-2", "book"), Some(1)).await;
+    assert!(next_verdict(&mut broken).await.starts_with("go"));
     broken.send(begun()).await;
-    assert_eq!(told(&mut broken).await, "pass");
+    assert_eq!(next_verdict(&mut broken).await, "pass");
     drop(broken);
     drop(whole);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let line = stop(&mut node);
+    let line = stop(&mut limiter);
     assert!(
         line.contains("0 open") && line.contains("served: 1,") && line.contains("unreported: 1"),
         "{line}"
@@ -743,11 +779,11 @@
 }
 
 #[tokio::test]
-async fn the_health_service_says_when_requests_can_be_served() {
+async fn health_service_reports_readiness() {
     use tonic_health::pb::{health_client::HealthClient, HealthCheckRequest};
     let server = Stub::scripted(Script::default());
-    let node = Node::proxied(&[("s-1", &server, "active")], same, "");
-    let mut health = HealthClient::new(channel(node.processor()).await);
+    let limiter = Limiter::with_external_processor(&[("s-1", &server, "active")], unchanged, "");
+    let mut health = HealthClient::new(channel(limiter.processor_addr()).await);
     let mut status = 0;
     for _ in 0..100 {
         let request = HealthCheckRequest { service: String::new() };
@@ -758,7 +794,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(status, 1);
-    node.discovery.push(&update_line(2, true, &[]));
+    limiter.discovery.push(&update_line(2, true, &[]));
     for _ in 0..100 {
         let request = HealthCheckRequest { service: String::new() };
         status = health.check(request).await.expect("an answer").into_inner().status;
@@ -767,11 +803,11 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("still {status} without a server");
+    panic!("health status is still {status} without a server");
 }
 
 #[test]
-fn a_bad_extension_file_is_refused_with_its_key() {
+fn invalid_extension_file_is_rejected_with_its_keys() {
     let check = |text: &str| {
         let path = std::env::temp_dir().join(format!("marldeal-bad-{}.toml", std::process::id()));
         std::fs::write(&path, text).expect("written");
--- a/marldeal/tests/failing_calls.rs
+++ b/marldeal/tests/failing_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail in ways that Linux documents: short reads and writes, interrupted calls, accepts, connects, binds
-//! and opens that fail for a moment. The five rules hold all the same.
+//! System calls that fail in ways documented for Linux: short reads and writes, interrupted calls, and accepts,
+//! connects, binds and opens that fail temporarily. The five rules hold nevertheless.
 
 mod stubs;
 
@@ -9,20 +9,22 @@
 
 use stubs::*;
 
+/// A GET request with the id `c-n`.
 fn numbered(n: usize) -> String {
     get("look", "").replace("c-1", &format!("c-{n}"))
 }
 
-/// Reads bring one byte or a few at a time, writes take as little. The event loop may take a short read for the sign that
-/// nothing more lies there, and then hears of the rest never. Guards against requests and answers that stay half read.
+/// Reads and writes transfer a few bytes at a time. An event loop may take a short read as a sign that no more
+/// bytes are pending, and is then never notified of the rest. Guards against requests and answers that stay
+/// partly read.
 #[test]
-fn requests_and_answers_that_come_by_short_calls_are_whole() {
+fn short_reads_and_writes_lose_no_bytes() {
     let server =
         Stub::new(|seen, stream| write_ok(stream, &format!("{}-{}", seen.body.len(), "y".repeat(2000))));
     let calls = FailingCalls { short_reads: 600, short_writes: 600, seed: 3, ..FailingCalls::default() };
-    let node = Node::failing(&[("s-1", &server, "active")], |c| c, &calls);
+    let limiter = Limiter::with_failing_calls(&[("s-1", &server, "active")], |c| c, &calls);
     for n in 0..20 {
-        let mut client = TcpStream::connect(node.addr).expect("connect");
+        let mut client = TcpStream::connect(limiter.addr).expect("connect");
         for turn in 0..2 {
             let body = "x".repeat(3000);
             let answer = exchange(&mut client, &post("book", &format!("k{n}-{turn}"), "", &body));
@@ -31,122 +33,122 @@
     }
 }
 
-/// Guards against a connection that ends, and a request that is lost with it, since a signal came during a call.
+/// Guards against a connection that is closed, and a request that is lost, because a signal interrupted a call.
 #[test]
-fn interrupted_calls_end_no_connection() {
+fn interrupted_calls_close_no_connection() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let calls = FailingCalls { interrupted: 300, seed: 5, ..FailingCalls::default() };
-    let node = Node::failing(&[("s-1", &server, "active")], |c| c, &calls);
-    let mut client = TcpStream::connect(node.addr).expect("connect");
+    let limiter = Limiter::with_failing_calls(&[("s-1", &server, "active")], |c| c, &calls);
+    let mut client = TcpStream::connect(limiter.addr).expect("connect");
     for n in 0..60 {
         assert_eq!(exchange(&mut client, &numbered(n)).body, "fine", "request {n}");
     }
-    assert_eq!(server.request_count(), 60, "each went out once");
+    assert_eq!(server.request_count(), 60, "each request was sent once");
 }
 
-/// Guards against a client that is cut in the middle of its request since another one's connect was aborted: only a want of
-/// descriptors is mended by closing something.
+/// Guards against a client that is disconnected in the middle of its request because another client's connect
+/// was aborted: closing connections helps only when descriptors run out.
 #[test]
-fn an_aborted_accept_cuts_nobody() {
+fn aborted_accept_disconnects_no_client() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let calls = FailingCalls { accepts: 300, seed: 7, ..FailingCalls::default() };
-    let node = Node::failing(&[("s-1", &server, "active")], |c| c, &calls);
-    let mut slow = TcpStream::connect(node.addr).expect("connect");
+    let limiter = Limiter::with_failing_calls(&[("s-1", &server, "active")], |c| c, &calls);
+    let mut slow = TcpStream::connect(limiter.addr).expect("connect");
     let request = numbered(1);
     let (first, rest) = request.split_at(40);
     slow.write_all(first.as_bytes()).expect("write");
-    // Long enough for it to count as one that makes way.
+    // Long enough for the connection to count as one that may be closed to free a descriptor.
     std::thread::sleep(Duration::from_millis(700));
     for n in 0..40 {
-        let mut other = TcpStream::connect(node.addr).expect("connect");
+        let mut other = TcpStream::connect(limiter.addr).expect("connect");
         assert_eq!(exchange(&mut other, &numbered(100 + n)).body, "fine", "request {n}");
     }
     slow.write_all(rest.as_bytes()).expect("still open");
     assert_eq!(read_answer(&mut slow).body, "fine");
 }
 
-/// Guards against a start that ends the process since a socket could not be had, or bound, for a moment.
+/// Guards against a start that ends the process because a socket could temporarily not be created or bound.
 #[test]
-fn a_start_whose_first_sockets_fail_serves_all_the_same() {
+fn start_succeeds_after_failing_sockets_and_binds() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let calls = FailingCalls { first_sockets: 3, first_binds: 2, ..FailingCalls::default() };
-    let node = Node::failing(&[("s-1", &server, "active")], |c| c, &calls);
-    assert_eq!(ask(&node, &numbered(1)).body, "fine");
+    let limiter = Limiter::with_failing_calls(&[("s-1", &server, "active")], |c| c, &calls);
+    assert_eq!(send_request(&limiter, &numbered(1)).body, "fine");
 }
 
-/// Connects that fail on this side: the request goes elsewhere, or once more, and no server is blamed.
+/// After a connect that fails locally the request is retried, and no server is blamed.
 #[test]
-fn connects_that_fail_on_this_side_lose_nothing() {
+fn locally_failing_connects_lose_no_request() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let calls = FailingCalls { connects: 300, seed: 11, ..FailingCalls::default() };
-    let node = Node::failing(&[("s-1", &server, "active")], |c| c, &calls);
+    let limiter = Limiter::with_failing_calls(&[("s-1", &server, "active")], |c| c, &calls);
     let mut served = 0;
     for n in 0..30 {
-        let answer = ask(&node, &numbered(n));
+        let answer = send_request(&limiter, &numbered(n));
         assert!([200, 429].contains(&answer.status), "request {n}: {}", answer.head);
         served += usize::from(answer.status == 200);
     }
     assert!(served >= 25, "{served} of 30");
 }
 
-/// The configuration names a new place of discovery, and the limiter is told to read it just when it may open no file, as
-/// when descriptors run out for a moment. What the new place tells counts all the same. Guards against a limiter that stays
-/// with the old place for good.
+/// The configuration names a new discovery address, and the reload happens while no file can be opened, as when
+/// descriptors run out temporarily. Guards against a limiter that stays with the old address for good.
 #[test]
-fn a_reload_whose_read_fails_for_a_moment_takes_effect_later() {
+fn reload_with_a_temporarily_failing_read_takes_effect_later() {
     let (old, new) = (Stub::new(|_, s| write_ok(s, "old")), Stub::new(|_, s| write_ok(s, "new")));
     let blocked = std::env::temp_dir().join(format!("marldeal-test-blocked-{}", std::process::id()));
-    let node = Node::failing_open(&[("s-1", &old, "active")], &blocked);
+    let limiter = Limiter::with_failing_config_open(&[("s-1", &old, "active")], &blocked);
     let next = Discovery::new(update_line(9, true, &[("s-2", new.addr, "active")]));
     std::fs::write(&blocked, "").expect("a file");
-    let before = node.discovery.addr.to_string();
-    node.reload(|config| config.replace(&before, &next.addr.to_string()));
-    node.wait_log("the old configuration stands");
-    assert_eq!(ask(&node, &numbered(1)).body, "old");
-    std::fs::remove_file(&blocked).expect("it is there");
-    wait_for("the new place", || ask(&node, &numbered(2)).body == "new");
+    let before = limiter.discovery.addr.to_string();
+    limiter.reload(|config| config.replace(&before, &next.addr.to_string()));
+    limiter.wait_log("the old configuration stands");
+    assert_eq!(send_request(&limiter, &numbered(1)).body, "old");
+    std::fs::remove_file(&blocked).expect("the file exists");
+    wait_for("the new discovery address", || send_request(&limiter, &numbered(2)).body == "new");
 }
 
-/// The signal comes while the file is being written. Guards against a limiter that reads half of it and stays with the old
-/// one for good.
+/// The signal arrives while the file is being written. Guards against a limiter that reads part of it and stays
+/// with the old configuration for good.
 #[test]
-fn a_reload_in_the_middle_of_a_write_takes_effect_when_the_file_is_whole() {
+fn reload_during_a_write_takes_effect_once_the_file_is_complete() {
     let (old, new) = (Stub::new(|_, s| write_ok(s, "old")), Stub::new(|_, s| write_ok(s, "new")));
-    let node = Node::start(&[("s-1", &old, "active")]);
+    let limiter = Limiter::start(&[("s-1", &old, "active")]);
     let next = Discovery::new(update_line(9, true, &[("s-2", new.addr, "active")]));
-    let before = node.discovery.addr.to_string();
+    let before = limiter.discovery.addr.to_string();
     let mut whole = String::new();
-    let keep = std::sync::Mutex::new(&mut whole);
-    node.reload(|config| {
+    let saved = std::sync::Mutex::new(&mut whole);
+    limiter.reload(|config| {
         let altered = config.replace(&before, &next.addr.to_string());
         let half = altered[..altered.len() / 2].to_string();
-        **keep.lock().expect("lock") = altered;
+        **saved.lock().expect("lock") = altered;
         half
     });
-    node.wait_log("the old configuration stands");
-    node.rewrite(&whole);
-    wait_for("the new place", || ask(&node, &numbered(2)).body == "new");
+    limiter.wait_log("the old configuration stands");
+    limiter.rewrite_config(&whole);
+    wait_for("the new discovery address", || send_request(&limiter, &numbered(2)).body == "new");
 }
 
-/// Everything that comes back on a connection of its own; nothing where the connection ended before.
-fn raw(node: &Node, request: &str) -> String {
-    let mut client = TcpStream::connect(node.addr).expect("connect");
+/// Sends a request on a new connection and returns all bytes read; empty if the connection ended before an answer.
+fn raw_answer(limiter: &Limiter, request: &str) -> String {
+    let mut client = TcpStream::connect(limiter.addr).expect("connect");
     client.write_all(request.as_bytes()).expect("write");
     let mut text = String::new();
     let _ = client.read_to_string(&mut text);
     text
 }
 
-/// Guards against answers that are lost where a connection to a server breaks in an unusual way.
+/// Guards against answers that are lost when a connection to a server breaks with a time-out error.
 #[test]
-fn a_broken_connection_that_shows_as_a_timeout_is_a_broken_connection() {
+fn timeout_error_on_a_connection_counts_as_broken() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let calls = FailingCalls { broken: 100, seed: 13, ..FailingCalls::default() };
-    let node = Node::failing(&[("s-1", &server, "active")], |c| c, &calls);
+    let limiter = Limiter::with_failing_calls(&[("s-1", &server, "active")], |c| c, &calls);
     let mut served = 0;
     for n in 0..60 {
-        let text = raw(&node, &get("look", "Connection: close\r\n").replace("c-1", &format!("c-{n}")));
-        // The limiter's own side of the client's connection may be the broken one: then it ends.
+        let text =
+            raw_answer(&limiter, &get("look", "Connection: close\r\n").replace("c-1", &format!("c-{n}")));
+        // The client's connection may be the broken one; it then ends without an answer.
         let whole = text.starts_with("HTTP/1.1 200") || text.starts_with("HTTP/1.1 429");
         assert!(text.is_empty() || whole, "{text}");
         served += usize::from(text.starts_with("HTTP/1.1 200"));
--- a/marldeal/tests/management.rs
+++ b/marldeal/tests/management.rs
@@ -1,4 +1,4 @@
-//! What operators call: status, figures, sending clients away and taking them again.
+//! The management interface: status, stats, and the switch between standby and active.
 
 mod stubs;
 
@@ -8,12 +8,14 @@
 use std::time::Duration;
 
 use stubs::{
-    ask, exchange, get, held, post, read_answer, ready, update_line, wait_for, write_ok, Node, Stub,
+    exchange, get, post, read_answer, ready, send_request, server_with_held_requests, update_line, wait_for,
+    write_ok, Limiter, Stub,
 };
 
-/// Every request ends in one count, the counts are what the clients saw, and attempts are those that nodes saw.
+/// Every request is counted once, the counts match what the clients saw, and the attempts match what the
+/// servers saw.
 #[test]
-fn figures_are_what_clients_and_nodes_saw() {
+fn stats_match_what_clients_and_servers_saw() {
     let server = Stub::new(|seen, stream| match seen.body.as_str() {
         "fail" => write!(stream, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n").is_ok(),
         "full" => write!(stream, "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n").is_ok(),
@@ -23,146 +25,150 @@
         }
         _ => write_ok(stream, "done"),
     });
-    let node = Node::managed(&[("s-1", &server, "active")], |c| c);
-    let text = node.operator(b"stats\n");
+    let limiter = Limiter::with_management(&[("s-1", &server, "active")], |c| c);
+    let text = limiter.management_call(b"stats\n");
     assert!(text.starts_with("SUCCESS") && text.ends_with("\nEOT\n"), "{text}");
     for name in
         ["succeeded.look", "succeeded.book", "declined.look", "declined.book", "aborted.look", "aborted.book"]
     {
         assert!(text.contains(&format!("\n{name}=0\n")), "{name} in {text}");
     }
-    assert_eq!((node.figure("discovered"), node.figure("ejected")), (1, 0));
-    let mut client = TcpStream::connect(node.addr).expect("connect");
+    assert_eq!((limiter.stat("discovered"), limiter.stat("ejected")), (1, 0));
+    let mut client = TcpStream::connect(limiter.addr).expect("connect");
     assert_eq!(exchange(&mut client, &get("look", "")).status, 200);
     assert_eq!(exchange(&mut client, &post("book", "k1", "", "fail")).status, 502);
     assert_eq!(exchange(&mut client, &post("book", "k2", "", "full")).status, 429);
-    // Bad input with a known class, and with none.
-    assert_eq!(ask(&node, &get("look", "").replace("units=1", "units=0")).status, 400);
-    assert_eq!(ask(&node, &get("lock", "")).status, 400);
-    let mut gone = TcpStream::connect(node.addr).expect("connect");
-    gone.write_all(post("book", "k3", "", "slow").as_bytes()).expect("write");
-    wait_for("the slow one to be open", || node.figure("outstanding") == 1);
-    drop(gone);
-    wait_for("its end", || node.figure("outstanding") == 0);
-    assert_eq!((node.figure("succeeded.look"), node.figure("succeeded.book")), (1, 0));
-    assert_eq!((node.figure("declined.look"), node.figure("declined.book")), (0, 1));
-    // The bad one; the failed one and the one whose client left.
-    assert_eq!((node.figure("aborted.look"), node.figure("aborted.book")), (1, 2));
-    assert_eq!(node.figure("forwards"), server.requests().len() as u64);
+    // Malformed requests, with a known class and without one.
+    assert_eq!(send_request(&limiter, &get("look", "").replace("units=1", "units=0")).status, 400);
+    assert_eq!(send_request(&limiter, &get("lock", "")).status, 400);
+    let mut disconnected = TcpStream::connect(limiter.addr).expect("connect");
+    disconnected.write_all(post("book", "k3", "", "slow").as_bytes()).expect("write");
+    wait_for("the slow request to be open", || limiter.stat("outstanding") == 1);
+    drop(disconnected);
+    wait_for("the request to end", || limiter.stat("outstanding") == 0);
+    assert_eq!((limiter.stat("succeeded.look"), limiter.stat("succeeded.book")), (1, 0));
+    assert_eq!((limiter.stat("declined.look"), limiter.stat("declined.book")), (0, 1));
+    // The malformed request; the failed one and the one whose client disconnected.
+    assert_eq!((limiter.stat("aborted.look"), limiter.stat("aborted.book")), (1, 2));
+    assert_eq!(limiter.stat("forwards"), server.requests().len() as u64);
 }
 
-/// Guards against counting an attempt that a server never got whole.
+/// Guards against counting an attempt that a server never received completely.
 #[test]
-fn an_attempt_that_reached_nobody_is_no_forward() {
+fn attempt_that_reached_no_server_is_not_counted() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let dead = listener.local_addr().expect("an address");
     let server = Stub::new(|_, stream| write_ok(stream, "done"));
-    let node = Node::managed(&[("s-1", &server, "active")], |c| c);
+    let limiter = Limiter::with_management(&[("s-1", &server, "active")], |c| c);
     drop(listener);
-    node.discovery.push(&update_line(2, true, &[("s-2", dead, "active")]));
-    wait_for("the new list", || node.log().contains("s-2"));
-    assert_eq!(ask(&node, &get("look", "")).status, 429);
-    assert_eq!(node.figure("forwards"), 0);
+    limiter.discovery.push(&update_line(2, true, &[("s-2", dead, "active")]));
+    wait_for("the new list", || limiter.log().contains("s-2"));
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 429);
+    assert_eq!(limiter.stat("forwards"), 0);
     wait_for("the server to be avoided", || {
-        ask(&node, &get("look", ""));
-        node.figure("ejected") == 1
+        send_request(&limiter, &get("look", ""));
+        limiter.stat("ejected") == 1
     });
 }
 
 #[test]
 fn reloads_are_counted() {
     let server = Stub::new(|_, stream| write_ok(stream, "done"));
-    let node = Node::managed(&[("s-1", &server, "active")], |c| c);
-    node.reload(|c| c);
-    wait_for("a good reload", || node.figure("sighup_applied") == 1);
-    node.reload(|_| "{".to_string());
-    wait_for("a bad one", || node.figure("sighup_rejected") == 1);
-    assert_eq!(node.figure("sighup_applied"), 1);
+    let limiter = Limiter::with_management(&[("s-1", &server, "active")], |c| c);
+    limiter.reload(|c| c);
+    wait_for("an applied reload", || limiter.stat("sighup_applied") == 1);
+    limiter.reload(|_| "{".to_string());
+    wait_for("a rejected reload", || limiter.stat("sighup_rejected") == 1);
+    assert_eq!(limiter.stat("sighup_applied"), 1);
 }
 
-/// In standby: no at once; what still comes is served; each answer closes its connection, and idle ones are closed.
-/// `active` takes clients again.
+/// In standby readiness fails at once, further requests are served, each answer closes its connection, and idle
+/// connections are closed. `active` ends the standby.
 #[test]
-fn standby_sends_clients_away_and_active_takes_them_again() {
+fn standby_closes_connections_and_active_keeps_them_again() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::managed(&[("s-1", &server, "active")], |c| c);
-    assert_eq!(node.operator(b"status\n"), "SUCCESS serving\n");
-    assert_eq!(node.operator(b"active\n"), "SUCCESS serving\n");
+    let limiter = Limiter::with_management(&[("s-1", &server, "active")], |c| c);
+    assert_eq!(limiter.management_call(b"status\n"), "SUCCESS serving\n");
+    assert_eq!(limiter.management_call(b"active\n"), "SUCCESS serving\n");
     let connect = || {
-        let stream = TcpStream::connect(node.addr).expect("connect");
+        let stream = TcpStream::connect(limiter.addr).expect("connect");
         stream.set_read_timeout(Some(marldeal_standin::TIMEOUT)).expect("time-out");
         stream
     };
     let (mut kept, mut idle, mut silent) = (connect(), connect(), connect());
     assert_eq!(exchange(&mut kept, &get("look", "")).status, 200);
     assert_eq!(exchange(&mut idle, &get("look", "")).status, 200);
-    assert_eq!(node.operator(b"standby\n"), "SUCCESS standby\n");
-    assert_eq!(ready(&node), 503);
-    assert_eq!(node.operator(b"status\n"), "SUCCESS standby\n", "it could serve");
+    assert_eq!(limiter.management_call(b"standby\n"), "SUCCESS standby\n");
+    assert_eq!(ready(&limiter), 503);
+    assert_eq!(
+        limiter.management_call(b"status\n"),
+        "SUCCESS standby\n",
+        "standby, not unready: a server is available"
+    );
     let answer = exchange(&mut kept, &get("look", ""));
     assert_eq!((answer.status, answer.header("connection").as_deref()), (200, Some("close")));
     assert_eq!(kept.read(&mut [0; 16]).expect("a clean end"), 0);
-    assert_eq!(ask(&node, &get("look", "")).status, 200, "new connections are still served");
-    assert_eq!(node.operator(b"standby\n"), "SUCCESS standby\n");
-    assert_eq!(idle.read(&mut [0; 16]).expect("a clean end"), 0, "closed though nothing was asked");
-    assert_eq!(silent.read(&mut [0; 16]).expect("a clean end"), 0, "and one that never asked");
-    assert_eq!(node.operator(b"active\n"), "SUCCESS serving\n");
-    assert_eq!(ready(&node), 200);
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 200, "new connections are still served");
+    assert_eq!(limiter.management_call(b"standby\n"), "SUCCESS standby\n");
+    assert_eq!(idle.read(&mut [0; 16]).expect("a clean end"), 0, "closed after its last answer");
+    assert_eq!(silent.read(&mut [0; 16]).expect("a clean end"), 0, "closed though it never sent a request");
+    assert_eq!(limiter.management_call(b"active\n"), "SUCCESS serving\n");
+    assert_eq!(ready(&limiter), 200);
     let mut again = connect();
     assert_eq!(exchange(&mut again, &get("look", "")).header("connection"), None);
-    assert_eq!(exchange(&mut again, &get("look", "")).status, 200, "kept again");
+    assert_eq!(exchange(&mut again, &get("look", "")).status, 200, "the connection is kept again");
 }
 
-/// What was asked before the standby is answered, however long that takes.
+/// Requests from before the standby are answered, however long that takes.
 #[test]
 fn standby_loses_no_request() {
-    let (server, release) = held();
-    let node = Node::managed(&[("s-1", &server, "active")], |c| c);
-    let mut slow = TcpStream::connect(node.addr).expect("connect");
+    let (server, release) = server_with_held_requests();
+    let limiter = Limiter::with_management(&[("s-1", &server, "active")], |c| c);
+    let mut slow = TcpStream::connect(limiter.addr).expect("connect");
     slow.write_all(post("book", "k", "", "slow").as_bytes()).expect("write");
     wait_for("the request to arrive", || server.requests().len() == 1);
-    let mut idle = TcpStream::connect(node.addr).expect("connect");
+    let mut idle = TcpStream::connect(limiter.addr).expect("connect");
     assert_eq!(exchange(&mut idle, &get("look", "")).status, 200);
-    node.operator(b"standby\n");
+    limiter.management_call(b"standby\n");
     idle.set_read_timeout(Some(marldeal_standin::TIMEOUT)).expect("time-out");
-    assert_eq!(idle.read(&mut [0; 16]).expect("a clean end"), 0, "idle ones go");
+    assert_eq!(idle.read(&mut [0; 16]).expect("a clean end"), 0, "idle connections are closed");
     release.store(true, Ordering::SeqCst);
     assert_eq!(read_answer(&mut slow).body, "done");
 }
 
-/// A process that ends says so and takes no command back.
+/// A process that is stopping says so and cannot be made active again.
 #[test]
-fn standby_then_sigterm_ends_and_an_end_is_not_called_off() {
-    let (server, release) = held();
-    let mut node = Node::managed(&[("s-1", &server, "active")], |c| c);
-    let mut slow = TcpStream::connect(node.addr).expect("connect");
+fn sigterm_in_standby_cannot_be_cancelled() {
+    let (server, release) = server_with_held_requests();
+    let mut limiter = Limiter::with_management(&[("s-1", &server, "active")], |c| c);
+    let mut slow = TcpStream::connect(limiter.addr).expect("connect");
     slow.write_all(post("book", "k", "", "slow").as_bytes()).expect("write");
     wait_for("the request to arrive", || server.requests().len() == 1);
-    node.operator(b"standby\n");
-    node.signal("TERM");
-    node.wait_log("finishing");
-    assert!(node.operator(b"active\n").starts_with("FAILURE this process is stopping"));
-    assert!(node.operator(b"stats\n").contains("outstanding=1"));
+    limiter.management_call(b"standby\n");
+    limiter.signal("TERM");
+    limiter.wait_log("finishing");
+    assert!(limiter.management_call(b"active\n").starts_with("FAILURE this process is stopping"));
+    assert!(limiter.management_call(b"stats\n").contains("outstanding=1"));
     release.store(true, Ordering::SeqCst);
     assert_eq!(read_answer(&mut slow).body, "done");
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
 
-/// Callers that say nothing, half a line or nonsense hold up nobody, and nothing of them grows.
+/// Management connections that send nothing, a partial line or garbage do not delay others.
 #[test]
-fn bad_callers_do_not_delay_a_whole_call() {
+fn malformed_calls_do_not_delay_others() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::managed(&[("s-1", &server, "active")], |c| c);
+    let limiter = Limiter::with_management(&[("s-1", &server, "active")], |c| c);
     let mut held = Vec::new();
     for n in 0..200 {
-        let mut stream = TcpStream::connect(node.management()).expect("connect");
+        let mut stream = TcpStream::connect(limiter.management_addr()).expect("connect");
         let _ = stream.write_all([&b""[..], b"sta", b"\0\xff"][n % 3]);
         held.push(stream);
         if n % 20 == 0 {
-            assert_eq!(node.operator(b"status\n"), "SUCCESS serving\n");
+            assert_eq!(limiter.management_call(b"status\n"), "SUCCESS serving\n");
         }
     }
-    assert_eq!(node.operator(b"status\n"), "SUCCESS serving\n");
+    assert_eq!(limiter.management_call(b"status\n"), "SUCCESS serving\n");
     for (bytes, why) in [
         (&b"\n"[..], "no call"),
         (b"restart\n", "unknown call"),
@@ -170,28 +176,33 @@
         (&[b'x'; 5000], "the line is too long"),
         (b"status\xc3\n", "a call is written in ASCII"),
     ] {
-        let answer = node.operator(bytes);
+        let answer = limiter.management_call(bytes);
         assert_eq!(answer, format!("FAILURE {why}; the calls are status, stats, standby, active\n"));
     }
-    assert_eq!(node.operator(b"status\r\nstandby\r\n"), "SUCCESS serving\n", "one call a connection");
-    let mut half = TcpStream::connect(node.management()).expect("connect");
+    assert_eq!(
+        limiter.management_call(b"status\r\nstandby\r\n"),
+        "SUCCESS serving\n",
+        "one call per connection"
+    );
+    let mut half = TcpStream::connect(limiter.management_addr()).expect("connect");
     half.write_all(b"standby").expect("write");
     half.shutdown(std::net::Shutdown::Write).expect("shutdown");
     let mut answer = String::new();
     half.read_to_string(&mut answer).expect("an answer");
     assert!(answer.starts_with("FAILURE the line did not come whole"), "{answer}");
-    assert_eq!(ready(&node), 200, "no half call was taken for one");
+    assert_eq!(ready(&limiter), 200, "the partial call had no effect");
 }
 
-/// Every descriptor that clients may have is taken: operators are answered all the same.
+/// Management calls are answered while clients hold all descriptors that they may use.
 #[test]
-fn operators_are_answered_while_clients_hold_all_they_may() {
+fn management_is_answered_while_clients_hold_all_descriptors() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node =
-        Node::managed(&[("s-1", &server, "active")], |c| c.replace(r#""sockets":1024"#, r#""sockets":100"#));
-    let crowd: Vec<_> = (0..150).map(|_| TcpStream::connect(node.addr).expect("connect")).collect();
+    let limiter = Limiter::with_management(&[("s-1", &server, "active")], |c| {
+        c.replace(r#""sockets":1024"#, r#""sockets":100"#)
+    });
+    let clients: Vec<_> = (0..150).map(|_| TcpStream::connect(limiter.addr).expect("connect")).collect();
     for _ in 0..20 {
-        assert!(node.operator(b"stats\n").ends_with("EOT\n"));
+        assert!(limiter.management_call(b"stats\n").ends_with("EOT\n"));
     }
-    drop(crowd);
+    drop(clients);
 }
--- a/marldeal/tests/sockets.rs
+++ b/marldeal/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The real program between stub servers, a stub of discovery and raw clients, all on loopback.
+//! The real program between stub servers, a stub discovery agent and raw clients, all on loopback.
 
 mod stubs;
 
@@ -9,12 +9,12 @@
 use stubs::*;
 
 #[test]
-fn a_server_gets_the_request_and_the_client_its_body_unchanged() {
+fn request_and_answer_are_forwarded_unchanged() {
     let body: String = ('a'..='z').cycle().take(50_000).collect();
     let text = body.clone();
     let server = Stub::new(move |_, stream| write_ok(stream, &text));
-    let node = Node::start(&[("s-1", &server, "active")]);
-    let answer = ask(&node, &post("book", "k1", "X-Ignored: 1\r\n", "hello"));
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
+    let answer = send_request(&limiter, &post("book", "k1", "X-Ignored: 1\r\n", "hello"));
     assert_eq!((answer.status, answer.body.as_str()), (200, body.as_str()));
     let seen = server.requests();
     assert_eq!(seen.len(), 1);
@@ -26,11 +26,11 @@
     assert_eq!(seen[0].body, "hello");
 }
 
-/// Guards against bad input reaching the module or a server, or ending the program.
+/// Guards against malformed requests that reach the core or a server, or that end the process.
 #[test]
-fn bad_input_is_answered_at_once_and_goes_nowhere() {
+fn malformed_requests_are_rejected_at_once_and_not_forwarded() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::start(&[("s-1", &server, "active")]);
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
     let good = get("look", "");
     let without = |line: &str| {
         let kept: Vec<&str> = good.split("\r\n").filter(|l| !l.starts_with(line)).collect();
@@ -59,30 +59,32 @@
         (400, "GARBAGE\r\n\r\n".to_string()),
     ] {
         let began = Instant::now();
-        assert_eq!(ask(&node, &request).status, status, "{:.300}", request);
+        assert_eq!(send_request(&limiter, &request).status, status, "{:.300}", request);
         assert!(began.elapsed() < Duration::from_secs(3), "{:.300}", request);
     }
-    assert_eq!(ask(&node, &good).status, 200);
-    assert_eq!(server.requests().len(), 1, "only the good one reached the server");
+    assert_eq!(send_request(&limiter, &good).status, 200);
+    assert_eq!(server.requests().len(), 1, "only the valid request reached the server");
 }
 
-/// 503 and 504 prove that nothing ran only with the mark; without it a keyed request must end as failed.
+/// 503 and 504 prove that a request did not run only with `X-Unprocessed: 1`; without it a keyed request ends
+/// as failed.
 #[test]
-fn turned_away_counts_as_never_run_only_with_the_mark() {
+fn rejection_by_a_server_counts_as_never_run_only_with_the_header() {
     for (mark, expected) in [("X-Unprocessed: 1\r\n", 429), ("", 502), ("X-Unprocessed: 0\r\n", 502)] {
         for line in ["503 Busy", "504 Late"] {
             let server = Stub::new(move |_, stream| {
                 write!(stream, "HTTP/1.1 {line}\r\n{mark}Content-Length: 0\r\n\r\n").is_ok()
             });
-            let node = Node::start(&[("s-1", &server, "active")]);
-            assert_eq!(ask(&node, &post("book", "k", "", "x")).status, expected, "{line} {mark}");
+            let limiter = Limiter::start(&[("s-1", &server, "active")]);
+            assert_eq!(send_request(&limiter, &post("book", "k", "", "x")).status, expected, "{line} {mark}");
         }
     }
 }
 
-/// Guards against a part of a body passed on as served, and against a broken exchange taken for never run.
+/// Guards against a truncated body that is passed on as served, and against a broken exchange that counts as
+/// never run.
 #[test]
-fn a_broken_answer_is_never_served() {
+fn truncated_answer_is_never_served() {
     let cut = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf";
     let chunk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n";
     for text in [String::new(), "HTTP/1.1 200".to_string(), cut.to_string(), chunk.to_string()] {
@@ -90,117 +92,118 @@
             let _ = stream.write_all(text.as_bytes());
             false
         });
-        let node = Node::start(&[("s-1", &server, "active")]);
-        assert_eq!(ask(&node, &post("book", "k", "", "x")).status, 502);
+        let limiter = Limiter::start(&[("s-1", &server, "active")]);
+        assert_eq!(send_request(&limiter, &post("book", "k", "", "x")).status, 502);
         let seen = server.requests();
         assert!((1..=3).contains(&seen.len()), "{} attempts", seen.len());
         assert!(seen.iter().all(|s| s.header("idempotency-key").as_deref() == Some("k")));
     }
 }
 
-/// A refused connection proves that nothing ran: the client is told that trying again is harmless.
+/// A refused connection proves that the request did not run: the client gets a status that allows a retry.
 #[test]
-fn a_refused_connection_is_a_refusal() {
+fn refused_connection_is_answered_with_429() {
     let server = Stub::new(|_, _| false);
     let addr = server.addr;
-    let node = Node::start(&[("s-1", &server, "active")]);
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
     server.close();
     assert!(TcpStream::connect(addr).is_err());
-    assert_eq!(ask(&node, &post("book", "k", "", "x")).status, 429);
+    assert_eq!(send_request(&limiter, &post("book", "k", "", "x")).status, 429);
 }
 
-/// What is given up on is answered at once, and the answer says when to come back.
+/// A request that cannot be admitted in time is refused at once, and the answer says when to retry.
 #[test]
-fn a_refusal_comes_at_once_and_carries_the_advice() {
+fn refusal_is_immediate_and_carries_retry_after() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::with(&[("s-1", &server, "active")], |c| {
+    let limiter = Limiter::with_config(&[("s-1", &server, "active")], |c| {
         c.replace(r#""MayTell":true"#, r#""MayTell":true,"RetryAfter":true"#)
             .replace(r#""Rate":0,"StoreSize":0"#, r#""Rate":2,"StoreSize":1"#)
     });
     let request = get("look", "").replace("units=1", "units=3");
     let began = Instant::now();
-    let answer = ask(&node, &request);
+    let answer = send_request(&limiter, &request);
     assert!(began.elapsed() < Duration::from_secs(1), "{:?} of 3 s", began.elapsed());
     assert_eq!(answer.status, 429);
     assert_eq!(answer.header("retry-after").as_deref(), Some("1.500"));
     assert!(server.requests().is_empty());
 }
 
-/// A limiter that was killed starts again under its address at once.
+/// A limiter that was killed can bind its address again at once.
 #[test]
-fn a_killed_limiter_starts_again_under_its_address() {
+fn killed_limiter_restarts_with_its_address() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let first = Node::start(&[("s-1", &server, "active")]);
+    let first = Limiter::start(&[("s-1", &server, "active")]);
     let addr = first.addr;
     let mut kept = TcpStream::connect(addr).expect("connect");
     assert_eq!(exchange(&mut kept, &get("look", "")).status, 200);
     drop(first);
-    let again = Node::with(&[("s-1", &server, "active")], |c| {
+    let again = Limiter::with_config(&[("s-1", &server, "active")], |c| {
         c.replace(r#""listen":"127.0.0.1:0""#, &format!(r#""listen":"{addr}""#))
     });
     assert_eq!(again.addr, addr);
-    assert_eq!(ask(&again, &get("look", "")).status, 200);
+    assert_eq!(send_request(&again, &get("look", "")).status, 200);
 }
 
-/// The classic trap: the server closes an idle connection; the next request must not be lost on it, nor be
-/// sent twice.
+/// The server closes an idle connection: the next request must neither be lost on it nor be sent twice.
 #[test]
-fn a_closed_idle_connection_is_not_used() {
+fn closed_idle_connection_is_not_used() {
     let server = Stub::new(|_, stream| {
         write_ok(stream, "once");
-        // Long enough for the connection to have gone back to the pool.
+        // By then the connection has returned to the pool.
         std::thread::sleep(Duration::from_millis(100));
         let _ = stream.shutdown(std::net::Shutdown::Both);
         false
     });
-    // One attempt only: a second one would hide that the first went to a closed connection.
-    let node =
-        Node::with(&[("s-1", &server, "active")], |c| c.replace(r#""MostTries":3"#, r#""MostTries":1"#));
+    // Only one attempt is allowed: a second one would hide that the first used a closed connection.
+    let limiter = Limiter::with_config(&[("s-1", &server, "active")], |c| {
+        c.replace(r#""MostTries":3"#, r#""MostTries":1"#)
+    });
     for n in 1..=5 {
-        assert_eq!(ask(&node, &post("book", &format!("k{n}"), "", "x")).status, 200);
+        assert_eq!(send_request(&limiter, &post("book", &format!("k{n}"), "", "x")).status, 200);
         assert_eq!(server.requests().len(), n, "each request came once");
         wait_for("the server to close", || server.closed_connections() == n);
     }
 }
 
 #[test]
-fn connections_to_servers_are_kept_and_dropped_before_the_servers_idle_time() {
+fn server_connections_are_reused_and_closed_before_the_servers_idle_timeout() {
     let server = Stub::new(|_, stream| write_ok(stream, "kept"));
-    let node = Node::with(&[("s-1", &server, "active")], |c| {
+    let limiter = Limiter::with_config(&[("s-1", &server, "active")], |c| {
         c.replace(r#""DialTimeoutMs":250"#, r#""DialTimeoutMs":250,"IdleCloseMs":3000"#)
     });
     for _ in 0..5 {
-        assert_eq!(ask(&node, &get("look", "")).status, 200);
-        // A connection rests for a moment before it is used again.
+        assert_eq!(send_request(&limiter, &get("look", "")).status, 200);
+        // A connection is reused only after a short pause.
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(server.connections(), 1, "one connection carries requests one after another");
     wait_for("the idle connection to be dropped", || server.closed_connections() == 1);
-    assert_eq!(ask(&node, &get("look", "")).status, 200);
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 200);
     assert_eq!(server.connections(), 2);
 }
 
-/// A server that takes a request and says nothing: one answer before the deadline, and the attempt's
-/// connection is closed, not pooled.
+/// A server accepts a request and never answers: the client gets its answer by the deadline, and the attempt's
+/// connection is closed instead of pooled.
 #[test]
-fn a_silent_server_costs_no_deadline() {
+fn silent_server_does_not_delay_the_answer_past_the_deadline() {
     let server = Stub::new(|_, stream| {
         let mut rest = [0; 64];
         while stream.read(&mut rest).is_ok_and(|n| n > 0) {}
         false
     });
-    let node = Node::start(&[("s-1", &server, "active")]);
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
     let began = Instant::now();
-    let answer = ask(&node, &post("book", "k", "", "x").replace("X-Time-Left: 3.0", "X-Time-Left: 0.6"));
+    let answer =
+        send_request(&limiter, &post("book", "k", "", "x").replace("X-Time-Left: 3.0", "X-Time-Left: 0.6"));
     assert_eq!(answer.status, 502, "it may have run");
     assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
     wait_for("the attempts to be closed", || server.closed_connections() == server.connections());
     assert!(server.max_open_connections() == 1, "never two attempts at once");
 }
 
-/// A late answer to a request whose client has left must not reach the next one on the connection.
+/// A late answer to a request whose client has disconnected must not reach the next request on the connection.
 #[test]
-fn a_client_that_leaves_gets_nothing_and_harms_nobody() {
+fn late_answer_for_a_disconnected_client_reaches_no_other_request() {
     let server = Stub::new(|seen, stream| {
         if seen.body == "slow" {
             std::thread::sleep(Duration::from_millis(300));
@@ -208,253 +211,264 @@
         let body = seen.body.clone();
         write_ok(stream, &body)
     });
-    let node = Node::start(&[("s-1", &server, "active")]);
-    let mut leaver = TcpStream::connect(node.addr).expect("connect");
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
+    let mut leaver = TcpStream::connect(limiter.addr).expect("connect");
     leaver.write_all(post("book", "k1", "", "slow").as_bytes()).expect("write");
     wait_for("the request to arrive", || server.requests().len() == 1);
     drop(leaver);
     for n in 0..10 {
         let body = format!("fast{n}");
-        let answer = ask(&node, &post("book", &format!("f{n}"), "", &body));
+        let answer = send_request(&limiter, &post("book", &format!("f{n}"), "", &body));
         assert_eq!((answer.status, answer.body), (200, body));
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// A booking whose dispatcher left as it was committed: the next try under its key gets its answer, and nothing is
-/// booked again. Without the extension the second try goes to a server, which is where repeats are dropped.
+/// The client of a booking disconnects while the booking is committed: the next request with the same key gets
+/// the stored answer, and nothing is booked again. Without the extension the second request goes to a server,
+/// which drops repeats.
 #[test]
-fn the_answer_to_a_booking_is_there_for_the_next_try_under_its_key() {
+fn stored_answer_is_returned_for_the_next_request_with_the_same_key() {
     for kept in [true, false] {
-        let (told, heard) = std::sync::mpsc::channel();
-        let told = std::sync::Mutex::new(told);
+        let (sender, receiver) = std::sync::mpsc::channel();
+        let sender = std::sync::Mutex::new(sender);
         let server = Stub::new(move |seen, stream| {
             std::thread::sleep(Duration::from_millis(200));
-            let _ = told.lock().map(|told| told.send(()));
+            let _ = sender.lock().map(|sender| sender.send(()));
             write_ok(stream, &format!("booked for {}", seen.header("x-correlation-id").unwrap_or_default()))
         });
         let servers = [("s-1", &server, "active")];
-        let node =
-            if kept { Node::proxied(&servers, |t| t, "[final_answers]\n") } else { Node::start(&servers) };
-        let mut client = TcpStream::connect(node.addr).expect("connect");
+        let limiter = if kept {
+            Limiter::with_external_processor(&servers, |t| t, "[final_answers]\n")
+        } else {
+            Limiter::start(&servers)
+        };
+        let mut client = TcpStream::connect(limiter.addr).expect("connect");
         client.write_all(post("book", "k1", "", "lot=7").as_bytes()).expect("write");
         wait_for("the request at the server", || !server.requests().is_empty());
         drop(client);
-        heard.recv_timeout(Duration::from_secs(5)).expect("the server answers");
-        // The answer is on its way through the limiter now.
+        receiver.recv_timeout(Duration::from_secs(5)).expect("the server answers");
+        // By then the limiter has received the answer.
         std::thread::sleep(Duration::from_millis(500));
         let named = |id: &str, key: &str, body: &str| {
             post("book", key, "", body)
                 .replace(&format!("X-Correlation-Id: c-{key}"), &format!("X-Correlation-Id: {id}"))
         };
-        let again = ask(&node, &named("c-again", "k1", "lot=7"));
+        let again = send_request(&limiter, &named("c-again", "k1", "lot=7"));
         let first = if kept { "booked for c-k1" } else { "booked for c-again" };
         assert_eq!((again.status, again.body.as_str()), (200, first));
         assert_eq!(server.requests().len(), if kept { 1 } else { 2 });
         if kept {
-            // Another firm, and other content under the key, are asked of a server.
-            let firm = named("c-firm", "k1", "lot=7").replace("00000000b4d65521", "00000000b4d65522");
-            assert_eq!(ask(&node, &firm).body, "booked for c-firm");
-            assert_eq!(ask(&node, &named("c-other", "k1", "lot=8")).body, "booked for c-other");
+            // Another customer, and other content with the same key, go to a server.
+            let other_customer =
+                named("c-firm", "k1", "lot=7").replace("00000000b4d65521", "00000000b4d65522");
+            assert_eq!(send_request(&limiter, &other_customer).body, "booked for c-firm");
+            assert_eq!(send_request(&limiter, &named("c-other", "k1", "lot=8")).body, "booked for c-other");
         }
     }
 }
 
-/// A dispatcher whose connection fails leaves a look-up behind that nobody wants: its server is told so by the end of
-/// the connection. A booking may be taking effect, and goes on to its end.
+/// After a client disconnects, its read-only request is cancelled by closing the connection to the server. A
+/// booking may already be taking effect, so it runs to its end.
 #[test]
-fn a_look_up_ends_at_the_server_when_its_client_leaves_and_a_booking_does_not() {
+fn client_disconnect_cancels_a_read_but_not_a_booking() {
     for (request, ends) in [(get("look", ""), true), (post("book", "k1", "", ""), false)] {
-        let (told, heard) = std::sync::mpsc::channel();
-        let told = std::sync::Mutex::new(told);
+        let (sender, receiver) = std::sync::mpsc::channel();
+        let sender = std::sync::Mutex::new(sender);
         let server = Stub::new(move |_, stream| {
-            // The work takes 600 ms; whether the other side has closed meanwhile shows in a read.
+            // The work takes 600 ms; a read shows whether the other side has closed meanwhile.
             let _ = stream.set_read_timeout(Some(Duration::from_millis(600)));
             let closed = matches!(stream.read(&mut [0; 1]), Ok(0));
-            let _ = told.lock().map(|told| told.send(closed));
+            let _ = sender.lock().map(|sender| sender.send(closed));
             !closed && write_ok(stream, "done")
         });
-        let node = Node::start(&[("s-1", &server, "active")]);
-        let mut client = TcpStream::connect(node.addr).expect("connect");
+        let limiter = Limiter::start(&[("s-1", &server, "active")]);
+        let mut client = TcpStream::connect(limiter.addr).expect("connect");
         client.write_all(request.as_bytes()).expect("write");
         wait_for("the request at the server", || !server.requests().is_empty());
         drop(client);
-        assert_eq!(heard.recv_timeout(Duration::from_secs(5)), Ok(ends), "{request}");
+        assert_eq!(receiver.recv_timeout(Duration::from_secs(5)), Ok(ends), "{request}");
     }
 }
 
 #[test]
-fn ready_only_with_a_server_that_takes_work() {
+fn ready_only_with_an_active_server() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::start(&[]);
-    assert_eq!(ready(&node), 503);
-    node.discovery.push(&update_line(2, false, &[("s-1", server.addr, "active")]));
-    wait_for("readiness", || ready(&node) == 200);
-    assert_eq!(ask(&node, &get("look", "")).status, 200);
-    node.discovery.push(&update_line(3, false, &[("s-1", server.addr, "leaving")]));
-    wait_for("unreadiness", || ready(&node) == 503);
+    let limiter = Limiter::start(&[]);
+    assert_eq!(ready(&limiter), 503);
+    limiter.discovery.push(&update_line(2, false, &[("s-1", server.addr, "active")]));
+    wait_for("readiness", || ready(&limiter) == 200);
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 200);
+    limiter.discovery.push(&update_line(3, false, &[("s-1", server.addr, "leaving")]));
+    wait_for("unreadiness", || ready(&limiter) == 503);
 }
 
-/// Nothing new goes to a server that drains or is gone, and a restart under a new address is followed.
+/// No new request goes to a server that drains or was removed, and a restart with a new address is followed.
 #[test]
-fn the_list_is_followed() {
+fn server_list_updates_are_followed() {
     let one = Stub::new(|_, stream| write_ok(stream, "one"));
     let two = Stub::new(|_, stream| write_ok(stream, "two"));
-    let node = Node::start(&[("s-1", &one, "active"), ("s-2", &two, "active")]);
+    let limiter = Limiter::start(&[("s-1", &one, "active"), ("s-2", &two, "active")]);
     for state in ["leaving", "left"] {
-        node.discovery.push(&update_line(2, false, &[("s-1", one.addr, state)]));
-        node.wait_log(if state == "left" { "Gone" } else { "Draining" });
+        limiter.discovery.push(&update_line(2, false, &[("s-1", one.addr, state)]));
+        limiter.wait_log(if state == "left" { "Gone" } else { "Draining" });
         let before = one.requests().len();
         for _ in 0..20 {
-            assert_eq!(ask(&node, &get("look", "")).body, "two");
+            assert_eq!(send_request(&limiter, &get("look", "")).body, "two");
         }
         assert_eq!(one.requests().len(), before, "{state}");
     }
     let moved = Stub::new(|_, stream| write_ok(stream, "moved"));
-    node.discovery.push(&update_line(4, false, &[("s-2", moved.addr, "active")]));
-    node.wait_log(&moved.addr.to_string());
-    assert_eq!(ask(&node, &get("look", "")).body, "moved");
+    limiter.discovery.push(&update_line(4, false, &[("s-2", moved.addr, "active")]));
+    limiter.wait_log(&moved.addr.to_string());
+    assert_eq!(send_request(&limiter, &get("look", "")).body, "moved");
 }
 
-/// Guards against memory that a discovery gone wrong could take: servers without end, and names without end.
+/// Guards against unbounded memory use when discovery lists too many servers or ids that are too long.
 #[test]
-fn a_roster_without_end_is_cut() {
+fn oversized_server_list_is_truncated() {
     let one = Stub::new(|_, stream| write_ok(stream, "one"));
-    let node = Node::start(&[("s-1", &one, "active")]);
+    let limiter = Limiter::start(&[("s-1", &one, "active")]);
     let ids: Vec<String> = (0..10_050).map(|n| format!("d-{n}")).collect();
     let entries: Vec<_> = ids.iter().map(|id| (id.as_str(), one.addr, "leaving")).collect();
-    node.discovery.push(&update_line(2, false, &entries));
-    node.wait_log("51 servers beyond 10000 were passed over");
+    limiter.discovery.push(&update_line(2, false, &entries));
+    limiter.wait_log("51 servers beyond 10000 were passed over");
     let long = "n".repeat(300);
-    node.discovery.push(&update_line(3, false, &[(&long, one.addr, "active")]));
-    node.wait_log("its id has 300 bytes, the maximum is 256");
-    assert_eq!(ask(&node, &get("look", "")).body, "one");
+    limiter.discovery.push(&update_line(3, false, &[(&long, one.addr, "active")]));
+    limiter.wait_log("its id has 300 bytes, the maximum is 256");
+    assert_eq!(send_request(&limiter, &get("look", "")).body, "one");
 }
 
-/// Guards against lost changes: half lines are put together, a bad line and an ended watch begin a new one
-/// from the last version that was whole, and one bad entry does not cost the others.
+/// Guards against lost updates: partial lines are joined, a malformed line or a closed watch leads to a new
+/// watch from the last complete version, and one malformed entry does not invalidate the others.
 #[test]
-fn discovery_survives_half_lines_and_bad_ones() {
+fn discovery_survives_partial_and_malformed_lines() {
     let one = Stub::new(|_, stream| write_ok(stream, "one"));
-    let node = Node::start(&[]);
-    let news = update_line(7, false, &[("s-1", one.addr, "active")]);
-    let (first, second) = news.split_at(30);
-    node.discovery.push(first);
+    let limiter = Limiter::start(&[]);
+    let update = update_line(7, false, &[("s-1", one.addr, "active")]);
+    let (first, second) = update.split_at(30);
+    limiter.discovery.push(first);
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(ready(&node), 503);
-    node.discovery.push(second);
-    wait_for("the joined line", || ready(&node) == 200);
-    node.discovery.push("{\"version\":8,\n");
-    wait_for("a new watch", || node.discovery.watches().len() == 2);
-    assert!(node.discovery.watches()[1].contains("after=7"), "{:?}", node.discovery.watches());
-    node.discovery.close_watches();
-    wait_for("another watch", || node.discovery.watches().len() == 3);
+    assert_eq!(ready(&limiter), 503);
+    limiter.discovery.push(second);
+    wait_for("the list from the joined line", || ready(&limiter) == 200);
+    limiter.discovery.push("{\"version\":8,\n");
+    wait_for("a new watch", || limiter.discovery.watches().len() == 2);
+    assert!(limiter.discovery.watches()[1].contains("after=7"), "{:?}", limiter.discovery.watches());
+    limiter.discovery.close_watches();
+    wait_for("another watch", || limiter.discovery.watches().len() == 3);
     let bad = r#"{"version":9,"full":false,"servers":[{"id":"s-3","addr":"nowhere"},{"id":"s-1","addr":"ADDR","state":"left"}]}"#;
-    node.discovery.push(&format!("{}\n", bad.replace("ADDR", &one.addr.to_string())));
-    wait_for("the entry after the bad one", || ready(&node) == 503);
+    limiter.discovery.push(&format!("{}\n", bad.replace("ADDR", &one.addr.to_string())));
+    wait_for("the entry after the malformed one", || ready(&limiter) == 503);
 }
 
-/// A watch that falls silent is broken, whatever its connection says.
+/// A watch without heartbeats counts as broken even if its connection stays open.
 #[test]
-fn a_silent_watch_is_begun_anew() {
-    let node = Node::start(&[]);
-    node.discovery.stop_heartbeats();
-    wait_for("a new watch", || node.discovery.watches().len() >= 2);
+fn silent_watch_is_replaced() {
+    let limiter = Limiter::start(&[]);
+    limiter.discovery.stop_heartbeats();
+    wait_for("a new watch", || limiter.discovery.watches().len() >= 2);
 }
 
-/// Guards against a SIGHUP that ends the program, and against news lost while the watch moves over: the old
-/// place counts until the new one has told its list, whose versions say nothing of the old one's.
+/// Guards against a SIGHUP that ends the process, and against updates lost while the watch moves to another
+/// address: the old agent's list counts until the new agent has sent its own, whose versions are independent of
+/// the old ones.
 #[test]
-fn a_reload_moves_the_watch_and_loses_nothing() {
+fn reload_moves_the_watch_without_losing_updates() {
     let one = Stub::new(|_, stream| write_ok(stream, "one"));
     let two = Stub::new(|_, stream| write_ok(stream, "two"));
-    let node = Node::start(&[("s-1", &one, "active")]);
+    let limiter = Limiter::start(&[("s-1", &one, "active")]);
     let other = Discovery::new("\n".to_string());
-    let (old, new) = (node.discovery.addr.to_string(), other.addr.to_string());
-    node.reload(|c| c.replace(&old, &new));
+    let (old, new) = (limiter.discovery.addr.to_string(), other.addr.to_string());
+    limiter.reload(|c| c.replace(&old, &new));
     wait_for("the new watch", || other.watches().len() == 1);
     assert!(!other.watches()[0].contains("after="), "{:?}", other.watches());
-    assert_eq!(ask(&node, &get("look", "")).body, "one", "the old list stands");
-    node.discovery.push(&update_line(7, false, &[("s-1", one.addr, "leaving"), ("s-2", two.addr, "active")]));
-    wait_for("the old watch's news", || ask(&node, &get("look", "")).body == "two");
+    assert_eq!(send_request(&limiter, &get("look", "")).body, "one", "the old list still counts");
+    limiter.discovery.push(&update_line(
+        7,
+        false,
+        &[("s-1", one.addr, "leaving"), ("s-2", two.addr, "active")],
+    ));
+    wait_for("the update on the old watch", || send_request(&limiter, &get("look", "")).body == "two");
     other.push(&update_line(3, true, &[("s-1", one.addr, "active")]));
-    node.wait_log("server s-1 at");
-    wait_for("the new list", || ask(&node, &get("look", "")).body == "one");
-    node.discovery.push(&update_line(8, true, &[("s-2", two.addr, "active")]));
-    node.wait_log("another source speaks");
-    assert_eq!(ask(&node, &get("look", "")).body, "one");
+    limiter.wait_log("server s-1 at");
+    wait_for("the new list", || send_request(&limiter, &get("look", "")).body == "one");
+    limiter.discovery.push(&update_line(8, true, &[("s-2", two.addr, "active")]));
+    limiter.wait_log("another source speaks");
+    assert_eq!(send_request(&limiter, &get("look", "")).body, "one");
     other.close_watches();
-    wait_for("the watch begun anew", || other.watches().len() == 2);
+    wait_for("the watch to be opened again", || other.watches().len() == 2);
     assert!(other.watches()[1].contains("after=3"), "{:?}", other.watches());
 }
 
-/// A bad file leaves all as it is.
+/// An invalid file changes nothing.
 #[test]
-fn a_bad_reload_changes_nothing() {
+fn reload_of_an_invalid_file_changes_nothing() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::start(&[("s-1", &server, "active")]);
-    node.reload(|c| c.replacen('{', "", 1));
-    node.wait_log("the old configuration stands");
-    assert_eq!(ask(&node, &get("look", "")).status, 200);
-    node.discovery.push(&update_line(2, false, &[("s-1", server.addr, "leaving")]));
-    wait_for("the old watch's news", || ready(&node) == 503);
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
+    limiter.reload(|c| c.replacen('{', "", 1));
+    limiter.wait_log("the old configuration stands");
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 200);
+    limiter.discovery.push(&update_line(2, false, &[("s-1", server.addr, "leaving")]));
+    wait_for("the update on the old watch", || ready(&limiter) == 503);
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken_and_exits_with_0() {
+fn sigterm_finishes_accepted_requests_and_exits_with_0() {
     let server = Stub::new(|seen, stream| {
         if seen.body == "slow" {
             std::thread::sleep(Duration::from_millis(600));
         }
         write_ok(stream, "done")
     });
-    let mut node = Node::start(&[("s-1", &server, "active")]);
-    let mut idle = TcpStream::connect(node.addr).expect("connect");
+    let mut limiter = Limiter::start(&[("s-1", &server, "active")]);
+    let mut idle = TcpStream::connect(limiter.addr).expect("connect");
     assert_eq!(exchange(&mut idle, &get("look", "")).status, 200);
-    let mut slow = TcpStream::connect(node.addr).expect("connect");
+    let mut slow = TcpStream::connect(limiter.addr).expect("connect");
     slow.write_all(post("book", "k1", "", "slow").as_bytes()).expect("write");
     wait_for("the slow request to arrive", || server.requests().len() == 2);
-    node.signal("TERM");
-    node.wait_log("finishing");
-    assert_eq!(ask(&node, &get("look", "")).status, 200, "new connections are still served");
-    assert_eq!(exchange(&mut idle, &get("look", "")).status, 200, "and those that are kept");
+    limiter.signal("TERM");
+    limiter.wait_log("finishing");
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 200, "new connections are still served");
+    assert_eq!(exchange(&mut idle, &get("look", "")).status, 200, "kept connections are still served");
     assert_eq!(idle.read(&mut [0; 16]).expect("a clean end"), 0, "closed between requests");
     assert_eq!(read_answer(&mut slow).body, "done");
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
 
-/// After SIGTERM clients go on using the connections they have. Guards against closing these at once while there is
-/// time: 3 s of deadline and 0.7 s before a SIGKILL, less the longest aim (1 s) and a little to spare.
+/// After SIGTERM clients may go on using their connections. Guards against closing these while there is time: 3
+/// s of deadline and 0.7 s before a SIGKILL, less the longest target latency (1 s) and a margin.
 #[test]
 fn sigterm_leaves_kept_connections_open_while_there_is_time() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let mut node = Node::with(&[("s-1", &server, "active")], |c| {
+    let mut limiter = Limiter::with_config(&[("s-1", &server, "active")], |c| {
         c.replace(r#""AimMs":2500,"#, r#""AimMs":900,"DeadlineMs":8000,"#)
     });
-    let mut kept = TcpStream::connect(node.addr).expect("connect");
+    let mut kept = TcpStream::connect(limiter.addr).expect("connect");
     assert_eq!(exchange(&mut kept, &get("look", "")).status, 200);
-    node.signal("TERM");
-    node.wait_log("finishing");
-    // Of 2.4 s; the next one comes after half of that.
+    limiter.signal("TERM");
+    limiter.wait_log("finishing");
+    // Half of the 2.4 s for which connections stay open.
     std::thread::sleep(Duration::from_millis(1200));
     assert_eq!(exchange(&mut kept, &get("look", "")).status, 200);
     assert_eq!(exchange(&mut kept, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status, 503);
     assert_eq!(kept.read(&mut [0; 16]).expect("a clean end"), 0, "closed between requests");
-    assert_eq!(node.exit_code(), Some(0));
+    assert_eq!(limiter.exit_code(), Some(0));
 }
 
-/// Guards against a restart held up by clients that connect and say nothing: what was taken is finished, no more.
+/// Guards against a restart that is delayed by clients that connect and send nothing: only accepted requests
+/// are finished.
 #[test]
-fn sigterm_does_not_wait_for_those_who_ask_nothing() {
+fn sigterm_does_not_wait_for_clients_that_send_nothing() {
     let server = Stub::new(|_, stream| {
         std::thread::sleep(Duration::from_millis(900));
         write_ok(stream, "done")
     });
-    let mut node = Node::start(&[("s-1", &server, "active")]);
-    let addr = node.addr;
-    let crowd = std::thread::spawn(move || {
+    let mut limiter = Limiter::start(&[("s-1", &server, "active")]);
+    let addr = limiter.addr;
+    let connecting = std::thread::spawn(move || {
         let mut held = Vec::new();
-        // Until connections are refused, or for as long as an end would have to come by.
+        // Until connections are refused; 10 s are more than the process needs to end.
         for _ in 0..200 {
             let Ok(stream) = TcpStream::connect(addr) else { return true };
             held.push(stream);
@@ -462,47 +476,52 @@
         }
         false
     });
-    let mut slow = TcpStream::connect(node.addr).expect("connect");
+    let mut slow = TcpStream::connect(limiter.addr).expect("connect");
     slow.write_all(post("book", "k", "", "x").as_bytes()).expect("write");
     wait_for("the request to arrive", || server.requests().len() == 1);
-    node.signal("TERM");
+    limiter.signal("TERM");
     assert_eq!(read_answer(&mut slow).body, "done");
-    assert_eq!(node.exit_code(), Some(0));
-    assert!(crowd.join().expect("the crowd"), "it ended while they still came");
+    assert_eq!(limiter.exit_code(), Some(0));
+    assert!(
+        connecting.join().expect("the connecting thread"),
+        "the process ended while clients still connected"
+    );
 }
 
-/// Idle connections, half requests and garbage beyond the bound must not shut others out.
+/// Idle connections, partial requests and garbage beyond the connection limit must not keep other clients out.
 #[test]
-fn idle_and_slow_clients_hurt_only_themselves() {
+fn idle_and_slow_clients_do_not_affect_others() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node =
-        Node::with(&[("s-1", &server, "active")], |c| c.replace(r#""sockets":1024"#, r#""sockets":100"#));
+    let limiter = Limiter::with_config(&[("s-1", &server, "active")], |c| {
+        c.replace(r#""sockets":1024"#, r#""sockets":100"#)
+    });
     let mut held = Vec::new();
     for n in 0..120 {
-        let mut stream = TcpStream::connect(node.addr).expect("connect");
+        let mut stream = TcpStream::connect(limiter.addr).expect("connect");
         let text: &[u8] = [&b""[..], b"GET /look/00", b"\0\xff\xfe\r\n"][n % 3];
         let _ = stream.write_all(text);
         held.push(stream);
     }
     for _ in 0..5 {
-        assert_eq!(ask(&node, &get("look", "")).status, 200);
+        assert_eq!(send_request(&limiter, &get("look", "")).status, 200);
     }
 }
 
-/// Fewer descriptors than the configuration promises: accepting fails, is tried again, and service goes on.
+/// With fewer descriptors than the configuration says, accepting fails, is retried, and service goes on.
 #[test]
-fn want_of_descriptors_is_survived() {
+fn service_survives_descriptor_exhaustion() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::limited(&[("s-1", &server, "active")], 24);
-    let held: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(node.addr).expect("connect")).collect();
-    node.wait_log("accept: ");
+    let limiter = Limiter::with_descriptor_limit(&[("s-1", &server, "active")], 24);
+    let held: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(limiter.addr).expect("connect")).collect();
+    limiter.wait_log("accept: ");
     drop(held);
-    wait_for("service", || ask(&node, &get("look", "")).status == 200);
+    wait_for("service to resume", || send_request(&limiter, &get("look", "")).status == 200);
 }
 
-/// Strangers, oversized and garbled datagrams are ignored; what goes to a peer is 256 bytes at most.
+/// Datagrams from unknown senders and oversized or garbled ones are ignored; datagrams to a peer have at most
+/// 256 bytes.
 #[test]
-fn peers_are_known_by_their_address() {
+fn datagrams_from_unknown_addresses_are_ignored() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
     let peer = UdpSocket::bind("127.0.0.1:0").expect("bind");
     peer.set_read_timeout(Some(Duration::from_secs(10))).expect("time-out");
@@ -511,7 +530,7 @@
         r#""sockets":1024}},"peer_listen":"{own}","peers":["{own}","{}"],"limits2":{{"x":1"#,
         peer.local_addr().expect("address")
     );
-    let node = Node::with(&[("s-1", &server, "active")], |c| {
+    let limiter = Limiter::with_config(&[("s-1", &server, "active")], |c| {
         c.replace(r#""sockets":1024"#, &peers)
             .replace(r#""Balancers":1"#, r#""Balancers":2"#)
             .replace(r#""Rate":0,"StoreSize":0"#, r#""Rate":100,"StoreSize":100"#)
@@ -522,19 +541,23 @@
             socket.send_to(&vec![0xfb; length], own).expect("send");
         }
     }
-    // Keepers lie on both limiters: some of these customers are asked about at the peer, which stays silent.
+    // Both limiters are quota owners: for some of these customers the limiter asks the peer, which stays silent.
     for n in 0..16 {
         let request = get("look", "").replace("00000000b4d65521", &format!("{n:016x}"));
         let request = request.replace("spread=1", "spread=2");
-        assert_eq!(ask(&node, &request).status, 200, "the even part serves while a keeper is silent");
+        assert_eq!(
+            send_request(&limiter, &request).status,
+            200,
+            "served from the equal share while a quota owner is silent"
+        );
     }
     let mut buffer = [0; 1024];
-    let (length, from) = peer.recv_from(&mut buffer).expect("an ask");
+    let (length, from) = peer.recv_from(&mut buffer).expect("a datagram to the peer");
     assert!(length <= 256 && from == own);
 }
 
 #[test]
-fn bad_configuration_is_one_plain_line() {
+fn invalid_configuration_is_reported_in_one_line() {
     for (from, to) in [
         (r#""listen":"127.0.0.1:0""#, r#""listen":"nowhere""#),
         (r#""Balancers":1"#, r#""Balancers":0"#),
@@ -542,15 +565,15 @@
         (r#""sockets":1024"#, r#""sockets":3"#),
         ("{", ""),
     ] {
-        let (code, text) = Node::refused(|c| c.replacen(from, to, 1));
+        let (code, text) = Limiter::start_failure(|c| c.replacen(from, to, 1));
         assert_eq!(code, Some(1), "{text}");
         assert_eq!(text.trim_end().lines().count(), 1, "{text}");
         assert!(text.starts_with("marldeal: "), "{text}");
     }
 }
 
-/// Reads until the other side closes or resets; what came, and how long that took.
-fn until_closed(stream: &mut TcpStream, began: Instant) -> (String, Duration) {
+/// Reads until the other side closes or resets the connection. Returns the text read and the time since `began`.
+fn read_until_closed(stream: &mut TcpStream, began: Instant) -> (String, Duration) {
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("time-out");
     let (mut all, mut some) = (Vec::new(), [0; 4096]);
     loop {
@@ -562,13 +585,14 @@
     }
 }
 
-/// Guards against connections held by silence, by half a request or by one that trickles: each is owed an error or a
-/// close within 3 s of its first byte. One that has been answered may stay.
+/// Guards against connections held open by silence, by a partial request or by one that trickles in: each must
+/// get an error or be closed within 3 s of its first byte. A connection whose request was answered may stay
+/// open.
 #[test]
-fn half_requests_and_silence_end_soon() {
+fn partial_requests_and_silent_connections_time_out() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::start(&[("s-1", &server, "active")]);
-    let mut kept = TcpStream::connect(node.addr).expect("connect");
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
+    let mut kept = TcpStream::connect(limiter.addr).expect("connect");
     assert_eq!(exchange(&mut kept, &get("look", "")).status, 200);
     let half_body = post("book", "k", "", "hello").replace("hello", "he");
     let behind = get("look", "") + "GET /look/00";
@@ -576,7 +600,7 @@
     let mut all: Vec<_> = parts
         .iter()
         .map(|part| {
-            let mut stream = TcpStream::connect(node.addr).expect("connect");
+            let mut stream = TcpStream::connect(limiter.addr).expect("connect");
             stream.write_all(part.as_bytes()).expect("write");
             if part.contains("\r\n\r\nGET") {
                 assert_eq!(read_answer(&mut stream).status, 200);
@@ -585,26 +609,30 @@
             (stream, Instant::now())
         })
         .collect();
-    let mut trickling = TcpStream::connect(node.addr).expect("connect");
+    let mut trickling = TcpStream::connect(limiter.addr).expect("connect");
     let began = Instant::now();
     while trickling.write_all(b"x").is_ok() {
-        assert!(began.elapsed() < Duration::from_secs(6), "trickled bytes must not extend the time");
+        assert!(began.elapsed() < Duration::from_secs(6), "trickled bytes must not extend the time limit");
         std::thread::sleep(Duration::from_millis(100));
     }
     for ((stream, began), part) in all.iter_mut().zip(&parts) {
-        let (text, took) = until_closed(stream, *began);
+        let (text, took) = read_until_closed(stream, *began);
         assert!(took < Duration::from_secs(6), "{part:?}: {text:?} after {took:?}");
     }
-    assert_eq!(exchange(&mut kept, &get("look", "")).status, 200, "an idle good one is kept");
+    assert_eq!(
+        exchange(&mut kept, &get("look", "")).status,
+        200,
+        "an idle connection with an answered request is kept"
+    );
 }
 
-/// Guards against a request hidden in a body: two readers that go by different framing headers would see another
-/// request behind the first. These are refused, or served by the coding alone (RFC 9112, 6.1); the connection ends in
-/// any case, and nothing behind them is read.
+/// Guards against request smuggling: two parsers that follow different framing headers would see a second
+/// request behind the first. Such requests are refused, or served by the transfer coding alone (RFC 9112, 6.1);
+/// in either case the connection is closed and nothing after them is read.
 #[test]
-fn nothing_behind_ambiguous_framing_is_read() {
+fn nothing_after_ambiguous_framing_is_read() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::start(&[("s-1", &server, "active")]);
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
     let hidden = get("look", "").replace("c-1", "c-hidden");
     let (chunked, length) = ("Transfer-Encoding: chunked\r\n", "Content-Length: 5\r\n");
     for framing in [
@@ -618,11 +646,11 @@
         "Content-Length: 99999999999999999999\r\n".to_string(),
     ] {
         let head = post("book", "k", "", "").replace("Content-Length: 0\r\n", &framing);
-        let mut stream = TcpStream::connect(node.addr).expect("connect");
+        let mut stream = TcpStream::connect(limiter.addr).expect("connect");
         let began = Instant::now();
-        // The refusal may close the connection before all of it is written.
+        // The limiter may close the connection before the whole request is written.
         let _ = stream.write_all(format!("{head}0\r\n\r\n{hidden}").as_bytes());
-        let (text, _) = until_closed(&mut stream, began);
+        let (text, _) = read_until_closed(&mut stream, began);
         let both = framing.contains(chunked) && framing.contains(length);
         let refused = text.is_empty() || text.starts_with("HTTP/1.1 4") || text.starts_with("HTTP/1.1 501");
         assert!(refused || (both && text.matches("HTTP/1.1 200").count() == 1), "{framing}: {text}");
@@ -631,12 +659,12 @@
     assert!(seen.iter().all(|s| !s.head.contains("c-hidden") && s.body.is_empty()), "{seen:?}");
 }
 
-/// Guards against figures that no plan holds, in a usual customer's name: they must not touch its books. The plan
-/// here gives 4 units at once.
+/// Guards against invalid header values sent in a customer's name that change its quota. The plan here allows a
+/// burst of 4 units.
 #[test]
-fn bad_values_leave_a_customers_quota_alone() {
+fn invalid_values_do_not_change_a_customers_quota() {
     let server = Stub::new(|_, stream| write_ok(stream, "fine"));
-    let node = Node::with(&[("s-1", &server, "active")], |c| {
+    let limiter = Limiter::with_config(&[("s-1", &server, "active")], |c| {
         c.replace(r#""Rate":0,"StoreSize":0"#, r#""Rate":0.5,"StoreSize":4"#)
             .replace(r#""MailPerS":60"#, r#""MailPerS":60,"UnitsTop":4"#)
     });
@@ -655,70 +683,74 @@
         twice("X-Time-Left: 1"),
         twice("X-Correlation-Id: c-2"),
     ] {
-        assert_eq!(ask(&node, &request).status, 400, "{request}");
+        assert_eq!(send_request(&limiter, &request).status, 400, "{request}");
     }
     assert!(server.requests().is_empty());
     for n in 0..4 {
-        assert_eq!(ask(&node, &good).status, 200, "unit {n} of the customer's 4");
+        assert_eq!(send_request(&limiter, &good).status, 200, "unit {n} of the customer's burst of 4");
     }
 }
 
-/// A server that takes 0.3 s, and a client whose request stands there.
-fn with_one_open() -> (Stub, Node, TcpStream) {
+/// Starts a limiter, a server that takes 0.3 s, and a client whose request has arrived at the server.
+fn start_with_open_request() -> (Stub, Limiter, TcpStream) {
     let server = Stub::new(|_, stream| {
         std::thread::sleep(Duration::from_millis(300));
         write_ok(stream, "fine")
     });
-    let node = Node::start(&[("s-1", &server, "active")]);
-    let mut client = TcpStream::connect(node.addr).expect("connect");
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
+    let mut client = TcpStream::connect(limiter.addr).expect("connect");
     client.write_all(get("look", "").as_bytes()).expect("write");
     wait_for("the request to arrive", || server.requests().len() == 1);
-    (server, node, client)
+    (server, limiter, client)
 }
 
-/// Two requests with one id could not be told apart at the servers: the second is turned away while the first is open.
+/// The servers could not tell two requests with one id apart: the second is rejected while the first is open.
 #[test]
-fn the_id_of_an_open_request_is_not_taken_twice() {
-    let (server, node, mut first) = with_one_open();
-    assert_eq!(ask(&node, &get("look", "").replace("d65521", "d65522")).status, 409);
+fn id_of_an_open_request_is_rejected() {
+    let (server, limiter, mut first) = start_with_open_request();
+    assert_eq!(send_request(&limiter, &get("look", "").replace("d65521", "d65522")).status, 409);
     assert_eq!(read_answer(&mut first).status, 200);
     assert_eq!(server.requests().len(), 1);
-    assert_eq!(ask(&node, &get("look", "")).status, 200, "free again once it is answered");
+    assert_eq!(
+        send_request(&limiter, &get("look", "")).status,
+        200,
+        "the id is free once the request is answered"
+    );
 }
 
-/// Guards against a server's second copy of an answer, a moment behind the first, being given to the next request on
+/// Guards against a duplicate answer, sent by a server just after the first, being given to the next request on
 /// the connection.
 #[test]
-fn what_comes_behind_an_answer_is_never_the_next_one() {
+fn duplicate_answer_is_not_given_to_the_next_request() {
     let server = Stub::new(|seen, stream| {
         let (body, began) = (seen.body.clone(), Instant::now());
         let mut fine = write_ok(stream, &body);
         std::thread::sleep(Duration::from_millis(1));
-        // A copy that a busy machine holds up longer is another matter.
+        // A copy that a busy machine delays longer is not what this test is about.
         if began.elapsed() < Duration::from_millis(3) {
             fine = write_ok(stream, &body);
         }
         fine
     });
-    let node = Node::start(&[("s-1", &server, "active")]);
-    let mut client = TcpStream::connect(node.addr).expect("connect");
+    let limiter = Limiter::start(&[("s-1", &server, "active")]);
+    let mut client = TcpStream::connect(limiter.addr).expect("connect");
     for n in 0..50 {
         let text = format!("body {n}");
         assert_eq!(exchange(&mut client, &post("book", &format!("k{n}"), "", &text)).body, text);
     }
 }
 
-/// A new server at the address of one that has gone gets connections of its own, and one on which an answer comes
-/// after its server has gone is not kept.
+/// A new server at the address of a removed one gets new connections, and a connection whose answer arrives
+/// after its server was removed is not kept.
 #[test]
-fn a_new_server_does_not_inherit_connections() {
-    let (server, node, mut first) = with_one_open();
+fn new_server_does_not_reuse_connections_of_a_removed_one() {
+    let (server, limiter, mut first) = start_with_open_request();
     let now = [("s-1", server.addr, "left"), ("s-2", server.addr, "active")];
-    node.discovery.push(&update_line(2, false, &now));
-    node.wait_log("Gone");
+    limiter.discovery.push(&update_line(2, false, &now));
+    limiter.wait_log("Gone");
     assert_eq!(read_answer(&mut first).status, 200);
     std::thread::sleep(Duration::from_millis(50));
-    assert_eq!(ask(&node, &get("look", "")).status, 200);
+    assert_eq!(send_request(&limiter, &get("look", "")).status, 200);
     assert_eq!(server.connections(), 2);
-    wait_for("the old one's connection to be closed", || server.closed_connections() == 1);
+    wait_for("the removed server's connection to be closed", || server.closed_connections() == 1);
 }
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -1,4 +1,4 @@
-//! The program under test, with stand-ins round it.
+//! Starts the program under test as a process, with stub servers and a stub discovery agent around it.
 #![allow(dead_code, unused_imports)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -23,8 +23,8 @@
 "Bounds":{"MostTries":3,"DialTimeoutMs":250,"Cancelling":true,"MayTell":true},
 "Obligations":{"StartCapacity":0.2,"ColdMs":9000,"FallMultiple":3,"TipAfterMs":2000},"Domain":{"MailPerS":60}}}"#;
 
-/// The program, running.
-pub struct Node {
+/// A running limiter process with a stub discovery agent. Dropping it kills the process and removes its files.
+pub struct Limiter {
     pub addr: SocketAddr,
     pub discovery: Discovery,
     process: Process,
@@ -32,7 +32,7 @@
     extensions: Option<PathBuf>,
 }
 
-/// The library that makes calls fail, compiled once a test program.
+/// The preloaded library that makes system calls fail, compiled once per test binary.
 fn shim() -> &'static Shim {
     static SHIM: OnceLock<Shim> = OnceLock::new();
     SHIM.get_or_init(|| Shim::build().expect("the shim compiles"))
@@ -61,7 +61,7 @@
     command
 }
 
-/// A process of the program, and what it says.
+/// A process of the program and what it has logged so far. Dropping it kills the process.
 pub struct Process {
     child: Child,
     log: Arc<Mutex<String>>,
@@ -72,10 +72,10 @@
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
         let stderr = BufReader::new(child.stderr.take().expect("piped"));
         let log = Arc::new(Mutex::new(String::new()));
-        let all = log.clone();
+        let collected = log.clone();
         std::thread::spawn(move || {
             for text in stderr.lines().map_while(Result::ok) {
-                all.lock().expect("lock").push_str(&format!("{text}\n"));
+                collected.lock().expect("lock").push_str(&format!("{text}\n"));
             }
         });
         Process { child, log }
@@ -84,37 +84,40 @@
     pub fn log(&self) -> String {
         self.log.lock().expect("lock").clone()
     }
+    /// Waits until the log contains `text`.
     pub fn wait_log(&self, text: &str) {
         wait_for(text, || self.log().contains(text));
     }
-    /// An address that it says it listens on.
-    pub fn listens(&self, what: &str) -> SocketAddr {
+    /// The address that the log reports after the text `what`.
+    pub fn logged_addr(&self, what: &str) -> SocketAddr {
         let log = self.log();
         let at = log.lines().find_map(|l| l.split_once(what));
-        at.and_then(|(_, a)| a.trim().parse().ok()).unwrap_or_else(|| panic!("no '{what}' in {log}"))
+        at.and_then(|(_, a)| a.trim().parse().ok())
+            .unwrap_or_else(|| panic!("the log has no address after '{what}': {log}"))
     }
-    /// The answer to bytes of an operator.
-    pub fn operator(&self, bytes: &[u8]) -> String {
-        let mut stream = TcpStream::connect(self.listens("management on ")).expect("connect");
+    /// Sends bytes to the management address and returns the answer.
+    pub fn management_call(&self, bytes: &[u8]) -> String {
+        let mut stream = TcpStream::connect(self.logged_addr("management on ")).expect("connect");
         stream.set_read_timeout(Some(marldeal_standin::TIMEOUT)).expect("time-out");
         stream.write_all(bytes).expect("write");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer and its end");
+        stream.read_to_string(&mut answer).expect("an answer and the end of the connection");
         answer
     }
-    /// One of the figures.
-    pub fn figure(&self, name: &str) -> u64 {
-        let text = self.operator(b"stats\n");
+    /// The value of one line of `stats`.
+    pub fn stat(&self, name: &str) -> u64 {
+        let text = self.management_call(b"stats\n");
         let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
-        line.and_then(|n| n.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
+        line.and_then(|n| n.parse().ok()).unwrap_or_else(|| panic!("stats has no {name}: {text}"))
     }
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", name, &pid]).status().expect("kill").success());
     }
+    /// Waits for the end of the process and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        wait_for("the exit", || self.child.try_wait().expect("a child").is_some());
-        self.child.wait().expect("a child").code()
+        wait_for("the exit", || self.child.try_wait().expect("a child process").is_some());
+        self.child.wait().expect("a child process").code()
     }
 }
 
@@ -128,8 +131,8 @@
     }
 }
 
-/// A node that holds requests with the body `slow` until it is let go.
-pub fn held() -> (Stub, Arc<AtomicBool>) {
+/// A server that answers requests with the body `slow` only after the returned flag is set.
+pub fn server_with_held_requests() -> (Stub, Arc<AtomicBool>) {
     let release = Arc::new(AtomicBool::new(false));
     let held = release.clone();
     let server = Stub::new(move |seen, stream| {
@@ -141,187 +144,191 @@
     (server, release)
 }
 
-/// The program with a discovery of the test's own: a raw listener, that may also say nothing.
-pub struct Bare {
+/// A running limiter whose discovery agent is a raw listener of the test, which may also stay silent.
+pub struct LimiterWithRawDiscovery {
     pub addr: SocketAddr,
     process: Process,
     config: PathBuf,
 }
 
-impl Bare {
-    /// Returns once it listens, ready or not.
-    pub fn start(discovery: SocketAddr, alter: impl Fn(String) -> String) -> Bare {
+impl LimiterWithRawDiscovery {
+    /// Returns once the process listens, whether or not it is ready.
+    pub fn start(discovery: SocketAddr, alter: impl Fn(String) -> String) -> LimiterWithRawDiscovery {
         let config = write_config(&alter(self::config(discovery)));
         let process = Process::start(&mut command(&config, 1024));
         process.wait_log("serves on ");
-        Bare { addr: process.listens("serves on "), process, config }
+        LimiterWithRawDiscovery { addr: process.logged_addr("serves on "), process, config }
     }
-    pub fn ask(&self, request: &str) -> Message {
+    pub fn send_request(&self, request: &str) -> Message {
         exchange(&mut TcpStream::connect(self.addr).expect("connect"), request)
     }
 }
 
-impl std::ops::Deref for Bare {
+impl std::ops::Deref for LimiterWithRawDiscovery {
     type Target = Process;
     fn deref(&self) -> &Process {
         &self.process
     }
 }
 
-impl std::ops::DerefMut for Bare {
+impl std::ops::DerefMut for LimiterWithRawDiscovery {
     fn deref_mut(&mut self) -> &mut Process {
         &mut self.process
     }
 }
 
-impl Drop for Bare {
+impl Drop for LimiterWithRawDiscovery {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.config);
     }
 }
 
-/// The configuration that all tests begin with.
+/// The configuration that all tests start from.
 pub fn config(discovery: SocketAddr) -> String {
     CONFIG.replace("DISCOVERY", &discovery.to_string())
 }
 
-impl Node {
-    pub fn start(servers: &[(&str, &Stub, &str)]) -> Node {
-        Node::with(servers, |config| config)
+impl Limiter {
+    pub fn start(servers: &[(&str, &Stub, &str)]) -> Limiter {
+        Limiter::with_config(servers, |config| config)
     }
 
     /// Starts with an altered configuration.
-    pub fn with(servers: &[(&str, &Stub, &str)], alter: impl Fn(String) -> String) -> Node {
-        Node::new(servers, alter, 1024, None)
+    pub fn with_config(servers: &[(&str, &Stub, &str)], alter: impl Fn(String) -> String) -> Limiter {
+        Limiter::new(servers, alter, 1024, None)
     }
 
-    /// Starts with a limit on descriptors that the configuration does not tell.
-    pub fn limited(servers: &[(&str, &Stub, &str)], descriptors: u32) -> Node {
-        Node::new(servers, |config| config, descriptors, None)
+    /// Starts with a limit on file descriptors that the configuration does not mention.
+    pub fn with_descriptor_limit(servers: &[(&str, &Stub, &str)], descriptors: u32) -> Limiter {
+        Limiter::new(servers, |config| config, descriptors, None)
     }
 
-    /// Starts with an altered configuration and calls of the process that fail.
-    pub fn failing(
+    /// Starts with an altered configuration and failing system calls.
+    pub fn with_failing_calls(
         servers: &[(&str, &Stub, &str)],
         alter: impl Fn(String) -> String,
         calls: &FailingCalls,
-    ) -> Node {
+    ) -> Limiter {
         let environment = shim().environment(calls);
-        Node::in_environment(servers, alter, 1024, None, &|_| environment.clone())
+        Limiter::with_environment(servers, alter, 1024, None, &|_| environment.clone())
     }
 
-    /// Starts with opens of its configuration that fail as long as a file exists.
-    pub fn failing_open(servers: &[(&str, &Stub, &str)], while_exists: &Path) -> Node {
-        Node::in_environment(servers, |c| c, 1024, None, &|config| shim().failing_open(config, while_exists))
+    /// Starts with a configuration file that cannot be opened while the file `while_exists` exists.
+    pub fn with_failing_config_open(servers: &[(&str, &Stub, &str)], while_exists: &Path) -> Limiter {
+        Limiter::with_environment(servers, |c| c, 1024, None, &|config| {
+            shim().failing_open(config, while_exists)
+        })
     }
 
-    /// Starts with an altered configuration, and an external processor with these lines beside `listen`.
-    pub fn proxied(
+    /// Starts with an altered configuration and an external processor; `extension` holds its settings besides
+    /// `listen`.
+    pub fn with_external_processor(
         servers: &[(&str, &Stub, &str)],
         alter: impl Fn(String) -> String,
         extension: &str,
-    ) -> Node {
+    ) -> Limiter {
         let text = format!("[external_processor]\nlisten = \"127.0.0.1:0\"\n{extension}\n");
-        Node::new(servers, alter, 1024, Some(text))
+        Limiter::new(servers, alter, 1024, Some(text))
     }
 
-    /// Where the external processor listens.
-    pub fn processor(&self) -> SocketAddr {
-        self.process.listens("external processor on ")
+    /// The address of the external processor.
+    pub fn processor_addr(&self) -> SocketAddr {
+        self.process.logged_addr("external processor on ")
     }
 
     /// Starts with an altered configuration and a management address.
-    pub fn managed(servers: &[(&str, &Stub, &str)], alter: impl Fn(String) -> String) -> Node {
-        let managed = |c: String| c.replacen("{", r#"{"mgmt":"127.0.0.1:0","#, 1);
-        Node::new(servers, |c| alter(managed(c)), 1024, None)
+    pub fn with_management(servers: &[(&str, &Stub, &str)], alter: impl Fn(String) -> String) -> Limiter {
+        let with_management = |c: String| c.replacen("{", r#"{"mgmt":"127.0.0.1:0","#, 1);
+        Limiter::new(servers, |c| alter(with_management(c)), 1024, None)
     }
 
-    /// Where operators call.
-    pub fn management(&self) -> SocketAddr {
-        self.process.listens("management on ")
+    /// The management address.
+    pub fn management_addr(&self) -> SocketAddr {
+        self.process.logged_addr("management on ")
     }
 
-    /// Waits until the program is ready, if it has servers.
+    /// Starts the process and waits until it is ready, if there are servers.
     fn new(
         servers: &[(&str, &Stub, &str)],
         alter: impl Fn(String) -> String,
         descriptors: u32,
         extensions: Option<String>,
-    ) -> Node {
-        Node::in_environment(servers, alter, descriptors, extensions, &|_| Vec::new())
+    ) -> Limiter {
+        Limiter::with_environment(servers, alter, descriptors, extensions, &|_| Vec::new())
     }
 
-    /// The same with further variables, which may depend on the path of the configuration.
-    fn in_environment(
+    /// Like `new`, with further environment variables, which may depend on the path of the configuration.
+    fn with_environment(
         servers: &[(&str, &Stub, &str)],
         alter: impl Fn(String) -> String,
         descriptors: u32,
         extensions: Option<String>,
         variables: &dyn Fn(&Path) -> Vec<(String, String)>,
-    ) -> Node {
+    ) -> Limiter {
         let entries: Vec<_> = servers.iter().map(|(id, stub, state)| (*id, stub.addr, *state)).collect();
         let discovery = Discovery::new(update_line(1, true, &entries));
         let config = write_config(&alter(self::config(discovery.addr)));
-        // At the start the variable stands above the file; a reload goes by the file.
-        let told = discovery.addr.to_string();
+        // At the start the variable takes precedence over the file; a reload reads the file only.
+        let discovery_variable = discovery.addr.to_string();
         let extensions = extensions.map(|text| write_file(&text, "toml"));
         let mut command = command(&config, descriptors);
         if let Some(path) = &extensions {
             command.arg("--extensions").arg(path);
         }
         command.envs(variables(&config));
-        let process = Process::start(command.env("ROUTER_DISCOVERY", told));
+        let process = Process::start(command.env("ROUTER_DISCOVERY", discovery_variable));
         process.wait_log("serves on ");
-        let addr = process.listens("serves on ");
-        let node = Node { addr, discovery, process, config, extensions };
-        wait_for("the watch", || !node.discovery.watches().is_empty());
+        let addr = process.logged_addr("serves on ");
+        let limiter = Limiter { addr, discovery, process, config, extensions };
+        wait_for("the discovery watch", || !limiter.discovery.watches().is_empty());
         if !servers.is_empty() {
-            wait_for("readiness", || ready(&node) == 200);
+            wait_for("readiness", || ready(&limiter) == 200);
         }
-        node
+        limiter
     }
 
-    /// Exit code and standard error of a start that must fail.
-    pub fn refused(alter: impl Fn(String) -> String) -> (Option<i32>, String) {
+    /// Exit code and standard error of a start that is expected to fail.
+    pub fn start_failure(alter: impl Fn(String) -> String) -> (Option<i32>, String) {
         let config = write_config(&alter(CONFIG.replace("DISCOVERY", "127.0.0.1:1")));
         let output = command(&config, 1024).output().expect("the program starts");
         let _ = std::fs::remove_file(config);
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     }
 
-    /// Replaces the configuration and tells the program nothing.
-    pub fn rewrite(&self, text: &str) {
+    /// Replaces the configuration without a signal to the process.
+    pub fn rewrite_config(&self, text: &str) {
         std::fs::write(&self.config, text).expect("the configuration is written");
     }
 
-    /// Replaces the configuration and tells the program.
+    /// Alters the configuration and sends SIGHUP.
     pub fn reload(&self, alter: impl Fn(String) -> String) {
-        let text = std::fs::read_to_string(&self.config).expect("the configuration is there");
+        let text = std::fs::read_to_string(&self.config).expect("the configuration is readable");
         std::fs::write(&self.config, alter(text)).expect("the configuration is written");
         self.process.signal("HUP");
     }
 }
 
-impl std::ops::Deref for Node {
+impl std::ops::Deref for Limiter {
     type Target = Process;
     fn deref(&self) -> &Process {
         &self.process
     }
 }
 
-impl std::ops::DerefMut for Node {
+impl std::ops::DerefMut for Limiter {
     fn deref_mut(&mut self) -> &mut Process {
         &mut self.process
     }
 }
 
-impl Drop for Node {
+impl Drop for Limiter {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.config);
         self.extensions.iter().for_each(|path| drop(std::fs::remove_file(path)));
     }
 }
 
+/// A GET request of a customer on the plan `basic`, with further header lines in `more`.
 pub fn get(class: &str, more: &str) -> String {
     format!(
         "GET /{class}/00000000b4d65521?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Correlation-Id: c-1\r\n\
@@ -329,16 +336,19 @@
     )
 }
 
+/// A POST request with an idempotency key, from which its correlation id is derived too.
 pub fn post(class: &str, key: &str, more: &str, body: &str) -> String {
     let more = format!("Idempotency-Key: {key}\r\nContent-Length: {}\r\n{more}", body.len());
     let head = get(class, &more).replacen("GET", "POST", 1).replace("c-1", &format!("c-{key}"));
     head + body
 }
 
-pub fn ask(node: &Node, request: &str) -> Message {
-    exchange(&mut TcpStream::connect(node.addr).expect("connect"), request)
+/// Sends a request on a new connection and returns the answer.
+pub fn send_request(limiter: &Limiter, request: &str) -> Message {
+    exchange(&mut TcpStream::connect(limiter.addr).expect("connect"), request)
 }
 
-pub fn ready(node: &Node) -> u16 {
-    ask(node, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status
+/// The status of the readiness check.
+pub fn ready(limiter: &Limiter) -> u16 {
+    send_request(limiter, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status
 }
