--- a/marldeal/tests/rehearse.rs
+++ b/marldeal/tests/rehearse.rs
@@ -1,4 +1,4 @@
-//! `marldeal rehearse` as staff run it.
+//! `marldeal rehearse` on the command line.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -14,7 +14,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A file that goes with the test.
+/// A temporary file, removed when it is dropped.
 struct File(PathBuf);
 
 impl File {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_scenario_gives_the_same_lines_each_time_and_a_page() {
+fn scenario_output_is_reproducible_and_a_report_is_written() {
     let (page, json) = (File::new("page.html", ""), File::new("figures.json", ""));
     let run = || rehearse(&["bad-nodes", "--seed", "3", "--report", page.path(), "--json", json.path()]);
     let (first, second) = (run(), run());
@@ -48,7 +48,7 @@
     );
     assert!(
         !["<script", "src=", "href="].iter().any(|s| html.contains(s)),
-        "it needs nothing from elsewhere"
+        "the page loads nothing external"
     );
     let rows = |a: &str, b: &str| text(&rehearse(&["compare", a, b, "--seeds", "6"]).stdout);
     let verdict =
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_mistake_names_file_and_key() {
+fn errors_name_file_and_key() {
     let file = File::new("wrong.toml", "[[timeline]]\nwhat = \"drain\"\nnodes = [77]\nat_s = 1\nfor_s = 9\n");
     let output = rehearse(&[file.path()]);
     let error = text(&output.stderr);
@@ -74,10 +74,11 @@
     assert!(impossible.contains("clients.proxied: proxies run in the simulation only"), "{impossible}");
 }
 
-/// Real limiters, nodes and clients on loopback, with an exit, a drain and a restarted limiter. How close the figures come
-/// to the virtual ones is measured elsewhere (`rehearse --sockets`): a busy machine would move them.
+/// Real limiters, servers and clients on loopback, with an exit, a drain and a restarted limiter. The
+/// difference between these figures and the simulated ones is measured elsewhere (`rehearse --sockets`), since
+/// a busy machine changes them.
 #[test]
-fn a_scenario_is_played_on_sockets() {
+fn scenario_runs_on_sockets() {
     let scenario = "seconds = 7\n[clients]\nload = 0.3\n\
         [[timeline]]\nwhat = \"exit\"\nnodes = [2]\nat_s = 1\nfor_s = 2\n\
         [[timeline]]\nwhat = \"drain\"\nnodes = [4]\nat_s = 1\nafter_s = 1\nfor_s = 3\n\
@@ -90,7 +91,7 @@
     for plan in &plans {
         let row = out.lines().find(|l| l.starts_with(&plan.name)).unwrap_or_else(|| panic!("no row: {out}"));
         let figures: Vec<f64> = row.split_whitespace().skip(1).filter_map(|n| n.parse().ok()).collect();
-        let (asked, ends): (f64, f64) = (figures[1], figures[2..7].iter().sum());
-        assert!(figures[2] > 0.0 && asked == ends, "served, and each request has one end: {row}");
+        let (requests, ends): (f64, f64) = (figures[1], figures[2..7].iter().sum());
+        assert!(figures[2] > 0.0 && requests == ends, "some are served, and each request has one end: {row}");
     }
 }
