--- a/crates/faults/src/environment/links.rs
+++ b/crates/faults/src/environment/links.rs
@@ -53,7 +53,7 @@
             let mut signature: Vec<u32> = faults.map(|t| u32::from(affects(t, limiter))).collect();
             // The lines that a limiter received are observed on its proxy, so the limiter forms a group of its
             // own.
-            let is_observed = scenario.timeline.iter().any(|t| t.on_discovery() && affects(t, limiter));
+            let is_observed = scenario.timeline.iter().any(|t| t.targets_discovery() && affects(t, limiter));
             signature.push(if is_observed { 1 + limiter as u32 } else { 0 });
             signature.push(if cut { limiter as u32 % scenario.buildings } else { 0 });
             known.iter().position(|k| *k == signature).unwrap_or_else(|| {
@@ -73,9 +73,9 @@
         for server in 0..scenario.nodes.count as usize {
             let of = |t: &Trouble| {
                 is_stream_fault(t)
-                    && !t.on_discovery()
+                    && !t.targets_discovery()
                     && affects(t, representative)
-                    && scenario.nodes_of(t).contains(&server)
+                    && scenario.affected_servers(t).contains(&server)
             };
             if cut || scenario.timeline.iter().any(of) {
                 pairs.push((group, server));
@@ -90,7 +90,7 @@
     let count = group_of.iter().max().map_or(0, |s| s + 1);
     let representative = |group: usize| group_of.iter().position(|s| *s == group).unwrap_or(0);
     let of = |group: &usize| {
-        scenario.timeline.iter().any(|t| t.on_discovery() && affects(t, representative(*group)))
+        scenario.timeline.iter().any(|t| t.targets_discovery() && affects(t, representative(*group)))
     };
     (0..count).filter(of).collect()
 }
@@ -186,10 +186,12 @@
     ) -> impl Iterator<Item = &'a Rc<LinkFaults>> + 'a {
         let affected = move |group: usize| affects(t, self.representative[group]);
         let to_servers = self.proxies.iter().filter(move |((group, server), _)| {
-            !t.on_discovery() && affected(*group) && servers.contains(server)
+            !t.targets_discovery() && affected(*group) && servers.contains(server)
         });
-        let discovery_proxies =
-            self.discovery_proxies.iter().filter(move |(group, _)| t.on_discovery() && affected(**group));
+        let discovery_proxies = self
+            .discovery_proxies
+            .iter()
+            .filter(move |(group, _)| t.targets_discovery() && affected(**group));
         to_servers.map(|(_, proxy)| &proxy.faults).chain(discovery_proxies.map(|(_, proxy)| &proxy.faults))
     }
 
@@ -199,7 +201,7 @@
         let fault = match t.what {
             What::Refuse => StreamFault::Refuse,
             What::Mute => StreamFault::Mute,
-            What::Break => StreamFault::Break { share, towards_limiter: t.on_discovery() },
+            What::Break => StreamFault::Break { share, towards_limiter: t.targets_discovery() },
             What::Hold => StreamFault::Hold(t.late_ms.unwrap_or([0.0, 0.0])),
             What::Trickle => StreamFault::Trickle(t.per_s.unwrap_or(1.0)),
             _ => return,
--- a/crates/faults/src/environment/mod.rs
+++ b/crates/faults/src/environment/mod.rs
@@ -26,7 +26,7 @@
     SharesWithinTotal,
 };
 use marldeal_rehearsal::rules::{Oracle, Rule, TokenBucket};
-use marldeal_rehearsal::scenario::{name_of, Scenario, Trouble, What};
+use marldeal_rehearsal::scenario::{fault_name, Scenario, Trouble, What};
 use marldeal_rehearsal::server_model::ServerModel;
 use marldeal_rehearsal::world::BEGIN_MS;
 use marldeal_standin::client::Client;
@@ -68,7 +68,7 @@
             What::Vanish => "a loopback_address address cannot fall discovery_silences without privileges",
             _ => return None,
         };
-        Some(format!("\"{}\" runs in the simulation only: {why}", name_of(t.what)))
+        Some(format!("\"{}\" runs in the simulation only: {why}", fault_name(t.what)))
     };
     let mut found: Vec<String> = scenario.timeline.iter().filter_map(unsupported_fault).collect();
     if scenario.regions > 1 {
@@ -222,7 +222,7 @@
     if !unsupported.is_empty() {
         return Err(unsupported.join("\n"));
     }
-    let scenario = scenario.drawn(seed);
+    let scenario = scenario.resolve_random_targets(seed);
     ResourceNeeds::for_scenario(&scenario, Links::proxy_count(&scenario)).check()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("cannot start: {e}"))?;
--- a/crates/faults/src/environment/timeline.rs
+++ b/crates/faults/src/environment/timeline.rs
@@ -19,7 +19,7 @@
         (t, from, until)
     };
     tokio::time::sleep_until(from).await;
-    let nodes = environment.state.borrow().scenario.nodes_of(&t);
+    let nodes = environment.state.borrow().scenario.affected_servers(&t);
     let limiters: Vec<usize> = t.limiters.iter().flatten().map(|l| *l as usize).collect();
     let plan = t.plan.as_deref().and_then(|p| environment.state.borrow().scenario.plan(p));
     let change_servers = |change: &dyn Fn(&mut TestServer, f64)| {
--- a/crates/faults/src/plans.rs
+++ b/crates/faults/src/plans.rs
@@ -28,7 +28,7 @@
     plan.or_else(|| marldeal_rehearsal::library::find(name))
 }
 
-pub use marldeal_rehearsal::size::sized;
+pub use marldeal_rehearsal::size::scaled_to;
 
 #[cfg(test)]
 mod tests {
@@ -47,7 +47,7 @@
     fn resized_plan_keeps_the_load_per_limiter() {
         let calm = find("calm").expect("a plan");
         let each = |s: &Scenario| s.requests_per_s() / f64::from(s.limiters.count);
-        let large = sized(&calm, 300);
+        let large = scaled_to(&calm, 300);
         assert_eq!(large.limiters.count, 300);
         assert!((each(&large) / each(&calm) - 1.0).abs() < 0.1, "{} {}", each(&large), each(&calm));
     }
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -13,7 +13,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::draws::{self, Stream};
-use crate::scenario::{Repeats, Scenario, MOST_FIRMS};
+use crate::scenario::{Repeats, Scenario, MAX_CUSTOMERS};
 
 /// A customer.
 #[derive(Debug, Clone)]
@@ -195,7 +195,7 @@
             let target = units_per_s * self.scenario.plan_share(plan);
             let rate = self.scenario.plans[plan].rate;
             let mut used = 0.0;
-            while used < target && self.customers.len() < MOST_FIRMS {
+            while used < target && self.customers.len() < MAX_CUSTOMERS {
                 let index = self.customers.len() as u64;
                 let mut rng = draws::stream(seed, "firm", index);
                 let kind = rng.random::<f64>();
@@ -411,7 +411,7 @@
 
     fn arrive_stranger(&mut self, now: Millis, out: &mut Vec<ClientAction>) {
         let Some((per_s, plan)) = self.strangers else { return };
-        if now >= self.end || self.customers.len() >= MOST_FIRMS {
+        if now >= self.end || self.customers.len() >= MAX_CUSTOMERS {
             return;
         }
         let index = self.customers.len();
--- a/crates/rehearsal/src/planner.rs
+++ b/crates/rehearsal/src/planner.rs
@@ -70,7 +70,7 @@
             return Ok(known.good);
         }
         let s = with_nodes(scenario, nodes);
-        if let Some(wrong) = s.mistakes().first() {
+        if let Some(wrong) = s.validation_errors().first() {
             return Err(format!("with {nodes} nodes: {wrong}"));
         }
         let scores: Vec<f64> = trials::play(&s, seeds, |_| {})?.iter().map(|f| f.score).collect();
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -10,7 +10,7 @@
 use plotters::prelude::*;
 
 use crate::figures::{Figures, Second};
-use crate::scenario::{name_of, Scenario, Trouble};
+use crate::scenario::{fault_name, Scenario, Trouble};
 
 const SIZE: (u32, u32) = (420, 240);
 /// Nodes or limiters that one field shows; more are put together.
@@ -46,22 +46,22 @@
     seconds: &[Second],
     note: &str,
 ) -> Result<String, String> {
-    page_with(scenario, figures, seconds, note, &[])
+    page_with_tables(scenario, figures, seconds, note, &[])
 }
 
 /// A table that a host adds to a page: its title, and rows of a name and a figure in words.
-pub type Extra = (String, Vec<(String, String)>);
+pub type ExtraTable = (String, Vec<(String, String)>);
 
 /// The same with further tables.
 ///
 /// # Errors
 /// When a plot cannot be drawn.
-pub fn page_with(
+pub fn page_with_tables(
     scenario: &Scenario,
     figures: &Figures,
     seconds: &[Second],
     note: &str,
-    extra: &[Extra],
+    extra: &[ExtraTable],
 ) -> Result<String, String> {
     let plots = plots(scenario, seconds).map_err(|e| format!("plot: {e}"))?;
     let title = format!("{}, seed {}", scenario.name, figures.seed);
@@ -150,7 +150,7 @@
 
 /// A trouble in words: its name, and the figures that it has.
 fn words(t: &Trouble) -> String {
-    let mut text = name_of(t.what).replace('_', " ");
+    let mut text = fault_name(t.what).replace('_', " ");
     let list = |list: &[u32]| list.iter().map(u32::to_string).collect::<Vec<_>>().join(", ");
     let mut add = |name: &str, value: Option<String>| {
         if let Some(value) = value {
@@ -168,7 +168,7 @@
     add("late ms", t.late_ms.map(|[a, b]| format!("{a} to {b}")));
     add("stumbles", t.stumbles.map(|n| n.to_string()));
     add("moment", t.moment.map(|m| format!("{m:?}").to_lowercase()));
-    add("to", t.on_discovery().then(|| "discovery".to_string()));
+    add("to", t.targets_discovery().then(|| "discovery".to_string()));
     add("building", t.building.map(|b| b.to_string()));
     add("plan", t.plan.clone());
     add("firms", t.firms.map(|f| f.to_string()));
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -164,7 +164,7 @@
 
     fn ceiling(&self, plan: usize) -> (f64, f64, f64) {
         let p = &self.scenario.plans[plan];
-        let largest = self.scenario.largest();
+        let largest = self.scenario.largest_request_units();
         let burst = p.ceiling * p.rate * p.burst_s;
         (p.ceiling * p.rate, burst.max(largest), (0.1 * burst).max(largest))
     }
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -27,7 +27,7 @@
 }
 
 /// Most firms and most requests (as a bound on memory) that a scenario may come to.
-pub const MOST_FIRMS: usize = 2_000_000;
+pub const MAX_CUSTOMERS: usize = 2_000_000;
 const MOST_REQUESTS: f64 = 50_000_000.0;
 /// Most pairs of a node and a limiter; each takes some 150 bytes.
 const MOST_PAIRS: u64 = 4_000_000;
@@ -41,7 +41,7 @@
             let key = Some(e.path().to_string()).filter(|p| p != ".").unwrap_or_default();
             vec![Wrong::new(key, e.inner().message())]
         })?;
-        match scenario.mistakes() {
+        match scenario.validation_errors() {
             none if none.is_empty() => Ok(scenario),
             some => Err(some),
         }
@@ -53,7 +53,7 @@
     }
 
     /// What is wrong with its values.
-    pub fn mistakes(&self) -> Vec<Wrong> {
+    pub fn validation_errors(&self) -> Vec<Wrong> {
         let mut found: Vec<Wrong> = match self.validate() {
             Ok(()) => Vec::new(),
             Err(report) => {
@@ -134,7 +134,7 @@
             ),
         ];
         let key = |name: &str| format!("timeline[{n}].{name}");
-        let named = name_of(t.what);
+        let named = fault_name(t.what);
         for (name, there, allowed, needed) in has {
             if there && !allowed {
                 found.push(Wrong::new(key(name), format!("not expected for \"{named}\"")));
@@ -174,8 +174,8 @@
                 | Trickle
         );
         match (on_nodes, &t.nodes, t.node_share) {
-            (true, None, None) if t.on_discovery() => {}
-            (true, ..) if t.on_discovery() => {
+            (true, None, None) if t.targets_discovery() => {}
+            (true, ..) if t.targets_discovery() => {
                 found.push(Wrong::new(key("discovery"), "nodes or discovery is expected, not both"));
             }
             (true, None, None) => {
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -6,7 +6,7 @@
 mod check;
 mod house;
 
-pub use check::{schema, Wrong, MOST_FIRMS};
+pub use check::{schema, Wrong, MAX_CUSTOMERS};
 use fawnhill::{Effect, KeyGroup, Settings};
 use garde::Validate;
 use schemars::JsonSchema;
@@ -487,7 +487,7 @@
 
 impl Trouble {
     /// It befalls streams to discovery.
-    pub fn on_discovery(&self) -> bool {
+    pub fn targets_discovery(&self) -> bool {
         self.discovery == Some(true)
     }
 }
@@ -512,7 +512,7 @@
     }
 
     /// Units of the largest request.
-    pub fn largest(&self) -> f64 {
+    pub fn largest_request_units(&self) -> f64 {
         self.classes.iter().map(|c| c.units).fold(0.0, f64::max)
     }
 
@@ -520,7 +520,7 @@
     /// largest request at least.
     pub fn quota(&self, plan: usize) -> (f64, f64) {
         let p = &self.plans[plan];
-        (p.rate, (p.rate * p.burst_s).max(self.largest()))
+        (p.rate, (p.rate * p.burst_s).max(self.largest_request_units()))
     }
 
     /// Share of the use inside quotas that a plan has.
@@ -599,7 +599,7 @@
     }
 
     /// The nodes that a trouble is about.
-    pub fn nodes_of(&self, trouble: &Trouble) -> Vec<usize> {
+    pub fn affected_servers(&self, trouble: &Trouble) -> Vec<usize> {
         match (&trouble.nodes, trouble.node_share) {
             (Some(nodes), _) => nodes.iter().map(|n| *n as usize).collect(),
             (None, Some(share)) => {
@@ -615,7 +615,7 @@
 
 impl Scenario {
     /// The same with all draws that the seed leaves open made: who of the limiters a trouble is about.
-    pub fn drawn(&self, seed: u64) -> Scenario {
+    pub fn resolve_random_targets(&self, seed: u64) -> Scenario {
         let mut drawn = self.clone();
         for (n, t) in drawn.timeline.iter_mut().enumerate() {
             if let Some(share) = t.limiter_share.take() {
@@ -636,7 +636,7 @@
     }
 
     /// What of it the virtual world cannot play, and why.
-    pub fn not_virtual(&self) -> Vec<Wrong> {
+    pub fn unsupported_in_simulation(&self) -> Vec<Wrong> {
         let of = |(n, t): (usize, &Trouble)| {
             let why = match t.what {
                 What::Refuse | What::Mute | What::Break | What::Hold | What::Trickle => "it has no streams",
@@ -649,7 +649,7 @@
             };
             let what = format!(
                 "\"{}\" is played by real processes only (`marldeal faults`): {why}",
-                name_of(t.what)
+                fault_name(t.what)
             );
             Some(Wrong { key: format!("timeline[{n}].what"), what })
         };
@@ -658,7 +658,7 @@
 }
 
 /// The name of a trouble as files have it.
-pub fn name_of(what: What) -> String {
+pub fn fault_name(what: What) -> String {
     format!("{what:?}").chars().fold(String::new(), |mut name, c| {
         if c.is_uppercase() && !name.is_empty() {
             name.push('_');
--- a/crates/rehearsal/src/search.rs
+++ b/crates/rehearsal/src/search.rs
@@ -73,7 +73,8 @@
             let mut rng = draws::stream(seed, "search", u64::from(generation) * CHILDREN + n);
             changed(&mut rng, given, &found.scenario, bounds)
         };
-        let children: Vec<Scenario> = (0..CHILDREN).map(child).filter(|c| c.mistakes().is_empty()).collect();
+        let children: Vec<Scenario> =
+            (0..CHILDREN).map(child).filter(|c| c.validation_errors().is_empty()).collect();
         let judged: Vec<(f64, bool)> = children.par_iter().map(judge).collect::<Result<_, _>>()?;
         found.candidates += children.len() as u32;
         for (child, (score, broken)) in children.into_iter().zip(judged) {
--- a/crates/rehearsal/src/shrink.rs
+++ b/crates/rehearsal/src/shrink.rs
@@ -25,14 +25,16 @@
     loop {
         let before = best.clone();
         for step in 0.. {
-            let Some(tried) = smaller(&best, step) else { break };
+            let Some(next) = smaller(&best, step) else { break };
             if runs >= most {
                 return Shrunk { scenario: best, runs };
             }
-            let Some(tried) = tried.filter(|t| *t != best && t.mistakes().is_empty()) else { continue };
+            let Some(next) = next.filter(|s| *s != best && s.validation_errors().is_empty()) else {
+                continue;
+            };
             runs += 1;
-            if let Some(at_s) = breaks(&tried, seed, rule) {
-                best = tried;
+            if let Some(at_s) = breaks(&next, seed, rule) {
+                best = next;
                 best.seconds = best.seconds.min((at_s + TAIL_S).max(2.0));
             }
         }
--- a/crates/rehearsal/src/size.rs
+++ b/crates/rehearsal/src/size.rs
@@ -17,7 +17,7 @@
 }
 
 /// The same with another number of limiters, and as many nodes and as much load for each.
-pub fn sized(scenario: &Scenario, limiters: u32) -> Scenario {
+pub fn scaled_to(scenario: &Scenario, limiters: u32) -> Scenario {
     let mut sized = scenario.clone();
     let times = f64::from(limiters) / f64::from(scenario.limiters.count);
     sized.limiters.count = limiters;
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -242,10 +242,10 @@
     /// If the scenario has faults that the virtual world cannot simulate, or settings that no limiter accepts. The text
     /// names the key or the setting.
     pub fn new(scenario: &Scenario, seed: u64) -> Result<World, String> {
-        if let Some(wrong) = scenario.not_virtual().first() {
+        if let Some(wrong) = scenario.unsupported_in_simulation().first() {
             return Err(wrong.to_string());
         }
-        let scenario = &scenario.drawn(seed);
+        let scenario = &scenario.resolve_random_targets(seed);
         let start = BEGIN_MS - WARM_UP_MS;
         let count = scenario.limiters.count as usize;
         let server_count = scenario.nodes.count as usize;
--- a/crates/rehearsal/src/world/timeline.rs
+++ b/crates/rehearsal/src/world/timeline.rs
@@ -5,7 +5,7 @@
 impl World {
     pub(super) fn begin_fault(&mut self, fault: usize) {
         let t: Trouble = self.scenario.timeline[fault].clone();
-        let servers = self.scenario.nodes_of(&t);
+        let servers = self.scenario.affected_servers(&t);
         let until = self.now + t.for_s * 1000.0;
         let limiters: Vec<usize> = t.limiters.iter().flatten().map(|l| *l as usize).collect();
         self.network.begin_fault(fault, &t);
@@ -70,7 +70,7 @@
 
     pub(super) fn end_fault(&mut self, fault: usize) {
         let t: Trouble = self.scenario.timeline[fault].clone();
-        let servers = self.scenario.nodes_of(&t);
+        let servers = self.scenario.affected_servers(&t);
         self.network.end_fault(fault, &t);
         match t.what {
             What::Surge => {
@@ -130,7 +130,7 @@
         if self.now >= began + t.for_s * 1000.0 {
             return;
         }
-        self.scenario.nodes_of(&t).iter().for_each(|n| self.set_stalled(*n, on));
+        self.scenario.affected_servers(&t).iter().for_each(|n| self.set_stalled(*n, on));
         let length = t.length_s.unwrap_or(0.1) * 1000.0;
         let next = if on { length } else { (every - length).max(1.0) };
         self.schedule(self.now + next, Event::FaultStep { fault, on: !on });
--- a/crates/rehearsal/tests/growth.rs
+++ b/crates/rehearsal/tests/growth.rs
@@ -15,7 +15,7 @@
 /// Messages and looks at servers for each request, while a twentieth of all is replaced.
 fn costs(limiters: u32) -> [f64; 2] {
     let of = size::find("replaced").expect("a scenario");
-    let scenario = Scenario { seconds: 6.0, regions: 1, ..size::sized(&of, limiters) };
+    let scenario = Scenario { seconds: 6.0, regions: 1, ..size::scaled_to(&of, limiters) };
     let before = looks();
     let f = World::new(&scenario, 1).expect("legal settings").play(|_| {}).figures;
     assert_eq!(f.broken_count, 0, "{limiters} limiters: {:?}", f.broken);
--- a/crates/rehearsal/tests/prefetch.rs
+++ b/crates/rehearsal/tests/prefetch.rs
@@ -33,7 +33,8 @@
 #[test]
 fn ninety_nine_of_a_hundred_requests_wait_for_nobody_at_any_size() {
     for limiters in [3, 4, 12] {
-        let calm = Scenario { regions: 1, ..size::sized(&size::find("calm").expect("a scenario"), limiters) };
+        let calm =
+            Scenario { regions: 1, ..size::scaled_to(&size::find("calm").expect("a scenario"), limiters) };
         let (without, with) = (play(&ahead(&calm, 0), 1), play(&ahead(&calm, limiters), 1));
         let share = |f: &Figures| f.added.waited as f64 / f.added.sent_on as f64;
         assert!(share(&without) > 0.05, "{limiters}: {:?}", without.added);
--- a/marldeal/src/command/faults.rs
+++ b/marldeal/src/command/faults.rs
@@ -8,7 +8,7 @@
 use marldeal_faults::{environment, plans};
 use marldeal_rehearsal::figures::Figures;
 use marldeal_rehearsal::observe::{Invariant, NoIdleServer};
-use marldeal_rehearsal::report::{self, Extra};
+use marldeal_rehearsal::report::{self, ExtraTable};
 use marldeal_rehearsal::scenario::Scenario;
 use marldeal_rehearsal::world::World;
 
@@ -121,7 +121,11 @@
                 }
                 invalid += usize::from(!errors.is_empty());
                 if errors.is_empty() {
-                    let also = if plan.not_virtual().is_empty() { ", also in the simulation" } else { "" };
+                    let also = if plan.unsupported_in_simulation().is_empty() {
+                        ", also in the simulation"
+                    } else {
+                        ""
+                    };
                     println!("{name}: good{also}");
                 }
             }
@@ -142,8 +146,8 @@
 fn run_plan(options: &RunOptions) -> Result<(), String> {
     let mut plan = load_plan(&options.plan)?;
     if let Some(limiters) = options.limiters {
-        plan = plans::sized(&plan, limiters);
-        if let Some(error) = plan.mistakes().first() {
+        plan = plans::scaled_to(&plan, limiters);
+        if let Some(error) = plan.validation_errors().first() {
             return Err(format!("with {limiters} limiters: {error}"));
         }
     }
@@ -164,7 +168,7 @@
         })?;
         bar.finish_and_clear();
         println!("{}", table_row(&plan, seed, &run));
-        if options.beside && plan.not_virtual().is_empty() {
+        if options.beside && plan.unsupported_in_simulation().is_empty() {
             let figures = World::new(&plan, seed)?.play(|_| {}).figures;
             println!("{}", simulated_row(&plan, &figures));
             simulated.push(figures);
@@ -178,10 +182,15 @@
         rows.iter().for_each(|(name, value)| println!("  {name:<68}{value}"));
     }
     if let Some(path) = &options.report {
-        let drawn = plan.drawn(shown.figures.seed);
+        let drawn = plan.resolve_random_targets(shown.figures.seed);
         let note = lateness_note(shown);
-        let page =
-            report::page_with(&drawn, &shown.figures, &shown.seconds, &note, &detail_tables(&plan, shown))?;
+        let page = report::page_with_tables(
+            &drawn,
+            &shown.figures,
+            &shown.seconds,
+            &note,
+            &detail_tables(&plan, shown),
+        )?;
         std::fs::write(path, page).map_err(|e| format!("{}: {e}", path.display()))?;
     }
     if let Some(path) = &options.json {
@@ -275,7 +284,7 @@
 }
 
 /// Returns the tables of details of a run.
-fn detail_tables(plan: &Scenario, run: &Run) -> Vec<Extra> {
+fn detail_tables(plan: &Scenario, run: &Run) -> Vec<ExtraTable> {
     let (f, fleet) = (&run.figures, &run.fleet);
     let requests = f.ends.asked.max(1) as f64;
     let sorted = |values: &[f64]| {
--- a/marldeal/src/command/scale.rs
+++ b/marldeal/src/command/scale.rs
@@ -37,11 +37,11 @@
     let mut all_figures: Vec<Figures> = Vec::new();
     let mut decision_us: Vec<f64> = Vec::new();
     for count in limiters {
-        let mut sized = size::sized(scenario, *count);
+        let mut sized = size::scaled_to(scenario, *count);
         if prefetch {
             sized.limiters.prefetch = *count;
         }
-        if let Some(error) = sized.mistakes().first() {
+        if let Some(error) = sized.validation_errors().first() {
             return Err(format!("with {count} limiters: {error}"));
         }
         let started = Instant::now();
