--- a/marldeal/tests/faults.rs
+++ b/marldeal/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Several real limiters as processes, and faults thrown between them. Verdicts are on safety and counts, never on how fast
-//! this machine is: the ground holds nothing against a limiter that the ground itself was late for.
+//! Several real limiters as processes, with injected faults. The checks are about safety and counts, never
+//! about the speed of this machine: a limiter is not blamed for a delay of the test environment itself.
 
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,122 +16,130 @@
     Program { path: env!("CARGO_BIN_EXE_marldeal").into(), variables: Vec::new() }
 }
 
-fn play(scenario: &Scenario, seed: u64) -> Run {
-    play_judged(scenario, seed, Vec::new())
+/// Runs a scenario and panics at the first violation of a rule.
+fn run_plan(scenario: &Scenario, seed: u64) -> Run {
+    run_with_judges(scenario, seed, Vec::new())
 }
 
-fn play_judged(scenario: &Scenario, seed: u64, judges: Vec<Box<dyn Invariant>>) -> Run {
+fn run_with_judges(scenario: &Scenario, seed: u64, judges: Vec<Box<dyn Invariant>>) -> Run {
     let run = environment::run_scenario(scenario, seed, &program(), judges, |_| {});
     let run = run.unwrap_or_else(|why| panic!("{}: {why}", scenario.name));
     if let Some(first) = run.first_violation() {
         panic!("{}, seed {seed}: {first}\n{:#?}", scenario.name, run.fleet.notes);
     }
     assert_eq!((run.fleet.outcomes.crashes, run.fleet.words.too_long), (0, 0), "{}", scenario.name);
-    let e = &run.figures.ends;
-    assert!(e.in_time > 0 && e.asked == e.in_time + e.late + e.refused + e.failed + e.left, "{e:?}");
+    let ends = &run.figures.ends;
+    assert!(
+        ends.in_time > 0 && ends.asked == ends.in_time + ends.late + ends.refused + ends.failed + ends.left,
+        "{ends:?}"
+    );
     run
 }
 
-fn plan(name: &str) -> Run {
-    play(&plans::find(name).expect("a plan"), 1)
+fn run_named(name: &str) -> Run {
+    run_plan(&plans::find(name).expect("a plan"), 1)
 }
 
-/// Several plans at one time, each with processes of its own: most of a run is waiting.
-fn side_by_side<const N: usize>(names: [&'static str; N]) -> [Run; N] {
+/// Runs several plans in parallel, each with its own processes, since most of a run is waiting.
+fn run_in_parallel<const N: usize>(names: [&'static str; N]) -> [Run; N] {
     std::thread::scope(|scope| {
-        let all = names.map(|name| scope.spawn(move || plan(name)));
-        all.map(|one| one.join().unwrap_or_else(|broken| std::panic::resume_unwind(broken)))
+        let runs = names.map(|name| scope.spawn(move || run_named(name)));
+        runs.map(|run| run.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic)))
     })
 }
 
-/// The second did, without `lifecycle::stalls`, send on up to 1.9 s after the client's time.
+/// Guards against requests sent to a server after a stall past the client's deadline: without
+/// `lifecycle::stalls` the second plan sent requests up to 1.9 s late.
 #[test]
-fn half_are_stopped_and_woken_in_one_instant_and_what_lay_unread_is_not_sent_on_too_late() {
-    let [woken, _, twice] = side_by_side(["woken-together", "stopped-past-deadlines", "twice-and-late"]);
-    assert!(woken.figures.ends.in_time > 200, "{:?}", woken.figures.ends);
-    let words = twice.fleet.words;
-    assert!(words.received.iter().sum::<u64>() > words.sent.iter().sum::<u64>(), "{words:?}");
+fn stalled_limiters_send_no_request_past_its_deadline() {
+    let [stopped, _, duplicated] =
+        run_in_parallel(["woken-together", "stopped-past-deadlines", "twice-and-late"]);
+    assert!(stopped.figures.ends.in_time > 200, "{:?}", stopped.figures.ends);
+    let messages = duplicated.fleet.words;
+    assert!(messages.received.iter().sum::<u64>() > messages.sent.iter().sum::<u64>(), "{messages:?}");
 }
 
 #[test]
-fn some_hear_nobody_each_sees_a_partition_of_its_own_or_a_third_have_a_slow_core() {
-    let [deaf, parted, _] = side_by_side(["one-way", "each-its-own-partition", "slow-cores"]);
-    let words = &deaf.fleet.words;
-    assert!(words.lost > 0 && words.received.iter().all(|n| *n > 0), "{words:?}");
-    assert!(parted.fleet.words.lost > 0);
+fn lost_messages_partitions_and_slow_cores_violate_no_rule() {
+    let [one_way, partitioned, _] = run_in_parallel(["one-way", "each-its-own-partition", "slow-cores"]);
+    let messages = &one_way.fleet.words;
+    assert!(messages.lost > 0 && messages.received.iter().all(|n| *n > 0), "{messages:?}");
+    assert!(partitioned.fleet.words.lost > 0);
 }
 
 #[test]
-fn nodes_are_silent_towards_one_third_alone_and_streams_are_spoilt() {
-    let [mute, spoilt] = side_by_side(["mute-to-a-third", "streams-spoilt"]);
-    assert!(mute.figures.ends.in_time > 200 && spoilt.figures.ends.in_time > 200);
+fn servers_silent_to_one_third_and_garbled_streams_violate_no_rule() {
+    let [silent, garbled] = run_in_parallel(["mute-to-a-third", "streams-spoilt"]);
+    assert!(silent.figures.ends.in_time > 200 && garbled.figures.ends.in_time > 200);
 }
 
-/// A node that drains at the second 2 and exits at 5 gets nothing from those that have heard of it; the others learn it
-/// from the node alone, as they learn of the two that die.
+/// A server that drains at 2 s and exits at 5 s gets no request from limiters that have received the drain; the
+/// others learn of it only from the server's answers, as they do of the two servers that fail.
 #[test]
-fn discovery_is_silent_or_spoilt_and_one_that_hangs_on_sigterm_is_killed() {
-    let [_, spoilt, hung] = side_by_side(["discovery-silent", "discovery-spoilt", "hangs-on-sigterm"]);
-    assert!(spoilt.figures.ends.in_time > 200, "{:?}", spoilt.figures.ends);
+fn silent_or_garbled_discovery_and_hanging_on_sigterm_violate_no_rule() {
+    let [_, garbled, hung] = run_in_parallel(["discovery-silent", "discovery-spoilt", "hangs-on-sigterm"]);
+    assert!(garbled.figures.ends.in_time > 200, "{:?}", garbled.figures.ends);
     assert_eq!((hung.fleet.outcomes.hung, hung.fleet.memory_mb.len()), (2, 9));
 }
 
 #[test]
-fn seven_in_ten_are_killed_in_one_second_under_load() {
+fn killing_seven_in_ten_limiters_under_load_violates_no_rule() {
     let mut scenario = plans::find("seven-in-ten").expect("a plan");
     scenario.seconds = 9.0;
-    assert!(play(&scenario, 1).fleet.outcomes.excused > 0);
+    assert!(run_plan(&scenario, 1).fleet.outcomes.excused > 0);
 }
 
 #[test]
-fn limiters_are_killed_between_taking_sending_and_answering_or_restarted_in_turn() {
-    let [killed, turn] = side_by_side(["killed-at-work", "one-after-another"]);
-    // What they held was the clients' to ask again, and some of it had been sent. A kill whose moment does not come on
-    // a slow machine falls at any; most find theirs.
-    let o = &killed.fleet.outcomes;
-    assert!(o.excused > 0 && o.killed_taken >= 1 && o.killed_sent >= 2, "{o:?}");
-    assert_eq!(turn.fleet.outcomes.hung, 0);
-    assert_eq!(turn.fleet.memory_mb.len(), 9, "all run again");
+fn kills_at_chosen_moments_and_rolling_restarts_violate_no_rule() {
+    let [killed, in_turn] = run_in_parallel(["killed-at-work", "one-after-another"]);
+    // Clients may repeat the requests that the killed limiters held, some of which had been sent. On a slow
+    // machine the chosen moment of a kill may not occur, and the kill then happens at any time; most kills find
+    // their moment.
+    let outcomes = &killed.fleet.outcomes;
+    assert!(outcomes.excused > 0 && outcomes.killed_taken >= 1 && outcomes.killed_sent >= 2, "{outcomes:?}");
+    assert_eq!(in_turn.fleet.outcomes.hung, 0);
+    assert_eq!(in_turn.fleet.memory_mb.len(), 9, "all limiters run again");
 }
 
-/// Units held ahead of need at all limiters, or at five of nine beside others of the version before: words lost, late,
-/// doubled, a part of the fleet cut off, keepers killed, holders stopped and woken. No rule and no invariant is broken.
+/// Units are prefetched by all limiters, or by five of nine beside limiters of the previous version, while
+/// messages are lost, late or duplicated, part of the fleet is cut off, quota owners are killed, and limiters
+/// with prefetched units are stopped and continued. No rule and no invariant is violated.
 #[test]
-fn units_held_ahead_break_nothing_when_words_keepers_or_holders_fail() {
-    let ahead = |(name, limiters): (&str, u32)| {
+fn prefetched_units_violate_no_rule_under_faults() {
+    let run_prefetching = |(name, limiters): (&str, u32)| {
         let mut scenario = plans::find(name).expect("a plan");
         scenario.limiters.prefetch = limiters;
         scenario.seconds = scenario.seconds.min(12.0);
-        let asked = Arc::new(AtomicU64::new(0));
-        let judges: Vec<Box<dyn Invariant>> = vec![Box::new(CountsAhead(asked.clone()))];
-        let run = play_judged(&scenario, 3, judges);
+        let prefetches = Arc::new(AtomicU64::new(0));
+        let judges: Vec<Box<dyn Invariant>> = vec![Box::new(CountsPrefetches(prefetches.clone()))];
+        let run = run_with_judges(&scenario, 3, judges);
         assert!(run.figures.ends.in_time > 100, "{name}: {:?}", run.figures.ends);
-        assert!(asked.load(Ordering::Relaxed) > 20, "{name}: units are asked for ahead");
+        assert!(prefetches.load(Ordering::Relaxed) > 20, "{name}: units are prefetched");
     };
     for pair in
         [[("third-cut-off", 5), ("twice-and-late", 9)], [("woken-together", 9), ("killed-at-work", 5)]]
     {
         std::thread::scope(|scope| {
-            let all = pair.map(|one| scope.spawn(move || ahead(one)));
-            for one in all {
-                one.join().unwrap_or_else(|broken| std::panic::resume_unwind(broken));
+            let runs = pair.map(|one| scope.spawn(move || run_prefetching(one)));
+            for run in runs {
+                run.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic));
             }
         });
     }
 }
 
-/// Counts asks under numbers that no request has.
-struct CountsAhead(Arc<AtomicU64>);
+/// Counts asks whose numbers have the highest bit set, which marks a prefetch instead of a request.
+struct CountsPrefetches(Arc<AtomicU64>);
 
-impl Invariant for CountsAhead {
+impl Invariant for CountsPrefetches {
     fn name(&self) -> &'static str {
-        "asks ahead"
+        "prefetches"
     }
 
     fn observe(&mut self, _: f64, seen: &Observation<'_>) -> Option<String> {
         if let Observation::Datagram { lines, delivered: false, .. } = seen {
-            let ahead = |line: &&LineKind| matches!(line, LineKind::Ask(id) if id >> 31 == 1);
-            self.0.fetch_add(lines.iter().filter(ahead).count() as u64, Ordering::Relaxed);
+            let is_prefetch = |line: &&LineKind| matches!(line, LineKind::Ask(id) if id >> 31 == 1);
+            self.0.fetch_add(lines.iter().filter(is_prefetch).count() as u64, Ordering::Relaxed);
         }
         None
     }
@@ -146,7 +154,7 @@
 }
 
 #[test]
-fn a_ground_short_of_descriptors_says_so_before_it_starts_anything() {
+fn too_few_descriptors_are_reported_before_the_start() {
     let path = env!("CARGO_BIN_EXE_marldeal");
     let shell = format!("ulimit -n 100 && exec {path} faults run calm");
     let output = Command::new("/bin/sh").args(["-c", &shell]).output().expect("a shell");
@@ -156,15 +164,15 @@
 }
 
 #[test]
-fn check_names_each_mistake_and_what_processes_cannot_play() {
+fn check_reports_every_error_and_unsupported_faults() {
     let dir = tempfile::tempdir().expect("a directory");
     let file = dir.path().join("plan.toml");
-    let wrong = "[[timeline]]\nwhat = \"groups\"\ngroups = [[0, 9]]\nat_s = 1\nfor_s = 1\n\
+    let invalid = "[[timeline]]\nwhat = \"groups\"\ngroups = [[0, 9]]\nat_s = 1\nfor_s = 1\n\
         [[timeline]]\nwhat = \"mute\"\nat_s = 1\nfor_s = 1\n\
         [[timeline]]\nwhat = \"freeze\"\nat_s = 1\nfor_s = 1\n\
         [[timeline]]\nwhat = \"refuse\"\ndiscovery = true\nnodes = [0]\nat_s = 1\nfor_s = 1\n\
         [[timeline]]\nwhat = \"exit\"\nnodes = [0]\ndiscovery = true\nmoment = \"sent\"\nat_s = 1\nfor_s = 1\n";
-    std::fs::write(&file, wrong).expect("written");
+    std::fs::write(&file, invalid).expect("written");
     let output = faults(&["check", file.to_str().expect("a plain path"), "calm", "half-behind-proxies"]);
     let out = text(&output.stdout);
     assert_eq!(output.status.code(), Some(1));
@@ -183,7 +191,7 @@
 }
 
 #[test]
-fn one_building_of_three_is_cut_off_and_a_run_leaves_a_table_a_page_and_figures() {
+fn run_prints_a_table_and_writes_a_report_and_figures() {
     let dir = tempfile::tempdir().expect("a directory");
     let path = |name: &str| dir.path().join(name).to_str().expect("a plain path").to_string();
     let (page, json) = (path("page.html"), path("figures.json"));
@@ -199,14 +207,14 @@
     assert_eq!(figures["processes"][0]["fleet"]["cpu_ms"].as_array().map(Vec::len), Some(5));
 }
 
-/// The limiters that one process has started and that still run.
+/// The child processes of `of` that still run.
 fn children(of: u32) -> Vec<i32> {
     let all = procfs::process::all_processes().expect("processes").flatten();
     let stats = all.filter_map(|p| p.stat().ok());
     stats.filter(|s| s.ppid == of as i32 && s.state != 'Z').map(|s| s.pid).collect()
 }
 
-/// Panics at the first thing of its kind that is seen.
+/// Panics at the first observation for which the function returns true.
 struct Panics(fn(&Observation<'_>) -> bool);
 
 impl Invariant for Panics {
@@ -220,11 +228,11 @@
     }
 }
 
-/// In the ground's own loop, and in a task of it, whose panic the runtime would swallow.
+/// The panic occurs in the main loop of the test environment, and in a task, whose panic the runtime would hide.
 #[test]
-fn a_ground_that_panics_ends_and_leaves_no_process_behind() {
+fn panic_of_the_test_environment_leaves_no_process_behind() {
     const MARK: &str = "MARLDEAL_TEST_OF_PANICS";
-    let marked = || {
+    let count_marked = || {
         let of = |pid: i32| procfs::process::Process::new(pid).ok()?.environ().ok();
         let own = children(std::process::id()).into_iter().filter_map(of);
         own.filter(|e| e.contains_key(std::ffi::OsStr::new(MARK))).count()
@@ -232,37 +240,40 @@
     let path = env!("CARGO_BIN_EXE_marldeal").into();
     let program = Program { path, variables: vec![(MARK.to_string(), "1".to_string())] };
     let scenario = plans::find("calm").expect("a plan");
-    let judged = |when: fn(&Observation<'_>) -> bool| {
+    let run_judged = |when: fn(&Observation<'_>) -> bool| {
         let judges: Vec<Box<dyn Invariant>> = vec![Box::new(Panics(when))];
         let run = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             environment::run_scenario(&scenario, 1, &program, judges, |_| {})
         }));
-        marldeal_standin::wait_for("none of them", || marked() == 0);
+        marldeal_standin::wait_for("all limiters to end", || count_marked() == 0);
         run
     };
     assert!(
-        judged(|seen| matches!(seen, Observation::Load { .. })).is_err(),
-        "the loop's own panic goes on up"
+        run_judged(|seen| matches!(seen, Observation::Load { .. })).is_err(),
+        "a panic in the main loop reaches the caller"
     );
-    let ended = judged(|seen| matches!(seen, Observation::Arrived { .. }));
-    let why = ended.expect("kept").err().expect("a run that ends with an error");
+    let ended = run_judged(|seen| matches!(seen, Observation::Arrived { .. }));
+    let why = ended.expect("no panic reaches the caller").err().expect("a run that ends with an error");
     assert!(why.contains("the test environment panicked: a judge of the test's own"), "{why}");
 }
 
 #[test]
-fn an_interrupted_run_leaves_no_process_behind() {
-    let mut ground = Command::new(env!("CARGO_BIN_EXE_marldeal"))
+fn interrupted_run_leaves_no_process_behind() {
+    let mut environment = Command::new(env!("CARGO_BIN_EXE_marldeal"))
         .args(["faults", "run", "calm", "--limiters", "5"])
         .stdout(std::process::Stdio::null())
         .stderr(std::process::Stdio::null())
         .spawn()
         .expect("it starts");
-    marldeal_standin::wait_for("five limiters", || children(ground.id()).len() == 5);
-    let started = children(ground.id());
-    nix::sys::signal::kill(nix::unistd::Pid::from_raw(ground.id() as i32), nix::sys::signal::Signal::SIGTERM)
-        .expect("a signal");
-    assert_eq!(ground.wait().expect("it ends").code(), Some(1));
+    marldeal_standin::wait_for("five limiters", || children(environment.id()).len() == 5);
+    let started = children(environment.id());
+    nix::sys::signal::kill(
+        nix::unistd::Pid::from_raw(environment.id() as i32),
+        nix::sys::signal::Signal::SIGTERM,
+    )
+    .expect("a signal");
+    assert_eq!(environment.wait().expect("it ends").code(), Some(1));
     let runs =
         |pid: &i32| procfs::process::Process::new(*pid).is_ok_and(|p| p.stat().is_ok_and(|s| s.state != 'Z'));
-    marldeal_standin::wait_for("none of them", || !started.iter().any(runs));
+    marldeal_standin::wait_for("all limiters to end", || !started.iter().any(runs));
 }
--- a/marldeal/tests/planted.rs
+++ b/marldeal/tests/planted.rs
@@ -1,5 +1,6 @@
-//! Rules broken on purpose in the limiters' processes: each is found from outside within a stated number of seeds, and the
-//! seed finds it again. `cargo test -p marldeal --features planted --test planted`.
+//! Defects planted in the limiters' processes: each one is detected from outside within a fixed number of
+//! seeds, and the same seed detects it again. Run with `cargo test -p marldeal --features planted --test
+//! planted`.
 #![cfg(feature = "planted")]
 
 use marldeal_faults::figures::Run;
@@ -11,38 +12,38 @@
 use marldeal_soak::plan::{Fault, Plan, ScheduledFault};
 use marldeal_soak::run::{self, RunConfig};
 
-/// Seeds within which each fault has to be found.
+/// The number of seeds within which each defect has to be detected.
 const SEEDS: u64 = 3;
 
-fn short(text: &str) -> Scenario {
-    Scenario::read(text).unwrap_or_else(|wrong| panic!("{wrong:?}"))
+fn parse(text: &str) -> Scenario {
+    Scenario::read(text).unwrap_or_else(|errors| panic!("{errors:?}"))
 }
 
-/// A plan that brings a fault out, and a word of what is said of it.
+/// A plan that exposes a defect, and a part of the message about it.
 fn plan(fault: &str) -> (Scenario, &'static str) {
     match fault {
         // The 500th request of a limiter is never answered.
-        "answer" => (short("seconds = 16\n[nodes]\ncount = 20\n[clients]\nload = 0.4\n"), "no answer by its deadline"),
+        "answer" => (parse("seconds = 16\n[nodes]\ncount = 20\n[clients]\nload = 0.4\n"), "no answer by its deadline"),
         "effect" => {
-            let mut scenario = short(
+            let mut scenario = parse(
                 "seconds = 14\n[[timeline]]\nwhat = \"resets\"\nnodes = [1, 4]\nshare = 0.3\nat_s = 2\nfor_s = 10\n",
             );
             scenario.classes[1].repeats = Repeats::Unsafe;
             (scenario, "sent again though it may have run")
         }
         "drain" => (
-            short("seconds = 14\n[[timeline]]\nwhat = \"drain\"\nnodes = [0, 3]\nafter_s = 8\nat_s = 2\nfor_s = 10\n"),
+            parse("seconds = 14\n[[timeline]]\nwhat = \"drain\"\nnodes = [0, 3]\nafter_s = 8\nat_s = 2\nfor_s = 10\n"),
             "after the notice",
         ),
         "cold" => (
-            short(
+            parse(
                 "seconds = 16\n[clients]\nload = 0.9\n[nodes]\ncold_share = 0.1\n\
                  [[timeline]]\nwhat = \"exit\"\nnode_share = 1.0\nat_s = 3\nfor_s = 3\n",
             ),
             "pushed over while cold",
         ),
         "ceiling" => (
-            short("seconds = 16\n[[timeline]]\nwhat = \"flood\"\nfirms = 3\nshare = 4.0\nat_s = 2\nfor_s = 12\n"),
+            parse("seconds = 16\n[[timeline]]\nwhat = \"flood\"\nfirms = 3\nshare = 4.0\nat_s = 2\nfor_s = 12\n"),
             "past its ceiling",
         ),
         "thaw" => (plans::find("stopped-past-deadlines").expect("a plan"), "which had been stopped"),
@@ -51,72 +52,74 @@
     }
 }
 
-fn play(scenario: &Scenario, seed: u64, fault: Option<&str>) -> Run {
+/// Runs a scenario with limiters that have the given defect, if any.
+fn run_scenario(scenario: &Scenario, seed: u64, fault: Option<&str>) -> Run {
     let variables = fault.map(|f| ("MARLDEAL_PLANTED".to_string(), f.to_string())).into_iter().collect();
     let program = Program { path: env!("CARGO_BIN_EXE_marldeal").into(), variables };
     environment::run_scenario(scenario, seed, &program, Vec::new(), |_| {})
         .unwrap_or_else(|why| panic!("{why}"))
 }
 
-fn says(run: &Run, word: &str) -> bool {
+/// Whether a violation of a rule or an invariant was reported with this text.
+fn reports(run: &Run, text: &str) -> bool {
     let rules = run.figures.broken.iter().map(|b| &b.what);
-    rules.chain(run.fleet.breaches.iter().map(|b| &b.what)).any(|what| what.contains(word))
+    rules.chain(run.fleet.breaches.iter().map(|b| &b.what)).any(|what| what.contains(text))
 }
 
-fn is_found(fault: &str) {
-    let (scenario, word) = plan(fault);
-    let says_it = |seed, fault| says(&play(&scenario, seed, fault), word);
-    // The first seed, found and found again, beside the run without the fault: most of a run is waiting.
+fn assert_detected(fault: &str) {
+    let (scenario, text) = plan(fault);
+    let detects = |seed, fault| reports(&run_scenario(&scenario, seed, fault), text);
+    // The first seed runs twice with the defect and once without it, in parallel since most of a run is waiting.
     let (without, mut found, mut again) = std::thread::scope(|scope| {
-        let of = |fault| scope.spawn(move || says_it(1, fault));
-        let runs = [of(None), of(Some(fault)), of(Some(fault))];
+        let spawn = |fault| scope.spawn(move || detects(1, fault));
+        let runs = [spawn(None), spawn(Some(fault)), spawn(Some(fault))];
         let [without, found, again] =
-            runs.map(|run| run.join().unwrap_or_else(|broken| std::panic::resume_unwind(broken)));
+            runs.map(|run| run.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic)));
         (without, found, again)
     });
-    assert!(!without, "{fault}: found without it");
+    assert!(!without, "{fault}: detected without the defect");
     let mut seed = 1;
     while !found && seed < SEEDS {
         seed += 1;
-        found = says_it(seed, Some(fault));
-        again = found && says_it(seed, Some(fault));
+        found = detects(seed, Some(fault));
+        again = found && detects(seed, Some(fault));
     }
-    assert!(found, "{fault} is not found within {SEEDS} seeds");
-    assert!(again, "{fault}: seed {seed} finds it again");
+    assert!(found, "{fault} is not detected within {SEEDS} seeds");
+    assert!(again, "{fault}: seed {seed} does not detect it again");
     println!("{fault}: seed {seed}");
 }
 
 #[test]
 fn a_request_that_gets_no_answer() {
-    is_found("answer");
+    assert_detected("answer");
 }
 #[test]
 fn an_effect_that_happens_twice() {
-    is_found("effect");
+    assert_detected("effect");
 }
 #[test]
 fn a_drain_that_is_not_heeded() {
-    is_found("drain");
+    assert_detected("drain");
 }
 #[test]
 fn a_cold_node_that_is_pushed_over() {
-    is_found("cold");
+    assert_detected("cold");
 }
 #[test]
 fn a_ceiling_that_is_passed() {
-    is_found("ceiling");
+    assert_detected("ceiling");
 }
 #[test]
 fn one_that_sends_on_after_it_was_stopped_past_a_deadline() {
-    is_found("thaw");
+    assert_detected("thaw");
 }
 #[test]
 fn one_that_answers_words_of_a_partition_it_has_left() {
-    is_found("echo");
+    assert_detected("echo");
 }
 
-/// The soak test's judge finds a broken rule within three seeds, by the rule that was broken.
-fn soak_finds(fault: &str, rule: Rule) {
+/// Asserts that the soak test detects a defect within three seeds, as a violation of the expected rule.
+fn assert_soak_detects(fault: &str, rule: Rule) {
     let arguments = Arguments {
         program: env!("CARGO_BIN_EXE_marldeal").into(),
         seeds: String::new(),
@@ -132,21 +135,21 @@
         let (_, breaches) = run_seed(&arguments, seed, files.path()).unwrap_or_else(|why| panic!("{why}"));
         breaches.iter().any(|b| b.rule == rule)
     });
-    assert!(found, "{fault} was not found as {rule:?}");
+    assert!(found, "{fault} was not detected as {rule:?}");
 }
 
 #[test]
 fn one_that_drains_nothing_is_found_by_the_soak_test() {
-    soak_finds("drain", Rule::Drain);
+    assert_soak_detects("drain", Rule::Drain);
 }
 
 #[test]
 fn one_that_repeats_what_may_have_run_is_found_by_the_soak_test() {
-    soak_finds("effect", Rule::Repeat);
+    assert_soak_detects("effect", Rule::Repeat);
 }
 
-/// All servers hang, and then all limiters stand still until the time of what they hold is over: which seed it is makes no
-/// difference, as it would where stops meet few requests.
+/// All servers hang, and then all limiters are stopped until the deadlines of their requests have passed. This
+/// does not depend on the seed, as it would if the stops affected few requests.
 #[test]
 fn one_that_sends_on_what_is_past_its_time_is_found_by_the_soak_test() {
     let (limiters, servers) = (6, 5);
@@ -163,5 +166,5 @@
     };
     let history = run::run_plan(&plan, config).unwrap_or_else(|why| panic!("{why}"));
     let late = judge(&history).iter().filter(|b| b.rule == Rule::Afterwards).count();
-    assert!(late > 0, "nothing was found that was sent on past its time");
+    assert!(late > 0, "no request sent past its deadline was detected");
 }
