--- a/crates/faults/src/environment/mod.rs
+++ b/crates/faults/src/environment/mod.rs
@@ -511,7 +511,7 @@
         server.last_busy_ms = done;
         let ready = server.condition == Condition::Serving && server.simulation.share(now) >= 1.0;
         let seen = Observation::Load {
-            node: n,
+            server: n,
             ready,
             held: server.simulation.held(),
             slots: server.simulation.parameters().slots,
--- a/crates/faults/src/environment/servers.rs
+++ b/crates/faults/src/environment/servers.rs
@@ -153,9 +153,10 @@
             let stopped = !state.is_accountable(limiter, deadline - 60_000.0);
             // An attempt that the test environment itself delayed is not held against the limiter.
             if state.lateness.last_exceeded < deadline {
-                state
-                    .judges
-                    .observe(now, &Observation::Arrived { node: index, try_id, limiter, deadline, stopped });
+                state.judges.observe(
+                    now,
+                    &Observation::Arrived { server: index, try_id, limiter, deadline, stopped },
+                );
             }
         }
         if known.is_some() {
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -1,4 +1,4 @@
-//! Service as the brief counts it (its sections 2 and 3), and what a report shows over time.
+//! Figures of the service that a run provided, for the whole run and for each second.
 
 use fawnhill::Millis;
 use hdrhistogram::Histogram;
@@ -12,142 +12,142 @@
 /// Number of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct OutcomeCounts {
-    /// Asked for by clients, each once.
+    /// Requests made by clients; retries do not count.
     pub asked: u64,
-    /// Served in the wanted time.
+    /// Served within the target latency.
     pub in_time: u64,
-    /// Served later.
+    /// Served after the target latency.
     pub late: u64,
-    /// Refused in the end.
+    /// Refused at the last try.
     pub refused: u64,
-    /// Failed in the end, or nobody was reached.
+    /// Failed at the last try, or no limiter was reached.
     pub failed: u64,
-    /// Left without an answer.
+    /// Disconnected without an answer.
     pub left: u64,
 }
 
-/// A plan's part.
+/// Figures of a plan.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlanFigures {
-    /// Its name.
+    /// Name of the plan.
     pub plan: String,
-    /// Worth served in time inside the quotas over worth asked for inside them.
+    /// Worth served in time inside the quotas, divided by worth requested inside them.
     pub service: f64,
-    /// Its requests.
+    /// Outcomes of its requests.
     pub ends: OutcomeCounts,
-    /// Quantiles of the time to an answer, in milliseconds: 0.5, 0.9, 0.99, 0.999.
+    /// Quantiles 0.5, 0.9, 0.99 and 0.999 of the latency of served requests, in milliseconds.
     pub latency_ms: [f64; 4],
 }
 
-/// What a run came to.
+/// Figures of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
     /// Name of the scenario.
     pub scenario: String,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The one figure: weighted service less deductions; 0 if a rule was broken.
+    /// Overall score: weighted service minus deductions; 0 if a rule was broken.
     pub score: f64,
     /// Service over the whole run.
     pub whole: f64,
-    /// In its worst 10 s.
+    /// Service in the worst 10 s.
     pub worst_10s: f64,
-    /// Of its worst-served plan.
+    /// Service of the plan with the worst service.
     pub worst_plan: f64,
     /// Deductions, in points of service: over quota, failing late, wasted work, messages, crossing zones.
     pub deductions: [f64; 5],
-    /// All requests.
+    /// Outcomes of all requests.
     pub ends: OutcomeCounts,
-    /// By plan.
+    /// Figures by plan.
     pub plans: Vec<PlanFigures>,
-    /// Attempts sent to nodes.
+    /// Attempts sent to servers.
     pub attempts: u64,
-    /// Attempts a request that was sent on at all.
+    /// Attempts per try that was sent on.
     pub attempts_a_try: f64,
-    /// Messages between limiters sent, and those that did not arrive.
+    /// Messages sent between limiters, and messages that were not received.
     pub messages: [u64; 2],
-    /// Their bytes.
+    /// Bytes of all messages sent.
     pub message_bytes: u64,
-    /// Share of the nodes' work whose answer nobody took in time.
+    /// Share of the servers' work whose answer no client received in time.
     pub wasted: f64,
-    /// Share of the nodes' work that was done for clients who had left by then.
+    /// Share of the servers' work that was done after the client had disconnected.
     pub for_nobody: f64,
-    /// Connections opened to nodes.
+    /// Connections opened to servers.
     pub connections: u64,
-    /// Nodes that fell over.
+    /// Servers that failed from overload.
     pub falls: u32,
-    /// Rules broken, in all.
+    /// Number of all violations of rules.
     pub broken_count: u64,
-    /// The first of them.
+    /// The first violations.
     pub broken: Vec<Violation>,
-    /// Events that the world went through.
+    /// Events that the world handled.
     pub events: u64,
-    /// Time added to requests; the virtual world fills it.
+    /// Time added to requests; only measured in the virtual world.
     #[serde(default)]
     pub added: Added,
-    /// Messages and changes at a limiter; the virtual world fills it.
+    /// Control messages and server list changes; only measured in the virtual world.
     #[serde(default)]
     pub control: Control,
 }
 
-/// One second of a run.
+/// Figures of one second of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// By plan: worth asked for inside the quotas in this second, and of that served in time.
+    /// By plan: worth requested inside the quotas in this second, and the part of it that was served in time.
     pub worth: Vec<[f64; 2]>,
-    /// How requests ended in this second.
+    /// Outcomes of requests in this second.
     pub ends: OutcomeCounts,
-    /// Time to an answer, in milliseconds: 0.5 and 0.99 quantiles.
+    /// Quantiles 0.5 and 0.99 of the latency of served requests, in milliseconds.
     pub latency_ms: [f64; 2],
-    /// By node: share of its warm capacity that was worked.
+    /// By server: share of its warm capacity that was used.
     pub busy: Vec<f32>,
-    /// By node: requests held at its end.
+    /// By server: requests held at the end of the second.
     pub held: Vec<f32>,
-    /// By limiter: requests taken.
+    /// By limiter: tries accepted.
     pub taken: Vec<f32>,
     /// Messages sent between limiters.
     pub messages: u64,
 }
 
-/// What figures are made from while a run goes on.
+/// Collects figures during a run.
 pub struct Recorder {
     scenario: Scenario,
     from: Millis,
     seconds: Vec<Second>,
-    now_ms: Vec<f64>,
+    second_latencies_ms: Vec<f64>,
     latencies: Vec<Histogram<u64>>,
     ends: Vec<OutcomeCounts>,
-    over_cost: f64,
-    asked_worth: f64,
-    late_fails: f64,
-    /// Counted by the world.
+    over_quota_cost: f64,
+    requested_worth: f64,
+    late_failure_worth: f64,
+    /// Attempts sent to servers. The caller updates this and the following counts.
     pub attempts: u64,
     /// Tries that were sent on.
     pub tries_sent: u64,
-    /// Attempts that left their limiter's building.
+    /// Attempts sent to a server in another zone.
     pub cross_zone_attempts: u64,
-    /// Messages sent, and those that did not arrive.
+    /// Messages sent, and messages that were not received.
     pub messages: [u64; 2],
-    /// Their bytes.
+    /// Bytes of all messages sent.
     pub message_bytes: u64,
-    /// Work whose answer was taken.
+    /// Work whose answer a client received.
     pub useful_work_ms: f64,
-    /// Work done.
+    /// All work done.
     pub completed_work_ms: f64,
-    /// Work done for clients who had left by then.
+    /// Work done after the client had disconnected.
     pub abandoned_work_ms: f64,
     /// Connections opened.
     pub connections: u64,
-    /// Nodes fallen over.
+    /// Servers that failed from overload.
     pub falls: u32,
 }
 
-/// Bytes of a full message.
-const FULL_MESSAGE: f64 = 256.0;
-/// Longest time to an answer that a histogram tells, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// Size of a full message, by which the deduction for messages is scaled.
+const FULL_MESSAGE_BYTES: f64 = 256.0;
+/// Maximum recorded latency, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-fn over(part: f64, whole: f64) -> f64 {
+fn ratio(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         part / whole
     } else {
@@ -156,20 +156,21 @@
 }
 
 impl Recorder {
-    /// Figures of a scenario that begins at `from`.
+    /// Creates the recorder of a scenario that begins at `from`.
     pub fn new(scenario: &Scenario, from: Millis) -> Recorder {
         let plans = scenario.plans.len();
-        let histogram =
-            || Histogram::new_with_bounds(1, LONGEST_US, 3).unwrap_or_else(|_| unreachable!("legal bounds"));
+        let histogram = || {
+            Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).unwrap_or_else(|_| unreachable!("legal bounds"))
+        };
         Recorder {
             from,
             seconds: Vec::new(),
-            now_ms: Vec::new(),
+            second_latencies_ms: Vec::new(),
             latencies: (0..plans).map(|_| histogram()).collect(),
             ends: vec![OutcomeCounts::default(); plans],
-            over_cost: 0.0,
-            asked_worth: 0.0,
-            late_fails: 0.0,
+            over_quota_cost: 0.0,
+            requested_worth: 0.0,
+            late_failure_worth: 0.0,
             attempts: 0,
             tries_sent: 0,
             cross_zone_attempts: 0,
@@ -197,11 +198,11 @@
         &mut self.seconds[n]
     }
 
-    /// A client asks, for the first time; `inside`: one bucket that saw all would let it in.
+    /// A client makes a request. `inside` is set if a single token bucket for all its customer's requests admits it.
     pub fn request_made(&mut self, now: Millis, plan: usize, class: usize, inside: bool) {
         let worth = self.scenario.classes[class].worth * self.scenario.plans[plan].price;
         self.ends[plan].asked += 1;
-        self.asked_worth += worth;
+        self.requested_worth += worth;
         let second = self.second(now);
         second.ends.asked += 1;
         if inside {
@@ -209,21 +210,21 @@
         }
     }
 
-    /// A limiter takes a try.
+    /// A limiter has accepted a try.
     pub fn try_accepted(&mut self, now: Millis, limiter: usize) {
         self.second(now).taken[limiter] += 1.0;
     }
 
-    /// A try is sent on for the first time.
+    /// A limiter has sent the first attempt of a try. `inside` is set if the try was inside the quota.
     pub fn try_sent_on(&mut self, plan: usize, class: usize, inside: bool) {
         self.tries_sent += 1;
         if !inside {
             let p = &self.scenario.plans[plan];
-            self.over_cost += p.over_cost * p.price * self.scenario.classes[class].worth;
+            self.over_quota_cost += p.over_cost * p.price * self.scenario.classes[class].worth;
         }
     }
 
-    /// A message goes to a limiter.
+    /// A limiter has sent a message. `arrives` is false if the network loses it.
     pub fn message_sent(&mut self, now: Millis, bytes: usize, arrives: bool) {
         self.messages[0] += 1;
         self.messages[1] += u64::from(!arrives);
@@ -231,46 +232,48 @@
         self.second(now).messages += 1;
     }
 
-    /// A request is over for its client; `inside`: the try that was sent on was inside the quota.
+    /// A request is finished for its client. `inside` is set if a try that was sent on was inside the quota.
     pub fn finished(&mut self, now: Millis, plan: usize, last: &Try, outcome: ClientOutcome, inside: bool) {
         let class = &self.scenario.classes[last.class];
         let worth = class.worth * self.scenario.plans[plan].price;
-        let took = now - last.asked;
-        let in_time = took <= class.aim_s * 1000.0;
-        let count = |ends: &mut OutcomeCounts| match outcome {
+        let elapsed_ms = now - last.asked;
+        let in_time = elapsed_ms <= class.aim_s * 1000.0;
+        let add_outcome = |ends: &mut OutcomeCounts| match outcome {
             ClientOutcome::Served if in_time => ends.in_time += 1,
             ClientOutcome::Served => ends.late += 1,
             ClientOutcome::Refused => ends.refused += 1,
             ClientOutcome::Failed => ends.failed += 1,
             ClientOutcome::Disconnected => ends.left += 1,
         };
-        count(&mut self.ends[plan]);
-        count(&mut self.second(now).ends);
+        add_outcome(&mut self.ends[plan]);
+        add_outcome(&mut self.second(now).ends);
         if outcome == ClientOutcome::Served {
-            let us = (took * 1000.0).round() as u64;
-            let _ = self.latencies[plan].record(us.clamp(1, LONGEST_US));
-            self.now_ms.push(took);
+            let us = (elapsed_ms * 1000.0).round() as u64;
+            let _ = self.latencies[plan].record(us.clamp(1, MAX_LATENCY_US));
+            self.second_latencies_ms.push(elapsed_ms);
             if in_time && inside {
                 self.second(last.asked).worth[plan][1] += worth;
             }
         } else if !in_time {
-            self.late_fails += worth;
+            self.late_failure_worth += worth;
         }
     }
 
-    /// A second is over: what the nodes did in it.
+    /// A second has ended, in which the servers were busy and held requests as given.
     pub fn tick(&mut self, end: Millis, busy: Vec<f32>, held: Vec<f32>) {
-        let mut now_ms = std::mem::take(&mut self.now_ms);
-        now_ms.sort_by(f64::total_cmp);
+        let mut latencies = std::mem::take(&mut self.second_latencies_ms);
+        latencies.sort_by(f64::total_cmp);
         let at = |q: f64| {
-            now_ms.get(((now_ms.len() as f64 * q) as usize).min(now_ms.len().saturating_sub(1))).copied()
+            latencies
+                .get(((latencies.len() as f64 * q) as usize).min(latencies.len().saturating_sub(1)))
+                .copied()
         };
         let quantiles = [at(0.5).unwrap_or(0.0), at(0.99).unwrap_or(0.0)];
         let second = self.second(end - 1.0);
         (second.busy, second.held, second.latency_ms) = (busy, held, quantiles);
     }
 
-    /// What it all came to.
+    /// Returns the figures of the run and of each second.
     pub fn finish(
         self,
         seed: u64,
@@ -286,7 +289,7 @@
         let service = |seconds: &[Second]| {
             let (asked, served) =
                 (0..plans).map(|p| capped(seconds, p)).fold((0.0, 0.0), |s, c| (s.0 + c.0, s.1 + c.1));
-            (asked, over(served, asked))
+            (asked, ratio(served, asked))
         };
         let (asked, whole) = service(&self.seconds);
         let busy = (self.scenario.seconds.ceil() as usize).min(self.seconds.len());
@@ -298,7 +301,7 @@
                 let at = |q| self.latencies[p].value_at_quantile(q) as f64 / 1000.0;
                 PlanFigures {
                     plan: self.scenario.plans[p].name.clone(),
-                    service: over(served, asked),
+                    service: ratio(served, asked),
                     ends: self.ends[p],
                     latency_ms: [at(0.5), at(0.9), at(0.99), at(0.999)],
                 }
@@ -317,10 +320,14 @@
         let requests = ends.asked.max(1) as f64;
         let work = self.scenario.mean(|c| c.work_ms) * requests;
         let deductions = [
-            100.0 * if asked > 0.0 { self.over_cost / asked } else { 0.0 },
-            5.0 * if self.asked_worth > 0.0 { self.late_fails / self.asked_worth } else { 0.0 },
+            100.0 * if asked > 0.0 { self.over_quota_cost / asked } else { 0.0 },
+            5.0 * if self.requested_worth > 0.0 {
+                self.late_failure_worth / self.requested_worth
+            } else {
+                0.0
+            },
             3.0 * ((self.completed_work_ms - self.useful_work_ms).max(0.0) / work),
-            2.0 * (self.message_bytes as f64 / FULL_MESSAGE / requests),
+            2.0 * (self.message_bytes as f64 / FULL_MESSAGE_BYTES / requests),
             0.5 * (self.cross_zone_attempts as f64 / requests),
         ];
         let weighted = 0.65 * whole + 0.20 * worst_10s + 0.15 * worst_plan;
@@ -336,7 +343,7 @@
             ends,
             plans: by_plan,
             attempts: self.attempts,
-            attempts_a_try: over(self.attempts as f64, self.tries_sent as f64),
+            attempts_a_try: ratio(self.attempts as f64, self.tries_sent as f64),
             messages: self.messages,
             message_bytes: self.message_bytes,
             wasted: if self.completed_work_ms > 0.0 {
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -1,7 +1,7 @@
-//! The oracle: sees every send, outcome and answer of all limiters, and holds them against the five rules of the brief.
+//! The oracle, which checks every attempt, outcome and answer of all limiters against the five rules.
 //!
-//! It keeps its own books (stores of units, attempts out, what limiters were told) and asks the limiters nothing, so
-//! that a fault of theirs cannot hide in figures of theirs.
+//! It keeps its own records (token buckets, outstanding attempts, notices that limiters received) and never queries the
+//! limiters, so that a fault of a limiter cannot hide in that limiter's own figures.
 
 use fawnhill::{Millis, Outcome};
 use marldeal_engine::Answer;
@@ -11,34 +11,34 @@
 use crate::clients::ANSWER_SLACK_MS;
 use crate::scenario::{Repeats, Scenario};
 
-/// The five rules, as the brief numbers them.
+/// The five rules, in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// One final answer for every request taken, in time.
+    /// Every accepted request gets one final answer in time.
     Answer,
-    /// No effect twice, never two attempts out.
+    /// No request takes effect twice or has two outstanding attempts.
     Effect,
-    /// Nothing new to a node later than 1 s after the notice.
+    /// A server gets no new requests later than 1 s after the notice that it drains or was removed.
     Drain,
-    /// No cold node pushed over.
+    /// No cold server is overloaded until it fails.
     Cold,
-    /// No ceiling passed.
+    /// No customer exceeds its ceiling.
     Ceiling,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When, in seconds of the scenario.
+    /// When it happened, in seconds of the scenario.
     pub at_s: f64,
-    /// What happened.
+    /// Description of the violation.
     pub what: String,
 }
 
-/// A store of units that starts full, fills at a rate and holds so much at most.
+/// A token bucket that starts full. The rate per second and the capacity are arguments of each call.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     level: f64,
@@ -46,26 +46,26 @@
 }
 
 impl TokenBucket {
-    /// A store that is full.
+    /// Creates a bucket that holds `level` tokens.
     pub fn full(now: Millis, level: f64) -> TokenBucket {
         TokenBucket { level, at: now }
     }
 
-    fn filled(&self, now: Millis, rate: f64, most: f64) -> f64 {
-        (self.level + rate * (now - self.at).max(0.0) / 1000.0).min(most)
+    fn level_at(&self, now: Millis, rate: f64, capacity: f64) -> f64 {
+        (self.level + rate * (now - self.at).max(0.0) / 1000.0).min(capacity)
     }
 
-    /// Takes units if it holds them.
-    pub fn take(&mut self, now: Millis, rate: f64, most: f64, units: f64) -> bool {
-        let level = self.filled(now, rate, most);
-        let holds = level + 1e-9 >= units;
-        *self = TokenBucket { level: level - if holds { units } else { 0.0 }, at: now };
-        holds
+    /// Takes tokens if the bucket holds enough. Returns whether it does.
+    pub fn take(&mut self, now: Millis, rate: f64, capacity: f64, units: f64) -> bool {
+        let level = self.level_at(now, rate, capacity);
+        let sufficient = level + 1e-9 >= units;
+        *self = TokenBucket { level: level - if sufficient { units } else { 0.0 }, at: now };
+        sufficient
     }
 
-    /// Takes units whether it holds them or not; what is left.
-    pub fn draw(&mut self, now: Millis, rate: f64, most: f64, units: f64) -> f64 {
-        *self = TokenBucket { level: self.filled(now, rate, most) - units, at: now };
+    /// Takes tokens whether or not the bucket holds enough, and returns the balance, which may be negative.
+    pub fn withdraw(&mut self, now: Millis, rate: f64, capacity: f64, units: f64) -> f64 {
+        *self = TokenBucket { level: self.level_at(now, rate, capacity) - units, at: now };
         self.level
     }
 }
@@ -78,21 +78,21 @@
 }
 
 #[derive(Debug, Clone)]
-struct Open {
+struct OpenTry {
     class: usize,
     customer: usize,
     limiter: usize,
     deadline: Millis,
     sent: bool,
-    out: u32,
-    /// Since when an attempt of it may have run.
+    outstanding: u32,
+    /// When the first attempt was sent that may have run.
     may_have_run: Option<Millis>,
     answered: bool,
-    /// Its limiter stood still: its deadline binds nobody.
+    /// The deadline is not checked, because the limiter was stalled or the client disconnected.
     excused: bool,
 }
 
-/// What nodes have done with a key.
+/// What servers have done with a request.
 #[derive(Debug, Clone, Copy)]
 struct Effect {
     first: Millis,
@@ -100,49 +100,49 @@
     ran: bool,
 }
 
-/// Most broken rules that are written down.
-const MOST: usize = 100;
-/// Rule 1.1 of the brief: grace after the notice.
+/// Maximum number of violations that are recorded; all are counted.
+const MAX_RECORDED_VIOLATIONS: usize = 100;
+/// Rule 1.1: time after a notice during which requests may still be sent.
 const DRAIN_GRACE_MS: Millis = 1000.0;
-/// How much later an oracle on sockets may see what a limiter did.
+/// Maximum delay with which an oracle at the servers' sockets observes what a limiter did.
 pub const OBSERVATION_DELAY_MS: Millis = 150.0;
-/// Share of the pushes by limiters who were told of the start, from which a fall is theirs.
-const TOLD_SHARE: f64 = 2.0 / 3.0;
+/// Share of the work from limiters that had been notified of a server's start, from which they are blamed for its failure.
+const BLAMED_SHARE: f64 = 2.0 / 3.0;
 
-/// See the module's head.
+/// Checks the five rules; see the module documentation.
 pub struct Oracle {
     scenario: Scenario,
     from: Millis,
     customers: Vec<Customer>,
-    tries: FxHashMap<u64, Open>,
+    tries: FxHashMap<u64, OpenTry>,
     effects: FxHashMap<u64, Effect>,
-    /// By limiter and node: since when it is told that the node takes nothing new.
-    told: Vec<Vec<Option<Millis>>>,
-    broken: Vec<Violation>,
-    count: u64,
-    /// Attempts are seen where they arrive, a little late and not always in their order.
+    /// By limiter and server, when the limiter was notified that the server accepts no new requests.
+    not_accepting_since: Vec<Vec<Option<Millis>>>,
+    violations: Vec<Violation>,
+    violation_count: u64,
+    /// Attempts are observed at the servers, with a small delay and not always in order.
     delayed_observation: bool,
 }
 
 impl Oracle {
-    /// An oracle over a scenario that begins at `from`.
+    /// Creates the oracle of a scenario that begins at `from`.
     pub fn new(scenario: &Scenario, from: Millis) -> Oracle {
-        let nodes = scenario.nodes.count as usize;
+        let server_count = scenario.nodes.count as usize;
         Oracle {
             from,
             customers: Vec::new(),
             tries: FxHashMap::default(),
             effects: FxHashMap::default(),
-            told: vec![vec![None; nodes]; scenario.limiters.count as usize],
-            broken: Vec::new(),
-            count: 0,
+            not_accepting_since: vec![vec![None; server_count]; scenario.limiters.count as usize],
+            violations: Vec::new(),
+            violation_count: 0,
             delayed_observation: false,
             scenario: scenario.clone(),
         }
     }
 
-    /// An oracle that sees attempts when they arrive at nodes: its clock is wider by [`OBSERVATION_DELAY_MS`], and it does not judge
-    /// whether one attempt was over before the next began.
+    /// Creates an oracle that observes attempts when they arrive at servers. It allows [`OBSERVATION_DELAY_MS`] more for each
+    /// time limit, and does not check whether an attempt had ended before the next began.
     pub fn with_delayed_observation(scenario: &Scenario, from: Millis) -> Oracle {
         Oracle { delayed_observation: true, ..Oracle::new(scenario, from) }
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The next customer, in the order of their numbers, is on that plan; its stores are full.
+    /// Adds the next customer, in the order of their indices, with a plan and full token buckets.
     pub fn add_customer(&mut self, now: Millis, plan: usize) {
         let quota = TokenBucket::full(now, self.scenario.quota(plan).1);
         let ceiling = TokenBucket::full(now, self.ceiling(plan).1);
@@ -163,35 +163,35 @@
     }
 
     fn ceiling(&self, plan: usize) -> (f64, f64, f64) {
-        let p = &self.scenario.plans[plan];
+        let plan_settings = &self.scenario.plans[plan];
         let largest = self.scenario.largest_request_units();
-        let burst = p.ceiling * p.rate * p.burst_s;
-        (p.ceiling * p.rate, burst.max(largest), (0.1 * burst).max(largest))
+        let burst = plan_settings.ceiling * plan_settings.rate * plan_settings.burst_s;
+        (plan_settings.ceiling * plan_settings.rate, burst.max(largest), (0.1 * burst).max(largest))
     }
 
-    fn breaks(&mut self, rule: Rule, now: Millis, what: String) {
-        self.count += 1;
-        if self.broken.len() < MOST {
-            self.broken.push(Violation { rule, at_s: (now - self.from) / 1000.0, what });
+    fn add_violation(&mut self, rule: Rule, now: Millis, what: String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_RECORDED_VIOLATIONS {
+            self.violations.push(Violation { rule, at_s: (now - self.from) / 1000.0, what });
         }
     }
 
-    /// Somebody else has seen that a rule was broken.
+    /// Records a violation that was detected elsewhere.
     pub fn record_violation(&mut self, rule: Rule, now: Millis, what: String) {
-        self.breaks(rule, now, what);
+        self.add_violation(rule, now, what);
     }
 
-    /// What was broken so far, the first ones.
+    /// The recorded violations, the first ones.
     pub fn violations(&self) -> &[Violation] {
-        &self.broken
+        &self.violations
     }
 
-    /// How often a rule was broken.
+    /// Number of all violations.
     pub fn violation_count(&self) -> u64 {
-        self.count
+        self.violation_count
     }
 
-    /// A limiter has taken a try.
+    /// A limiter has accepted a try.
     pub fn try_accepted(
         &mut self,
         try_id: u64,
@@ -200,13 +200,13 @@
         limiter: usize,
         deadline: Millis,
     ) {
-        let open = Open {
+        let open = OpenTry {
             class,
             customer,
             limiter,
             deadline,
             sent: false,
-            out: 0,
+            outstanding: 0,
             may_have_run: None,
             answered: false,
             excused: false,
@@ -214,119 +214,129 @@
         self.tries.insert(try_id, open);
     }
 
-    /// An attempt goes out; true if the try's units were inside the quota, nothing for a further attempt.
-    pub fn attempt_sent(&mut self, now: Millis, try_id: u64, node: usize) -> Option<bool> {
+    /// A limiter has sent an attempt. For the first attempt of a try, returns whether its units were inside the quota.
+    pub fn attempt_sent(&mut self, now: Millis, try_id: u64, server: usize) -> Option<bool> {
         if self.delayed_observation && !self.tries.contains_key(&try_id) {
             return None;
         }
         let Some(open) = self.tries.get_mut(&try_id) else {
-            self.breaks(Rule::Answer, now, format!("try {try_id}: sent on though it is over"));
+            self.add_violation(Rule::Answer, now, format!("try {try_id}: sent on although it is finished"));
             return None;
         };
         let (limiter, customer, class) = (open.limiter, open.customer, open.class);
         let excused = open.excused || self.delayed_observation;
-        let (answered, beside, since) = (open.answered && !excused, open.out > 0, open.may_have_run);
+        let (answered, another_outstanding, since) =
+            (open.answered && !excused, open.outstanding > 0, open.may_have_run);
         let first = !std::mem::replace(&mut open.sent, true);
-        open.out += 1;
+        open.outstanding += 1;
         if answered {
-            self.breaks(
+            self.add_violation(
                 Rule::Answer,
                 now,
                 format!("limiter {limiter}, try {try_id}: sent on after its answer"),
             );
         }
-        if beside && !self.delayed_observation {
-            self.breaks(
+        if another_outstanding && !self.delayed_observation {
+            self.add_violation(
                 Rule::Effect,
                 now,
-                format!("limiter {limiter}, try {try_id}: two attempts out at once"),
+                format!("limiter {limiter}, try {try_id}: two outstanding attempts"),
             );
         }
-        let kind = &self.scenario.classes[class];
-        let lapsed = since.is_some_and(|s| match kind.repeats {
+        let class_settings = &self.scenario.classes[class];
+        let unsafe_repeat = since.is_some_and(|s| match class_settings.repeats {
             Repeats::Safe => false,
-            Repeats::Keyed => now - s > kind.window_s * 1000.0,
+            Repeats::Keyed => now - s > class_settings.window_s * 1000.0,
             Repeats::Unsafe => true,
         });
-        if lapsed {
+        if unsafe_repeat {
             let what = format!(
                 "limiter {limiter}, try {try_id} of {}: sent again though it may have run",
-                kind.name
+                class_settings.name
             );
-            self.breaks(Rule::Effect, now, what);
+            self.add_violation(Rule::Effect, now, what);
         }
-        if let Some(told) =
-            self.told[limiter][node].filter(|t| now - t > DRAIN_GRACE_MS + self.observation_delay_ms())
+        if let Some(since) = self.not_accepting_since[limiter][server]
+            .filter(|t| now - t > DRAIN_GRACE_MS + self.observation_delay_ms())
         {
             let what =
-                format!("limiter {limiter}: sends to node {node} {:.0} ms after the notice", now - told);
-            self.breaks(Rule::Drain, now, what);
+                format!("limiter {limiter}: sends to server {server} {:.0} ms after the notice", now - since);
+            self.add_violation(Rule::Drain, now, what);
         }
-        first.then(|| self.draw(now, customer, class))
+        first.then(|| self.charge_customer(now, customer, class))
     }
 
-    fn draw(&mut self, now: Millis, customer: usize, class: usize) -> bool {
+    fn charge_customer(&mut self, now: Millis, customer: usize, class: usize) -> bool {
         let plan = self.customers[customer].plan as usize;
         let units = self.scenario.classes[class].units;
-        let (rate, most) = self.scenario.quota(plan);
-        let inside = self.customers[customer].quota.take(now, rate, most, units);
+        let (rate, capacity) = self.scenario.quota(plan);
+        let inside = self.customers[customer].quota.take(now, rate, capacity, units);
         if self.scenario.plans[plan].ceiling > 0.0 {
-            let (rate, most, slack) = self.ceiling(plan);
-            let left = self.customers[customer].ceiling.draw(now, rate, most, units);
-            if left < -slack - rate * self.observation_delay_ms() / 1000.0 - 1e-6 {
-                let what = format!("firm {customer}: {:.1} units past its ceiling, slack {slack:.1}", -left);
-                self.breaks(Rule::Ceiling, now, what);
+            let (rate, capacity, slack) = self.ceiling(plan);
+            let balance = self.customers[customer].ceiling.withdraw(now, rate, capacity, units);
+            if balance < -slack - rate * self.observation_delay_ms() / 1000.0 - 1e-6 {
+                let what =
+                    format!("customer {customer}: {:.1} units past its ceiling, slack {slack:.1}", -balance);
+                self.add_violation(Rule::Ceiling, now, what);
             }
         }
         inside
     }
 
-    /// An attempt's outcome has come to its limiter.
+    /// A limiter has received the outcome of an attempt.
     pub fn attempt_ended(&mut self, try_id: u64, sent: Millis, outcome: Outcome) {
         let Some(open) = self.tries.get_mut(&try_id) else { return };
-        open.out = open.out.saturating_sub(1);
+        open.outstanding = open.outstanding.saturating_sub(1);
         if !matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent) {
             open.may_have_run = Some(open.may_have_run.unwrap_or(sent));
         }
-        self.close(try_id);
+        self.remove_if_finished(try_id);
     }
 
-    /// A limiter gives its final answer. `excused`: it has stood still, and could not in time.
+    /// A limiter gives its final answer. `excused` is set if it was stalled and could not answer in time.
     pub fn try_answered(&mut self, now: Millis, try_id: u64, answer: Answer, excused: bool) {
         let Some(open) = self.tries.get_mut(&try_id) else {
             if excused {
                 return;
             }
-            return self.breaks(Rule::Answer, now, format!("try {try_id}: answered though it is over"));
+            return self.add_violation(
+                Rule::Answer,
+                now,
+                format!("try {try_id}: answered although it is finished"),
+            );
         };
         let excused = excused || open.excused;
-        let (again, late, limiter) = (open.answered && !excused, now - open.deadline, open.limiter);
+        let (repeated, late, limiter) = (open.answered && !excused, now - open.deadline, open.limiter);
         let unsafe_refused = matches!(answer, Answer::Refused { .. })
             && open.may_have_run.is_some()
             && self.scenario.classes[open.class].repeats == Repeats::Unsafe;
         open.answered = true;
-        if again {
-            self.breaks(Rule::Answer, now, format!("limiter {limiter}, try {try_id}: a second final answer"));
+        if repeated {
+            self.add_violation(
+                Rule::Answer,
+                now,
+                format!("limiter {limiter}, try {try_id}: a second final answer"),
+            );
         }
         if late > ANSWER_SLACK_MS + self.observation_delay_ms() && !excused {
-            self.breaks(
+            self.add_violation(
                 Rule::Answer,
                 now,
                 format!("limiter {limiter}, try {try_id}: answered {late:.0} ms late"),
             );
         }
         if unsafe_refused {
-            self.breaks(
+            self.add_violation(
                 Rule::Effect,
                 now,
-                format!("limiter {limiter}, try {try_id}: refused though it may have run"),
+                format!("limiter {limiter}, try {try_id}: refused although it may have run"),
             );
         }
-        self.close(try_id);
+        self.remove_if_finished(try_id);
     }
 
-    /// The client closes its connection. `excused`: its limiter was killed, or did not run in that time. What the limiter
-    /// does until it hears of that is not its fault.
+    /// The client closes its connection. `excused` is set if its limiter was killed or stalled. What the limiter does until
+    /// it receives the disconnect is not a violation.
     pub fn client_disconnected(&mut self, now: Millis, try_id: u64, excused: bool) {
         let observation_delay_ms = self.observation_delay_ms();
         let Some(open) = self.tries.get_mut(&try_id) else { return };
@@ -334,7 +344,7 @@
         let overdue = !open.answered && !excused && late >= ANSWER_SLACK_MS + observation_delay_ms - 1.0;
         open.excused = true;
         if overdue {
-            self.breaks(
+            self.add_violation(
                 Rule::Answer,
                 now,
                 format!("limiter {limiter}, try {try_id}: no answer before its deadline"),
@@ -342,51 +352,52 @@
         }
     }
 
-    /// The limiter hears that the client is gone.
+    /// The limiter has received the disconnect of the client.
     pub fn disconnect_received(&mut self, try_id: u64) {
         let Some(open) = self.tries.get_mut(&try_id) else { return };
         (open.answered, open.excused) = (true, false);
-        self.close(try_id);
+        self.remove_if_finished(try_id);
     }
 
-    fn close(&mut self, try_id: u64) {
-        if self.tries.get(&try_id).is_some_and(|o| o.answered && o.out == 0) {
+    fn remove_if_finished(&mut self, try_id: u64) {
+        if self.tries.get(&try_id).is_some_and(|o| o.answered && o.outstanding == 0) {
             self.tries.remove(&try_id);
         }
     }
 
-    /// A limiter has died: what it held is the clients' to ask again.
+    /// A limiter has exited; its clients have to retry the requests that it held.
     pub fn limiter_exited(&mut self, limiter: usize) {
         self.tries.retain(|_, open| open.limiter != limiter);
     }
 
-    /// A limiter is told whether a node takes new work.
-    pub fn server_notice(&mut self, now: Millis, limiter: usize, node: usize, takes: bool) {
-        let told = &mut self.told[limiter][node];
-        *told = if takes { None } else { told.or(Some(now)) };
+    /// A limiter is notified whether a server accepts new requests.
+    pub fn server_notice(&mut self, now: Millis, limiter: usize, server: usize, accepting: bool) {
+        let since = &mut self.not_accepting_since[limiter][server];
+        *since = if accepting { None } else { since.or(Some(now)) };
     }
 
-    /// A node has fallen over.
-    pub fn server_overloaded(&mut self, now: Millis, node: usize, notified_share: f64) {
-        if notified_share >= TOLD_SHARE {
+    /// A cold server has failed from overload.
+    pub fn server_overloaded(&mut self, now: Millis, server: usize, notified_share: f64) {
+        if notified_share >= BLAMED_SHARE {
             let what = format!(
-                "node {node}: pushed over while cold, {:.0}% by limiters who knew",
+                "server {server}: pushed over while cold, {:.0}% by limiters notified of its start",
                 notified_share * 100.0
             );
-            self.breaks(Rule::Cold, now, what);
+            self.add_violation(Rule::Cold, now, what);
         }
     }
 
-    /// A request reaches a node: true if the node drops it as the repeat of one that it, or another, has or had.
+    /// A request has reached a server. Returns true if the server drops it as a repeat of a request that some server holds or
+    /// has completed.
     pub fn attempt_arrived(&mut self, now: Millis, job: u64, class: usize) -> bool {
-        let kind = &self.scenario.classes[class];
-        if kind.repeats == Repeats::Safe {
+        let class_settings = &self.scenario.classes[class];
+        if class_settings.repeats == Repeats::Safe {
             return false;
         }
-        let window = kind.window_s * 1000.0;
+        let window = class_settings.window_s * 1000.0;
         let effect = self.effects.entry(job).or_insert(Effect { first: now, held: 0, ran: false });
         let known = effect.ran || effect.held > 0;
-        let repeat = kind.repeats == Repeats::Keyed && known && now - effect.first <= window;
+        let repeat = class_settings.repeats == Repeats::Keyed && known && now - effect.first <= window;
         if !known {
             effect.first = now;
         }
@@ -394,22 +405,22 @@
         repeat
     }
 
-    /// A node has done a request, or has let go of one (`ran` is false then).
+    /// A server has completed a request, or has dropped it (`ran` is false then).
     pub fn attempt_left_server(&mut self, now: Millis, job: u64, repeat: bool, ran: bool) {
         let Some(effect) = self.effects.get_mut(&job) else { return };
         effect.held = effect.held.saturating_sub(1);
         let twice = ran && !repeat && effect.ran;
-        // The repeat itself takes no effect: the one that it repeats does.
+        // A dropped repeat has no effect of its own.
         effect.ran |= ran && !repeat;
         if !effect.ran && effect.held == 0 {
             self.effects.remove(&job);
         }
         if twice {
-            self.breaks(Rule::Effect, now, format!("request {job}: has taken effect twice"));
+            self.add_violation(Rule::Effect, now, format!("request {job}: has taken effect twice"));
         }
     }
 
-    /// Forgets effects that are too old to matter.
+    /// Removes records of effects that no repeat can refer to any more.
     pub fn expire_effects(&mut self, now: Millis) {
         let window =
             self.scenario.classes.iter().map(|c| c.window_s.max(c.give_up_s)).fold(0.0, f64::max) * 2000.0;
