--- a/crates/rehearsal/src/library.rs
+++ b/crates/rehearsal/src/library.rs
@@ -1,8 +1,8 @@
-//! The scenarios that come with the program, each with a drill in `docs/operate/rehearsal.md`.
+//! The built-in scenarios. `docs/operate/rehearsal.md` describes a drill for each.
 
 use crate::scenario::Scenario;
 
-/// Name of each scenario, and its file.
+/// Name and TOML text of each scenario.
 pub const ALL: &[(&str, &str)] = &[
     ("quiet-day", include_str!("../scenarios/quiet-day.toml")),
     ("reopening-day", include_str!("../scenarios/reopening-day.toml")),
@@ -23,7 +23,7 @@
     ("half-behind-proxies", include_str!("../scenarios/half-behind-proxies.toml")),
 ];
 
-/// The scenario of that name; nothing if there is none.
+/// Returns the scenario with the given name, if there is one.
 pub fn find(name: &str) -> Option<Scenario> {
     let (_, text) = ALL.iter().find(|(known, _)| *known == name)?;
     Scenario::read(text).ok()
@@ -34,10 +34,10 @@
     use super::*;
 
     #[test]
-    fn each_is_good_and_comes_back_as_it_was_written() {
+    fn each_scenario_is_valid_and_survives_a_round_trip() {
         for (name, text) in ALL {
-            let scenario = Scenario::read(text).unwrap_or_else(|wrong| panic!("{name}: {wrong:?}"));
-            assert!(!scenario.about.is_empty(), "{name} says what to look at");
+            let scenario = Scenario::read(text).unwrap_or_else(|errors| panic!("{name}: {errors:?}"));
+            assert!(!scenario.about.is_empty(), "{name} has no description");
             assert_eq!(Scenario::read(&scenario.write()), Ok(scenario), "{name}");
         }
     }
--- a/crates/rehearsal/src/planner.rs
+++ b/crates/rehearsal/src/planner.rs
@@ -1,51 +1,53 @@
-//! How much a service needs: the fewest nodes with which a scenario keeps a wanted service under every seed.
+//! Capacity planning: finds the smallest number of servers with which a scenario reaches a score under every seed.
 //!
-//! The fleet's demand stays what the scenario makes it, and only the number of nodes changes. Service rises with nodes but
-//! for chance, so the least number is found by bisection and then checked: the one below it must miss the goal.
+//! The demand stays as the scenario defines it; only the number of servers changes. Apart from chance, the score
+//! rises with the number of servers, so the number is found by bisection. The next lower number, if it is within the
+//! bounds, has been evaluated too and misses the goal.
 
 use serde::{Deserialize, Serialize};
 
 use crate::scenario::Scenario;
 use crate::trials;
 
-/// What is wanted.
+/// Goal of a plan.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Goal {
-    /// Least service (`whole`, `worst_10s` and `worst_plan` are each held against it with their weights: the score).
+    /// Minimum score: the weighted mean of the figures `whole`, `worst_10s` and `worst_plan`, less deductions.
     pub score: f64,
-    /// Nodes, fewest and most that are looked at.
+    /// Smallest and largest number of servers to consider.
     pub nodes: [u32; 2],
 }
 
-/// What so many nodes came to.
+/// Result for one number of servers.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Tried {
-    /// Nodes.
+pub struct Evaluation {
+    /// Number of servers.
     pub nodes: u32,
-    /// Least score over the seeds.
+    /// Lowest score over the seeds.
     pub least: f64,
-    /// Mean score.
+    /// Mean score over the seeds.
     pub mean: f64,
-    /// No rule was broken and the goal was met under every seed.
+    /// Whether the goal was met under every seed. A run that violates a rule has score 0.
     pub good: bool,
 }
 
-/// The plan: what was tried, by number of nodes, and the least that is good.
+/// Result of planning.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// In the order of their numbers.
-    pub tried: Vec<Tried>,
-    /// The least number that meets the goal; nothing if the most does not.
+    /// Results for the numbers of servers that were evaluated, in ascending order.
+    pub tried: Vec<Evaluation>,
+    /// The smallest number of servers that meets the goal; `None` if the largest considered does not.
     pub nodes: Option<u32>,
 }
 
-/// The scenario with another number of nodes and the same demand. Troubles of nodes that are gone hit others instead.
+/// Returns the scenario with another number of servers and the same demand. Faults of servers that no longer exist
+/// affect others instead.
 pub fn with_nodes(scenario: &Scenario, nodes: u32) -> Scenario {
     let mut s = scenario.clone();
     s.clients.load = scenario.clients.load * f64::from(scenario.nodes.count) / f64::from(nodes);
     s.nodes.count = nodes;
-    for trouble in &mut s.timeline {
-        if let Some(list) = &mut trouble.nodes {
+    for fault in &mut s.timeline {
+        if let Some(list) = &mut fault.nodes {
             list.iter_mut().for_each(|n| *n %= nodes);
             list.sort_unstable();
             list.dedup();
@@ -54,46 +56,47 @@
     s
 }
 
-/// Finds the least number of nodes.
+/// Finds the smallest number of servers that meets the goal. `on_result` is called for each number that is evaluated.
 ///
 /// # Errors
-/// When the scenario cannot be played with some number of nodes: its load would be out of bounds.
+/// If the scenario is invalid with one of the numbers of servers, since its load is out of range, or cannot run.
 pub fn plan(
     scenario: &Scenario,
     seeds: &[u64],
     goal: Goal,
-    mut told: impl FnMut(Tried),
+    mut on_result: impl FnMut(Evaluation),
 ) -> Result<Plan, String> {
-    let mut tried: Vec<Tried> = Vec::new();
-    let mut judge = |nodes: u32| -> Result<bool, String> {
+    let mut tried: Vec<Evaluation> = Vec::new();
+    let mut evaluate = |nodes: u32| -> Result<bool, String> {
         if let Some(known) = tried.iter().find(|t| t.nodes == nodes) {
             return Ok(known.good);
         }
         let s = with_nodes(scenario, nodes);
-        if let Some(wrong) = s.validation_errors().first() {
-            return Err(format!("with {nodes} nodes: {wrong}"));
+        if let Some(error) = s.validation_errors().first() {
+            return Err(format!("with {nodes} servers: {error}"));
         }
         let scores: Vec<f64> = trials::play(&s, seeds, |_| {})?.iter().map(|f| f.score).collect();
-        let spread = trials::spread(&scores).ok_or("no seeds")?;
-        let this = Tried { nodes, least: spread.least, mean: spread.mean, good: spread.least >= goal.score };
-        told(this);
-        tried.push(this);
-        Ok(this.good)
+        let spread = trials::spread(&scores).ok_or("no seeds given")?;
+        let result =
+            Evaluation { nodes, least: spread.least, mean: spread.mean, good: spread.least >= goal.score };
+        on_result(result);
+        tried.push(result);
+        Ok(result.good)
     };
     let [mut low, mut high] = goal.nodes;
-    let mut found = None;
-    if judge(high)? {
-        // Between `low` and `high` lies the first that is good; `high` is.
+    let mut smallest = None;
+    if evaluate(high)? {
+        // `high` meets the goal; the smallest number that does lies between `low` and `high`.
         while low < high {
             let middle = low + (high - low) / 2;
-            if judge(middle)? {
+            if evaluate(middle)? {
                 high = middle;
             } else {
                 low = middle + 1;
             }
         }
-        found = Some(high);
+        smallest = Some(high);
     }
     tried.sort_by_key(|t| t.nodes);
-    Ok(Plan { tried, nodes: found })
+    Ok(Plan { tried, nodes: smallest })
 }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,8 +1,8 @@
-//! A run as one self-contained page: figures, the timeline, and plots with the faults marked on their axis.
+//! Report of a run as one self-contained HTML page: figures, the timeline, and plots in which the faults are marked.
 //!
-//! Nothing hangs on colour alone: lines differ in their marks, fields in their lightness, and each plot has its table or
-//! its legend in words beside it. Plots are drawn narrow and laid out in as many columns as fit, so that a telephone
-//! shows them at their size.
+//! No information depends on colour alone: lines differ in their markers, heat maps in their lightness, and each
+//! plot has a table or a legend in words. Plots are narrow and laid out in as many columns as fit, so that a phone
+//! shows them at their full size.
 
 use maud::{html, Markup, PreEscaped, DOCTYPE};
 use plotters::coord::types::RangedCoordf64;
@@ -12,23 +12,26 @@
 use crate::figures::{Figures, Second};
 use crate::scenario::{fault_name, Scenario, Trouble};
 
-const SIZE: (u32, u32) = (420, 240);
-/// Nodes or limiters that one field shows; more are put together.
-const MOST_ROWS: usize = 40;
+/// Width and height of a plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (420, 240);
+/// Maximum number of rows of a heat map; with more servers or limiters, several are averaged in one row.
+const MAX_ROWS: usize = 40;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// Share of a plot's height that is kept free above it for the marks of what went wrong.
-const HEADROOM: f64 = 0.22;
-/// The marks of lines as letters, for the legend in words.
-const SIGNS: [&str; 4] = ["\u{25cb}", "\u{2715}", "\u{25a0}", "\u{25b2}"];
+/// Space above the values for the marks of the faults, as a fraction of the height of the values.
+const HEADROOM_FRACTION: f64 = 0.22;
+/// Characters that stand for the markers of the lines in a legend.
+const MARKER_CHARS: [&str; 4] = ["\u{25cb}", "\u{2715}", "\u{25a0}", "\u{25b2}"];
 
+/// A line of a plot.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
+/// Style sheet of the pages.
 const STYLE: &str = "body{font:16px/1.45 system-ui,sans-serif;margin:0 auto;max-width:1320px;padding:12px;color:#111;\
 background:#fff}h1{font-size:1.4em;margin:.2em 0}h2{font-size:1.1em;margin:1.2em 0 .3em}table{border-collapse:collapse;\
 font-variant-numeric:tabular-nums}td,th{padding:2px 9px;border-bottom:1px solid #bbb;text-align:right}\
@@ -36,10 +39,10 @@
 grid-template-columns:repeat(auto-fit,minmax(min(100%,370px),1fr))}figure{margin:0}figcaption{font-weight:600}\
 svg{width:100%;height:auto}.bad{border-left:6px solid #900;padding-left:8px}";
 
-/// The page of a run; `note` says what has to be known of its figures, if anything.
+/// Formats the page of a run. `note` is shown above the figures if it is not empty.
 ///
 /// # Errors
-/// When a plot cannot be drawn.
+/// If a plot cannot be drawn.
 pub fn page(
     scenario: &Scenario,
     figures: &Figures,
@@ -49,13 +52,13 @@
     page_with_tables(scenario, figures, seconds, note, &[])
 }
 
-/// A table that a host adds to a page: its title, and rows of a name and a figure in words.
+/// A further table of a page: its title, and rows of a name and a formatted value.
 pub type ExtraTable = (String, Vec<(String, String)>);
 
-/// The same with further tables.
+/// Like [`page`], with further tables.
 ///
 /// # Errors
-/// When a plot cannot be drawn.
+/// If a plot cannot be drawn.
 pub fn page_with_tables(
     scenario: &Scenario,
     figures: &Figures,
@@ -63,68 +66,68 @@
     note: &str,
     extra: &[ExtraTable],
 ) -> Result<String, String> {
-    let plots = plots(scenario, seconds).map_err(|e| format!("plot: {e}"))?;
+    let plots = time_plots(scenario, seconds).map_err(|e| format!("plot: {e}"))?;
     let title = format!("{}, seed {}", scenario.name, figures.seed);
     let body = html! {
         h1 { (title) }
         p { (scenario.about) }
         @if !note.is_empty() { p { (note) } }
-        (verdict(figures))
+        (rule_summary(figures))
         h2 { "Service" }
-        div class="wide" { (service(figures)) }
+        div class="wide" { (service_table(figures)) }
         h2 { "Plans" }
-        div class="wide" { (plans(figures)) }
+        div class="wide" { (plan_table(figures)) }
         @for (title, rows) in extra {
             h2 { (title) }
             div class="wide" { table { @for (name, value) in rows { tr { td { (name) } td { (value) } } } } }
         }
         @if !scenario.timeline.is_empty() {
-            h2 { "What went wrong" }
-            p { "The numbers stand above each plot; a bar shows how long each lasted." }
-            div class="wide" { (timeline(scenario)) }
+            h2 { "Faults and load changes" }
+            p { "Each is marked by its number above the plots, with a bar for its duration." }
+            div class="wide" { (timeline_table(scenario)) }
         }
         h2 { "Over time" }
-        (columns(&plots))
+        (plot_grid(&plots))
     };
-    Ok(whole(&title, body))
+    Ok(document(&title, body))
 }
 
-fn verdict(f: &Figures) -> Markup {
+fn rule_summary(f: &Figures) -> Markup {
     if f.broken_count == 0 {
-        return html! { p { strong { "No rule broken." } " Score " (format!("{:.4}", f.score)) "." } };
+        return html! { p { strong { "No rule violated." } " Score " (format!("{:.4}", f.score)) "." } };
     }
     html! {
         div class="bad" {
-            p { strong { (f.broken_count) " times a rule was broken." } " The score is 0." }
+            p { strong { (f.broken_count) " rule violations." } " The score is 0." }
             ul { @for b in f.broken.iter().take(20) { li { (format!("{:.3} s, {:?}: {}", b.at_s, b.rule, b.what)) } } }
         }
     }
 }
 
-fn service(f: &Figures) -> Markup {
-    let [over, late, waste, mail, crossing] = f.deductions;
+fn service_table(f: &Figures) -> Markup {
+    let [over_quota, late_failures, wasted, messages, cross_zone] = f.deductions;
     let rows = [
         ("whole run", format!("{:.4}", f.whole)),
         ("worst 10 s", format!("{:.4}", f.worst_10s)),
         ("worst plan", format!("{:.4}", f.worst_plan)),
-        ("points off: sent on beyond quotas", format!("{over:.3}")),
-        ("points off: failing late", format!("{late:.3}")),
-        ("points off: wasted work", format!("{waste:.3}")),
-        ("points off: messages", format!("{mail:.3}")),
-        ("points off: crossing buildings", format!("{crossing:.3}")),
-        ("attempts a try", format!("{:.3}", f.attempts_a_try)),
-        ("messages sent, not arrived", format!("{}, {}", f.messages[0], f.messages[1])),
+        ("deduction: forwarded beyond quotas", format!("{over_quota:.3}")),
+        ("deduction: late failures", format!("{late_failures:.3}")),
+        ("deduction: wasted work", format!("{wasted:.3}")),
+        ("deduction: messages", format!("{messages:.3}")),
+        ("deduction: attempts in other buildings", format!("{cross_zone:.3}")),
+        ("attempts per try", format!("{:.3}", f.attempts_a_try)),
+        ("messages sent, not delivered", format!("{}, {}", f.messages[0], f.messages[1])),
         ("connections opened", f.connections.to_string()),
-        ("nodes fallen over", f.falls.to_string()),
+        ("server crashes", f.falls.to_string()),
     ];
     html! { table { @for (name, value) in rows { tr { td { (name) } td { (value) } } } } }
 }
 
-fn plans(f: &Figures) -> Markup {
+fn plan_table(f: &Figures) -> Markup {
     html! {
         table {
-            tr { th { "plan" } th { "service" } th { "asked" } th { "in time" } th { "late" } th { "refused" } th { "failed" }
-                th { "left" } th { "p50 ms" } th { "p99 ms" } th { "p99.9 ms" } }
+            tr { th { "plan" } th { "service" } th { "requests" } th { "in time" } th { "late" } th { "refused" } th { "failed" }
+                th { "abandoned" } th { "p50 ms" } th { "p99 ms" } th { "p99.9 ms" } }
             @for p in &f.plans {
                 tr {
                     td { (p.plan) } td { (format!("{:.4}", p.service)) } td { (p.ends.asked) } td { (p.ends.in_time) }
@@ -137,19 +140,19 @@
     }
 }
 
-fn timeline(scenario: &Scenario) -> Markup {
+fn timeline_table(scenario: &Scenario) -> Markup {
     html! {
         table {
             tr { th { "no." } th { "from s" } th { "for s" } th style="text-align:left" { "what" } }
             @for (n, t) in scenario.timeline.iter().enumerate() {
-                tr { td { (n + 1) } td { (t.at_s) } td { (t.for_s) } td style="text-align:left" { (words(t)) } }
+                tr { td { (n + 1) } td { (t.at_s) } td { (t.for_s) } td style="text-align:left" { (describe(t)) } }
             }
         }
     }
 }
 
-/// A trouble in words: its name, and the figures that it has.
-fn words(t: &Trouble) -> String {
+/// Describes an entry of the timeline: its kind and its keys.
+fn describe(t: &Trouble) -> String {
     let mut text = fault_name(t.what).replace('_', " ");
     let list = |list: &[u32]| list.iter().map(u32::to_string).collect::<Vec<_>>().join(", ");
     let mut add = |name: &str, value: Option<String>| {
@@ -159,9 +162,9 @@
     };
     let number = |v: Option<f64>| v.map(|v| v.to_string());
     add("nodes", t.nodes.as_deref().map(list));
-    add("share of the nodes", number(t.node_share));
+    add("share of nodes", number(t.node_share));
     add("limiters", t.limiters.as_deref().map(list));
-    add("share of the limiters", number(t.limiter_share));
+    add("share of limiters", number(t.limiter_share));
     add("from", t.from.as_deref().map(list));
     add("to", t.to.as_deref().map(list));
     add("groups", t.groups.as_ref().map(|g| g.iter().map(|g| list(g)).collect::<Vec<_>>().join(" | ")));
@@ -174,7 +177,7 @@
     add("firms", t.firms.map(|f| f.to_string()));
     add("times", number(t.times));
     add("share", number(t.share));
-    add("a second", number(t.per_s));
+    add("per second", number(t.per_s));
     add("exit after s", number(t.after_s));
     add("every s", number(t.every_s));
     add("length s", number(t.length_s));
@@ -182,53 +185,56 @@
     text
 }
 
-fn plots(
+fn time_plots(
     scenario: &Scenario,
     seconds: &[Second],
 ) -> Result<Vec<(String, String)>, Box<dyn std::error::Error>> {
-    let over = |values: Vec<f64>| -> Vec<(f64, f64)> {
+    let per_second = |values: Vec<f64>| -> Vec<(f64, f64)> {
         values.into_iter().enumerate().map(|(x, y)| (x as f64 + 0.5, y)).collect()
     };
-    // What follows the last arrival is an end that no plot should fall into.
-    let busy = (scenario.seconds.ceil() as usize).min(seconds.len());
-    let seconds = &seconds[..busy];
-    let of = |f: &dyn Fn(&Second) -> f64| over(seconds.iter().map(f).collect());
+    // Seconds after the last arrival are not shown, since every line falls to 0 there.
+    let count = (scenario.seconds.ceil() as usize).min(seconds.len());
+    let seconds = &seconds[..count];
+    let series = |f: &dyn Fn(&Second) -> f64| per_second(seconds.iter().map(f).collect());
     let mut drawn = Vec::new();
-    let mut lines = |caption: &str, log: bool, lines: Vec<Line>| -> Drawn {
+    let mut add_plot = |caption: &str, log: bool, lines: Vec<Line>| -> DrawResult {
         let axes = Axes { x: "s", x_log: false, y_log: log };
         let svg = draw(|area| {
             let (chart, top) = line_plot(area, &lines, axes)?;
-            marks(area, &chart, scenario, top)
+            draw_faults(area, &chart, scenario, top)
         })?;
-        drawn.push((captioned(caption, &lines), svg));
+        drawn.push((with_legend(caption, &lines), svg));
         Ok(())
     };
-    lines(
-        "Requests a second, by how they ended",
+    add_plot(
+        "Requests per second, by outcome",
         false,
         vec![
-            Line { name: "in time".into(), points: of(&|s| s.ends.in_time as f64) },
-            Line { name: "late".into(), points: of(&|s| s.ends.late as f64) },
-            Line { name: "refused".into(), points: of(&|s| s.ends.refused as f64) },
-            Line { name: "failed or left".into(), points: of(&|s| (s.ends.failed + s.ends.left) as f64) },
+            Line { name: "in time".into(), points: series(&|s| s.ends.in_time as f64) },
+            Line { name: "late".into(), points: series(&|s| s.ends.late as f64) },
+            Line { name: "refused".into(), points: series(&|s| s.ends.refused as f64) },
+            Line {
+                name: "failed or abandoned".into(),
+                points: series(&|s| (s.ends.failed + s.ends.left) as f64),
+            },
         ],
     )?;
-    lines(
-        "Time to an answer, ms",
+    add_plot(
+        "Time to the final answer, ms",
         true,
         vec![
-            Line { name: "median".into(), points: of(&|s| s.latency_ms[0].max(1.0)) },
-            Line { name: "p99".into(), points: of(&|s| s.latency_ms[1].max(1.0)) },
+            Line { name: "median".into(), points: series(&|s| s.latency_ms[0].max(1.0)) },
+            Line { name: "p99".into(), points: series(&|s| s.latency_ms[1].max(1.0)) },
         ],
     )?;
     let by_plan = (0..scenario.plans.len().min(4)).map(|p| Line {
         name: scenario.plans[p].name.clone(),
-        // Over five seconds: single ones hold few requests of a small plan.
-        points: over(
+        // Mean over five seconds, since a single second has few requests of a small plan.
+        points: per_second(
             (0..seconds.len())
                 .map(|n| {
-                    let part = &seconds[n.saturating_sub(4)..=n];
-                    let sum = |w: usize| part.iter().map(|s| s.worth[p][w]).sum::<f64>();
+                    let window = &seconds[n.saturating_sub(4)..=n];
+                    let sum = |which: usize| window.iter().map(|s| s.worth[p][which]).sum::<f64>();
                     if sum(0) > 0.0 {
                         (sum(1) / sum(0)).min(1.0)
                     } else {
@@ -238,34 +244,35 @@
                 .collect(),
         ),
     });
-    lines("Service inside the quotas by plan, over 5 s", false, by_plan.collect())?;
-    lines(
-        "Messages between limiters a second",
+    add_plot("Service within the quotas by plan, mean over 5 s", false, by_plan.collect())?;
+    add_plot(
+        "Messages between limiters per second",
         false,
-        vec![Line { name: "sent".into(), points: of(&|s| s.messages as f64) }],
+        vec![Line { name: "sent".into(), points: series(&|s| s.messages as f64) }],
     )?;
-    let field =
-        |of: fn(&Second) -> &Vec<f32>| -> Vec<Vec<f32>> { seconds.iter().map(|s| rows(of(s))).collect() };
+    let cells = |value: fn(&Second) -> &Vec<f32>| -> Vec<Vec<f32>> {
+        seconds.iter().map(|s| group_rows(value(s))).collect()
+    };
     for (caption, values) in [
-        ("Busy share of each node (darker is busier)", field(|s| &s.busy)),
-        ("Requests held by each node (darker is more)", field(|s| &s.held)),
-        ("Requests taken by each limiter (darker is more)", field(|s| &s.taken)),
+        ("Utilization of each server (darker is busier)", cells(|s| &s.busy)),
+        ("Requests at each server (darker is more)", cells(|s| &s.held)),
+        ("Requests received by each limiter (darker is more)", cells(|s| &s.taken)),
     ] {
-        drawn.push((caption.to_string(), draw(|area| field_plot(area, scenario, &values))?));
+        drawn.push((caption.to_string(), draw(|area| heat_map(area, scenario, &values))?));
     }
     Ok(drawn)
 }
 
-/// Values of many machines put together, evenly, so that no more than `MOST_ROWS` remain.
-fn rows(values: &[f32]) -> Vec<f32> {
-    let group = values.len().div_ceil(MOST_ROWS).max(1);
+/// Averages groups of neighbouring values so that no more than `MAX_ROWS` remain.
+fn group_rows(values: &[f32]) -> Vec<f32> {
+    let group = values.len().div_ceil(MAX_ROWS).max(1);
     values.chunks(group).map(|c| c.iter().sum::<f32>() / c.len() as f32).collect()
 }
 
-fn draw(plot: impl Fn(&Area) -> Drawn) -> Result<String, Box<dyn std::error::Error>> {
+fn draw(plot: impl Fn(&Area) -> DrawResult) -> Result<String, Box<dyn std::error::Error>> {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         plot(&area)?;
         area.present()?;
@@ -273,11 +280,11 @@
     Ok(svg)
 }
 
-/// Dark enough on white for any eye.
-const TONES: [RGBColor; 4] =
+/// Line colours; all have a high contrast on white.
+const COLORS: [RGBColor; 4] =
     [RGBColor(0, 60, 140), RGBColor(170, 60, 0), RGBColor(90, 90, 90), RGBColor(0, 0, 0)];
 
-/// What a plot's axes are.
+/// Axes of a plot: the unit of the horizontal one, and which are logarithmic.
 #[derive(Clone, Copy)]
 struct Axes {
     x: &'static str,
@@ -285,7 +292,8 @@
     y_log: bool,
 }
 
-fn scaled(value: f64, log: bool) -> f64 {
+/// Position of a value on an axis.
+fn axis_position(value: f64, log: bool) -> f64 {
     if log {
         value.max(1e-3).log10()
     } else {
@@ -293,36 +301,37 @@
     }
 }
 
-/// The caption with its legend in words: the mark and the name of each line.
-fn captioned(caption: &str, lines: &[Line]) -> String {
-    let name = |(n, l): (usize, &Line)| format!("{} {}", SIGNS[n % SIGNS.len()], l.name);
+/// Appends the legend to a caption: the marker and the name of each line.
+fn with_legend(caption: &str, lines: &[Line]) -> String {
+    let name = |(n, l): (usize, &Line)| format!("{} {}", MARKER_CHARS[n % MARKER_CHARS.len()], l.name);
     let legend: Vec<String> = lines.iter().enumerate().map(name).collect();
     format!("{caption}: {}", legend.join(", "))
 }
 
 type Chart<'a> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// Draws lines; the chart, and the upper end of its values.
+/// Draws lines. Returns the chart and the upper end of its values.
 fn line_plot<'a>(
     area: &Area<'a>,
     lines: &[Line],
     axes: Axes,
 ) -> Result<(Chart<'a>, f64), Box<dyn std::error::Error>> {
-    // Without two kinds of axes in one type, logarithms are taken by hand and labelled back.
-    let all = || lines.iter().flat_map(|l| &l.points);
-    let ends = |of: &dyn Fn(&(f64, f64)) -> f64, log| {
-        let least = all().map(of).fold(f64::INFINITY, f64::min);
-        let most = all().map(of).fold(f64::NEG_INFINITY, f64::max);
-        let low = if log { scaled(least, true).floor() } else { 0.0 };
-        (low, scaled(most, log).max(low + 1e-6))
+    // `plotters` has different types for linear and logarithmic axes. To use one type, logarithms are computed here
+    // and reversed in the labels.
+    let points = || lines.iter().flat_map(|l| &l.points);
+    let range = |of: &dyn Fn(&(f64, f64)) -> f64, log| {
+        let minimum = points().map(of).fold(f64::INFINITY, f64::min);
+        let maximum = points().map(of).fold(f64::NEG_INFINITY, f64::max);
+        let low = if log { axis_position(minimum, true).floor() } else { 0.0 };
+        (low, axis_position(maximum, log).max(low + 1e-6))
     };
-    let (left, right) = ends(&|p| p.0, axes.x_log);
-    let (low, most) = ends(&|p| p.1, axes.y_log);
-    let top = most + (most - low) * 0.03;
+    let (left, right) = range(&|p| p.0, axes.x_log);
+    let (low, high) = range(&|p| p.1, axes.y_log);
+    let top = high + (high - low) * 0.03;
     let mut chart = ChartBuilder::on(area);
     chart.margin(4).margin_right(10).x_label_area_size(26).y_label_area_size(46);
-    let mut chart = chart.build_cartesian_2d(left..right, low..top + (top - low) * HEADROOM)?;
-    let label = |v: &f64, log| short(if log { 10f64.powf(*v) } else { *v });
+    let mut chart = chart.build_cartesian_2d(left..right, low..top + (top - low) * HEADROOM_FRACTION)?;
+    let label = |v: &f64, log| format_number(if log { 10f64.powf(*v) } else { *v });
     chart
         .configure_mesh()
         .disable_x_mesh()
@@ -334,57 +343,58 @@
         .y_label_formatter(&|v| if *v > top { String::new() } else { label(v, axes.y_log) })
         .draw()?;
     for (n, line) in lines.iter().enumerate() {
-        let tone = TONES[n % TONES.len()];
-        let at = |p: &(f64, f64)| (scaled(p.0, axes.x_log), scaled(p.1, axes.y_log));
+        let color = COLORS[n % COLORS.len()];
+        let at = |p: &(f64, f64)| (axis_position(p.0, axes.x_log), axis_position(p.1, axes.y_log));
         let points: Vec<(f64, f64)> = line.points.iter().map(at).collect();
-        chart.draw_series(LineSeries::new(points.clone(), tone.stroke_width(1 + (n as u32 + 1) % 2)))?;
-        let every = (points.len() / 12).max(1);
-        let marked = points.iter().skip(n * every / 4).step_by(every);
-        chart.draw_series(marked.map(|p| EmptyElement::at(*p) + mark(n, (0, 0), tone)))?;
+        chart.draw_series(LineSeries::new(points.clone(), color.stroke_width(1 + (n as u32 + 1) % 2)))?;
+        let interval = (points.len() / 12).max(1);
+        let marked = points.iter().skip(n * interval / 4).step_by(interval);
+        chart.draw_series(marked.map(|p| EmptyElement::at(*p) + marker(n, (0, 0), color)))?;
     }
     Ok((chart, top))
 }
 
-/// Marks that differ in shape: a ring, a cross, a filled square, a triangle.
-fn mark<'b>(n: usize, at: (i32, i32), tone: RGBColor) -> DynElement<'static, SVGBackend<'b>, (i32, i32)> {
+/// Markers that differ in shape: a ring, a cross, a filled square, a triangle.
+fn marker<'b>(n: usize, at: (i32, i32), color: RGBColor) -> DynElement<'static, SVGBackend<'b>, (i32, i32)> {
     match n % 4 {
-        0 => Circle::new(at, 3, tone.stroke_width(1)).into_dyn(),
-        1 => Cross::new(at, 3, tone.stroke_width(2)).into_dyn(),
-        2 => Rectangle::new([(at.0 - 3, at.1 - 3), (at.0 + 3, at.1 + 3)], tone.filled()).into_dyn(),
-        _ => TriangleMarker::new(at, 4, tone.filled()).into_dyn(),
+        0 => Circle::new(at, 3, color.stroke_width(1)).into_dyn(),
+        1 => Cross::new(at, 3, color.stroke_width(2)).into_dyn(),
+        2 => Rectangle::new([(at.0 - 3, at.1 - 3), (at.0 + 3, at.1 + 3)], color.filled()).into_dyn(),
+        _ => TriangleMarker::new(at, 4, color.filled()).into_dyn(),
     }
 }
 
-fn field_plot(area: &Area<'_>, scenario: &Scenario, values: &[Vec<f32>]) -> Drawn {
+/// Draws a heat map: a column for each second, a row for each machine or group of machines.
+fn heat_map(area: &Area<'_>, scenario: &Scenario, values: &[Vec<f32>]) -> DrawResult {
     let (length, rows) =
         (values.len().max(2) as f64, values.iter().map(Vec::len).max().unwrap_or(1).max(1) as f64);
-    let most = values.iter().flatten().copied().fold(1e-9_f32, f32::max);
+    let maximum = values.iter().flatten().copied().fold(1e-9_f32, f32::max);
     let mut chart = ChartBuilder::on(area);
     chart.margin(4).margin_right(10).x_label_area_size(26).y_label_area_size(46);
-    let mut chart = chart.build_cartesian_2d(0.0..length, 0.0..rows * (1.0 + HEADROOM))?;
+    let mut chart = chart.build_cartesian_2d(0.0..length, 0.0..rows * (1.0 + HEADROOM_FRACTION))?;
     let number = |v: &f64| if v.fract() == 0.0 && *v < rows { format!("{v:.0}") } else { String::new() };
     chart
         .configure_mesh()
         .disable_mesh()
         .x_desc("s")
-        .y_desc(format!("number (darkest: {})", short(f64::from(most))))
+        .y_desc(format!("number (darkest: {})", format_number(f64::from(maximum))))
         .x_labels(7)
-        .x_label_formatter(&|v| short(*v))
+        .x_label_formatter(&|v| format_number(*v))
         .y_label_formatter(&number)
         .draw()?;
-    let cells = values.iter().enumerate().flat_map(|(x, column)| {
+    let rectangles = values.iter().enumerate().flat_map(|(x, column)| {
         column.iter().enumerate().map(move |(y, value)| {
-            let light = 255 - (f64::from(value / most) * 235.0) as u8;
+            let lightness = 255 - (f64::from(value / maximum) * 235.0) as u8;
             let corners = [(x as f64, y as f64), (x as f64 + 1.0, y as f64 + 1.0)];
-            Rectangle::new(corners, RGBColor(light, light, light).filled())
+            Rectangle::new(corners, RGBColor(lightness, lightness, lightness).filled())
         })
     });
-    chart.draw_series(cells)?;
-    marks(area, &chart, scenario, rows)
+    chart.draw_series(rectangles)?;
+    draw_faults(area, &chart, scenario, rows)
 }
 
-/// The troubles, numbered, as bars above the values.
-fn marks(area: &Area<'_>, chart: &Chart<'_>, scenario: &Scenario, top: f64) -> Drawn {
+/// Marks the entries of the timeline above the values: a number and a bar for each.
+fn draw_faults(area: &Area<'_>, chart: &Chart<'_>, scenario: &Scenario, top: f64) -> DrawResult {
     let (length, values) =
         (chart.as_coord_spec().x_spec().range().end, chart.as_coord_spec().y_spec().range());
     let ((_, upper), (_, edge)) = (chart.backend_coord(&(0.0, values.end)), chart.backend_coord(&(0.0, top)));
@@ -400,7 +410,7 @@
     Ok(())
 }
 
-fn short(v: f64) -> String {
+fn format_number(v: f64) -> String {
     match v.abs() {
         a if a >= 1e6 => format!("{:.0}M", v / 1e6),
         a if a >= 10_000.0 => format!("{:.0}k", v / 1000.0),
@@ -409,19 +419,20 @@
     }
 }
 
-/// What one size of tier came to, for [`growth`].
+/// Figures of a tier of one size, for [`growth`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Size {
-    /// Limiters.
+    /// Number of limiters.
     pub limiters: u32,
-    /// Named figures, the same ones in each.
+    /// Figures by name, the same names in the same order for each size.
     pub figures: Vec<(&'static str, f64)>,
 }
 
-/// The page of growing tiers: a table, and each figure against the number of limiters, on logarithmic axes.
+/// Formats the page of tiers of different sizes: a table, and a plot of each figure against the number of limiters,
+/// on logarithmic axes.
 ///
 /// # Errors
-/// When a plot cannot be drawn.
+/// If a plot cannot be drawn.
 pub fn growth(title: &str, sizes: &[Size]) -> Result<String, String> {
     let names: Vec<&'static str> =
         sizes.first().map(|s| s.figures.iter().map(|f| f.0).collect()).unwrap_or_default();
@@ -442,25 +453,25 @@
                 @for s in sizes { tr { td { (s.limiters) } @for (_, v) in &s.figures { td { (format!("{v:.4}")) } } } }
             }
         }
-        (columns(&plots))
+        (plot_grid(&plots))
     };
-    Ok(whole(title, body))
+    Ok(document(title, body))
 }
 
-/// A resource's name, what was measured of it by limiters, and its bound.
-pub type Bounded = (String, Vec<(f64, f64)>, f64);
+/// Name of a resource, its measured use by number of limiters, and its bound.
+pub type BoundedCurve = (String, Vec<(f64, f64)>, f64);
 
-/// A page of curves along the number of limiters, each with its bound beside it.
+/// Formats a page of curves against the number of limiters, each with its bound.
 ///
 /// # Errors
-/// When a plot cannot be drawn.
-pub fn bounds(title: &str, curves: &[Bounded]) -> Result<String, String> {
+/// If a plot cannot be drawn.
+pub fn bounds(title: &str, curves: &[BoundedCurve]) -> Result<String, String> {
     let mut plots = Vec::new();
     for (name, points, bound) in curves {
-        let ends = [points.first(), points.last()].into_iter().flatten();
+        let endpoints = [points.first(), points.last()].into_iter().flatten();
         let lines = [
             Line { name: "measured".to_string(), points: points.clone() },
-            Line { name: format!("bound, {bound}"), points: ends.map(|p| (p.0, *bound)).collect() },
+            Line { name: format!("bound, {bound}"), points: endpoints.map(|p| (p.0, *bound)).collect() },
         ];
         let axes = Axes { x: "limiters", x_log: true, y_log: false };
         let svg = draw(|area| line_plot(area, &lines, axes).map(drop)).map_err(|e| format!("plot: {e}"))?;
@@ -477,16 +488,16 @@
                 }
             }
         }
-        (columns(&plots))
+        (plot_grid(&plots))
     };
-    Ok(whole(title, body))
+    Ok(document(title, body))
 }
 
-fn columns(plots: &[(String, String)]) -> Markup {
+fn plot_grid(plots: &[(String, String)]) -> Markup {
     html! { div class="plots" { @for (caption, svg) in plots { figure { figcaption { (caption) } (PreEscaped(svg)) } } } }
 }
 
-fn whole(title: &str, body: Markup) -> String {
+fn document(title: &str, body: Markup) -> String {
     let page = html! {
         (DOCTYPE)
         html lang="en" {
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -1,80 +1,86 @@
-//! Scenarios read and checked: every mistake is named with its key.
+//! Reading and validation of scenarios. Each error names its key.
 
 use super::*;
 
-/// One thing that is wrong in a scenario: its key, and what was expected.
+/// An error in a scenario: its key, and what is expected there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wrong {
-    /// The key, with dots between tables.
+pub struct ScenarioError {
+    /// Path of the key, with dots between tables; empty for a syntax error.
     pub key: String,
-    /// What was expected.
-    pub what: String,
+    /// What is expected, or why the text cannot be parsed.
+    pub message: String,
 }
 
-impl Wrong {
-    fn new(key: impl Into<String>, what: impl Into<String>) -> Wrong {
-        Wrong { key: key.into(), what: what.into() }
+impl ScenarioError {
+    fn new(key: impl Into<String>, message: impl Into<String>) -> ScenarioError {
+        ScenarioError { key: key.into(), message: message.into() }
     }
 }
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.key.as_str() {
-            "" => f.write_str(&self.what),
-            key => write!(f, "{key}: {}", self.what),
+            "" => f.write_str(&self.message),
+            key => write!(f, "{key}: {}", self.message),
         }
     }
 }
 
-/// Most firms and most requests (as a bound on memory) that a scenario may come to.
+/// Maximum number of customers in a scenario; limits the memory use.
 pub const MAX_CUSTOMERS: usize = 2_000_000;
-const MOST_REQUESTS: f64 = 50_000_000.0;
-/// Most pairs of a node and a limiter; each takes some 150 bytes.
-const MOST_PAIRS: u64 = 4_000_000;
+/// Maximum number of requests in a scenario; limits the memory use.
+const MAX_REQUESTS: f64 = 50_000_000.0;
+/// Maximum number of pairs of a server and a limiter; each uses about 150 bytes.
+const MAX_PAIRS: u64 = 4_000_000;
 
 impl Scenario {
-    /// Reads a scenario and checks it. All mistakes of values are named, or the first of form.
-    pub fn read(text: &str) -> Result<Scenario, Vec<Wrong>> {
-        let reader =
-            toml::Deserializer::parse(text).map_err(|e| vec![Wrong::new("", e.to_string().trim())])?;
+    /// Parses and validates a scenario.
+    ///
+    /// # Errors
+    /// The first syntax or type error, or else all invalid values.
+    pub fn read(text: &str) -> Result<Scenario, Vec<ScenarioError>> {
+        let reader = toml::Deserializer::parse(text)
+            .map_err(|e| vec![ScenarioError::new("", e.to_string().trim())])?;
         let scenario: Scenario = serde_path_to_error::deserialize(reader).map_err(|e| {
             let key = Some(e.path().to_string()).filter(|p| p != ".").unwrap_or_default();
-            vec![Wrong::new(key, e.inner().message())]
+            vec![ScenarioError::new(key, e.inner().message())]
         })?;
         match scenario.validation_errors() {
-            none if none.is_empty() => Ok(scenario),
-            some => Err(some),
+            errors if errors.is_empty() => Ok(scenario),
+            errors => Err(errors),
         }
     }
 
-    /// As a file.
+    /// Formats the scenario as TOML.
     pub fn write(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
 
-    /// What is wrong with its values.
-    pub fn validation_errors(&self) -> Vec<Wrong> {
-        let mut found: Vec<Wrong> = match self.validate() {
+    /// All invalid values.
+    pub fn validation_errors(&self) -> Vec<ScenarioError> {
+        let mut errors: Vec<ScenarioError> = match self.validate() {
             Ok(()) => Vec::new(),
-            Err(report) => {
-                report.iter().map(|(path, error)| Wrong::new(path.to_string(), error.message())).collect()
-            }
+            Err(report) => report
+                .iter()
+                .map(|(path, error)| ScenarioError::new(path.to_string(), error.message()))
+                .collect(),
         };
         if self.classes.iter().map(|c| c.share).sum::<f64>() <= 0.0 {
-            found.push(Wrong::new("classes", "one share above 0 is expected"));
+            errors.push(ScenarioError::new("classes", "at least one share above 0 is expected"));
         }
         if self.plans.iter().map(|p| p.share).sum::<f64>() <= 0.0 {
-            found.push(Wrong::new("plans", "one share above 0 is expected"));
+            errors.push(ScenarioError::new("plans", "at least one share above 0 is expected"));
         }
         if self.regions > self.buildings {
-            found.push(Wrong::new("regions", "at most as many as buildings are expected"));
+            errors.push(ScenarioError::new("regions", "at most as many as buildings are expected"));
         }
         for (n, class) in self.classes.iter().enumerate() {
             if class.aim_s > class.give_up_s {
-                found.push(Wrong::new(format!("classes[{n}].aim_s"), "at most give_up_s is expected"));
+                errors
+                    .push(ScenarioError::new(format!("classes[{n}].aim_s"), "at most give_up_s is expected"));
             }
             if class.repeats == Repeats::Keyed && class.window_s <= 0.0 {
-                found.push(Wrong::new(
+                errors.push(ScenarioError::new(
                     format!("classes[{n}].window_s"),
                     "more than 0 is expected for a keyed class",
                 ));
@@ -82,28 +88,28 @@
         }
         for (n, plan) in self.plans.iter().enumerate() {
             if plan.ceiling > 0.0 && plan.ceiling < 1.0 {
-                found.push(Wrong::new(format!("plans[{n}].ceiling"), "0 or at least 1 is expected"));
+                errors.push(ScenarioError::new(format!("plans[{n}].ceiling"), "0 or at least 1 is expected"));
             }
         }
-        for (n, trouble) in self.timeline.iter().enumerate() {
-            self.check_trouble(n, trouble, &mut found);
+        for (n, fault) in self.timeline.iter().enumerate() {
+            self.check_fault(n, fault, &mut errors);
         }
-        // Each limiter knows each node.
-        if u64::from(self.nodes.count) * u64::from(self.limiters.count) > MOST_PAIRS {
-            let most = format!("nodes times limiters of {MOST_PAIRS} at most are expected");
-            found.push(Wrong::new("limiters.count", most));
+        // Each limiter has an entry for each server.
+        if u64::from(self.nodes.count) * u64::from(self.limiters.count) > MAX_PAIRS {
+            let message = format!("nodes times limiters of at most {MAX_PAIRS} is expected");
+            errors.push(ScenarioError::new("limiters.count", message));
         }
-        if found.is_empty() && self.requests_per_s() * self.seconds > MOST_REQUESTS {
-            let most = format!("load and seconds for {MOST_REQUESTS:.0} requests at most are expected");
-            found.push(Wrong::new("clients.load", most));
+        if errors.is_empty() && self.requests_per_s() * self.seconds > MAX_REQUESTS {
+            let message = format!("load and seconds for at most {MAX_REQUESTS:.0} requests are expected");
+            errors.push(ScenarioError::new("clients.load", message));
         }
-        found
+        errors
     }
 
-    /// Which keys a trouble must have; it may have no other.
-    fn check_trouble(&self, n: usize, t: &Trouble, found: &mut Vec<Wrong>) {
+    /// Checks that an entry of the timeline has the keys that its kind requires, and no others.
+    fn check_fault(&self, n: usize, t: &Trouble, errors: &mut Vec<ScenarioError>) {
         use What::*;
-        let has = [
+        let keys = [
             ("times", t.times.is_some(), matches!(t.what, Surge | Slow), true),
             ("plan", t.plan.is_some(), matches!(t.what, Surge | Strangers), t.what == Strangers),
             ("firms", t.firms.is_some(), t.what == Flood, true),
@@ -134,31 +140,36 @@
             ),
         ];
         let key = |name: &str| format!("timeline[{n}].{name}");
-        let named = fault_name(t.what);
-        for (name, there, allowed, needed) in has {
-            if there && !allowed {
-                found.push(Wrong::new(key(name), format!("not expected for \"{named}\"")));
-            } else if !there && allowed && needed {
-                found.push(Wrong::new(key(name), format!("missing: \"{named}\" needs it")));
+        let fault = fault_name(t.what);
+        for (name, present, allowed, required) in keys {
+            if present && !allowed {
+                errors.push(ScenarioError::new(key(name), format!("not expected for \"{fault}\"")));
+            } else if !present && allowed && required {
+                errors.push(ScenarioError::new(key(name), format!("missing: \"{fault}\" requires it")));
             }
         }
-        let needs_limiters = matches!(t.what, Restart | Kill | Freeze | Starve);
-        let may_limiters =
-            needs_limiters || matches!(t.what, RosterSilent | Refuse | Mute | Break | Hold | Trickle);
-        match (may_limiters, &t.limiters, t.limiter_share) {
-            (true, None, None) if needs_limiters => {
-                found.push(Wrong::new(key("limiters"), "missing: limiters or limiter_share is expected"));
+        let requires_limiters = matches!(t.what, Restart | Kill | Freeze | Starve);
+        let allows_limiters =
+            requires_limiters || matches!(t.what, RosterSilent | Refuse | Mute | Break | Hold | Trickle);
+        match (allows_limiters, &t.limiters, t.limiter_share) {
+            (true, None, None) if requires_limiters => {
+                errors.push(ScenarioError::new(
+                    key("limiters"),
+                    "missing: limiters or limiter_share is expected",
+                ));
             }
             (true, Some(_), Some(_)) => {
-                found.push(Wrong::new(
+                errors.push(ScenarioError::new(
                     key("limiter_share"),
                     "limiters or limiter_share is expected, not both",
                 ));
             }
             (true, ..) | (false, None, None) => {}
-            (false, ..) => found.push(Wrong::new(key("limiters"), format!("not expected for \"{named}\""))),
+            (false, ..) => {
+                errors.push(ScenarioError::new(key("limiters"), format!("not expected for \"{fault}\"")))
+            }
         }
-        let on_nodes = matches!(
+        let on_servers = matches!(
             t.what,
             Exit | Drain
                 | Stall
@@ -173,59 +184,69 @@
                 | Hold
                 | Trickle
         );
-        match (on_nodes, &t.nodes, t.node_share) {
+        match (on_servers, &t.nodes, t.node_share) {
             (true, None, None) if t.targets_discovery() => {}
             (true, ..) if t.targets_discovery() => {
-                found.push(Wrong::new(key("discovery"), "nodes or discovery is expected, not both"));
+                errors.push(ScenarioError::new(key("discovery"), "nodes or discovery is expected, not both"));
             }
             (true, None, None) => {
-                found.push(Wrong::new(key("nodes"), "missing: nodes or node_share is expected"))
-            }
-            (true, Some(_), Some(_)) => {
-                found.push(Wrong::new(key("node_share"), "nodes or node_share is expected, not both"))
+                errors.push(ScenarioError::new(key("nodes"), "missing: nodes or node_share is expected"))
             }
+            (true, Some(_), Some(_)) => errors
+                .push(ScenarioError::new(key("node_share"), "nodes or node_share is expected, not both")),
             (false, None, None) | (true, ..) => {}
-            (false, ..) => found.push(Wrong::new(key("nodes"), format!("not expected for \"{named}\""))),
+            (false, ..) => {
+                errors.push(ScenarioError::new(key("nodes"), format!("not expected for \"{fault}\"")))
+            }
         }
-        let below = |list: &Option<Vec<u32>>, most: u32| list.iter().flatten().all(|i| *i < most);
+        let below = |list: &Option<Vec<u32>>, limit: u32| list.iter().flatten().all(|i| *i < limit);
         if !below(&t.nodes, self.nodes.count) {
-            found.push(Wrong::new(key("nodes"), format!("numbers below {} are expected", self.nodes.count)));
+            errors.push(ScenarioError::new(
+                key("nodes"),
+                format!("numbers below {} are expected", self.nodes.count),
+            ));
         }
         let grouped = t.groups.as_ref().map(|groups| groups.concat());
         for (name, list) in
             [("limiters", &t.limiters), ("from", &t.from), ("to", &t.to), ("groups", &grouped)]
         {
             if !below(list, self.limiters.count) {
-                let what = format!("numbers below {} are expected", self.limiters.count);
-                found.push(Wrong::new(key(name), what));
+                let message = format!("numbers below {} are expected", self.limiters.count);
+                errors.push(ScenarioError::new(key(name), message));
             }
         }
         if matches!(t.what, Starve | Break) && t.share.is_some_and(|s| s > 1.0) {
-            found.push(Wrong::new(key("share"), "at most 1 is expected"));
+            errors.push(ScenarioError::new(key("share"), "at most 1 is expected"));
         }
         if t.building.is_some_and(|b| b >= self.buildings) {
-            found.push(Wrong::new(key("building"), format!("a number below {} is expected", self.buildings)));
+            errors.push(ScenarioError::new(
+                key("building"),
+                format!("a number below {} is expected", self.buildings),
+            ));
         }
         if t.region.is_some_and(|r| r >= self.regions) {
-            found.push(Wrong::new(key("region"), format!("a number below {} is expected", self.regions)));
+            errors.push(ScenarioError::new(
+                key("region"),
+                format!("a number below {} is expected", self.regions),
+            ));
         }
         if let Some(plan) = t.plan.as_ref().filter(|p| self.plan(p).is_none()) {
             let names: Vec<&str> = self.plans.iter().map(|p| p.name.as_str()).collect();
-            found.push(Wrong::new(
+            errors.push(ScenarioError::new(
                 key("plan"),
                 format!("no plan {plan:?}; one of {} is expected", names.join(", ")),
             ));
         }
         if t.what == Pause && t.length_s >= t.every_s {
-            found.push(Wrong::new(key("length_s"), "less than every_s is expected"));
+            errors.push(ScenarioError::new(key("length_s"), "less than every_s is expected"));
         }
         if t.what == Drain && t.after_s.is_some_and(|a| a >= t.for_s) {
-            found.push(Wrong::new(key("after_s"), "less than for_s is expected"));
+            errors.push(ScenarioError::new(key("after_s"), "less than for_s is expected"));
         }
     }
 }
 
-/// The JSON Schema of scenario files.
+/// JSON Schema of scenario files.
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(Scenario)).unwrap_or_default()
 }
--- a/crates/rehearsal/src/scenario/house.rs
+++ b/crates/rehearsal/src/scenario/defaults.rs
@@ -1,4 +1,4 @@
-//! The defaults: the association's house as its brief describes it.
+//! Default values of all keys: the reference deployment.
 
 use super::*;
 
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -1,12 +1,12 @@
-//! What is rehearsed: the house, its clients, and a timeline of faults and load, as a TOML file gives them.
+//! Scenarios in TOML: the deployment, its clients, and a timeline of faults and load changes.
 //!
-//! Every key has a default, and together the defaults are the association's house as its brief describes it: a file
-//! says only what is different. [`Scenario::read`] names each mistake with its key.
+//! Every key has a default. The defaults together describe the reference deployment, so a file holds only what
+//! differs from it. [`Scenario::read`] reports each error with its key.
 
 mod check;
-mod house;
+mod defaults;
 
-pub use check::{schema, Wrong, MAX_CUSTOMERS};
+pub use check::{schema, ScenarioError, MAX_CUSTOMERS};
 use fawnhill::{Effect, KeyGroup, Settings};
 use garde::Validate;
 use schemars::JsonSchema;
@@ -15,68 +15,69 @@
 use crate::draws::Law;
 use crate::server_model::ServerParameters;
 
-/// A whole scenario.
+/// A scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
-    /// Short name, for reports.
+    /// Short name, shown in reports.
     #[garde(length(min = 1, max = 60))]
     pub name: String,
-    /// What is rehearsed and what to look at, for staff.
+    /// What the scenario simulates and which results to look at.
     #[garde(skip)]
     pub about: String,
-    /// How long clients send, in seconds.
+    /// Time during which clients send requests, in seconds.
     #[garde(range(min = 2.0, max = 7200.0))]
     pub seconds: f64,
-    /// Buildings over which limiters and nodes are spread in turn.
+    /// Number of buildings (zones). Limiters and servers are assigned to them round-robin.
     #[garde(range(min = 1, max = 64))]
     pub buildings: u32,
-    /// Regions over which the buildings are spread in turn: the ways between them are far, and may be lost for long.
+    /// Number of regions. Buildings are assigned to them round-robin. Links between regions have a high latency, and
+    /// may be down for long.
     #[garde(range(min = 1, max = 16))]
     pub regions: u32,
-    /// The ways between machines.
+    /// The network between machines.
     #[garde(dive)]
     pub net: Net,
     /// The limiters.
     #[garde(dive)]
     pub limiters: Limiters,
-    /// The booking nodes.
+    /// The servers.
     #[garde(dive)]
     pub nodes: Nodes,
-    /// Classes of requests.
+    /// Request classes.
     #[garde(dive, length(min = 1, max = 16))]
     pub classes: Vec<ClassOf>,
-    /// Plans of the member firms.
+    /// Plans of the customers.
     #[garde(dive, length(min = 1, max = 16))]
     pub plans: Vec<PlanOf>,
-    /// Member firms and their dispatch programs.
+    /// Customers and their client programs.
     #[garde(dive)]
     pub clients: ClientsOf,
-    /// What goes wrong, and when.
+    /// Faults and load changes, each with its time.
     #[garde(dive, length(max = 400))]
     pub timeline: Vec<Trouble>,
 }
 
-/// The ways between machines, in milliseconds one way.
+/// Network between machines. Latencies are one-way, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Net {
-    /// Within a building, least and most.
+    /// Latency within a building, minimum and maximum.
     #[garde(custom(span(0.0, 1000.0)))]
     pub same_ms: [f64; 2],
-    /// Between buildings, least and most.
+    /// Latency between buildings, minimum and maximum.
     #[garde(custom(span(0.0, 1000.0)))]
     pub cross_ms: [f64; 2],
-    /// Between regions, least and most; what is said between limiters takes as much longer.
+    /// Latency between regions, minimum and maximum. It is added to the latency of messages between limiters.
     #[garde(custom(span(0.0, 1000.0)))]
     pub far_ms: [f64; 2],
-    /// Messages between limiters, least and most.
+    /// Latency of messages between limiters, minimum and maximum.
     #[garde(custom(span(0.0, 1000.0)))]
     pub mail_ms: [f64; 2],
-    /// Share of the messages between limiters that is lost.
+    /// Fraction of the messages between limiters that is lost.
     #[garde(range(min = 0.0, max = 1.0))]
     pub mail_loss: f64,
-    /// How late a limiter hears a change of the roster, least and most, in seconds.
+    /// Delay until a limiter receives a change of the server list, minimum and maximum, in seconds.
     #[garde(custom(span(0.0, 60.0)))]
     pub roster_s: [f64; 2],
 }
@@ -85,130 +86,132 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limiters {
-    /// How many.
+    /// Number of limiters.
     #[garde(range(min = 1, max = 1000))]
     pub count: u32,
-    /// Firms that each remembers at most.
+    /// Maximum number of customers that each limiter keeps state for.
     #[garde(range(min = 16, max = 10_000_000))]
     pub firms: u32,
-    /// Messages a second that each takes in; those beyond are lost.
+    /// Maximum rate of messages that each limiter receives, per second; messages above it are lost.
     #[garde(range(min = 0.0, max = 100_000.0))]
     pub messages_per_s: f64,
-    /// Most attempts for a request.
+    /// Maximum number of attempts per request.
     #[garde(range(min = 1, max = 10))]
     pub max_attempts: u32,
-    /// A connection not made by then has failed, in milliseconds.
+    /// Time-out for establishing a connection, in milliseconds.
     #[garde(range(min = 1.0, max = 60_000.0))]
     pub connect_timeout_ms: f64,
-    /// Seconds after SIGTERM in which new connections are still taken.
+    /// Time after SIGTERM during which new connections are still accepted, in seconds.
     #[garde(range(min = 0.0, max = 60.0))]
     pub close_s: f64,
-    /// Seconds after SIGTERM at which a limiter is killed.
+    /// Time after SIGTERM at which a limiter is killed, in seconds.
     #[garde(range(min = 0.0, max = 60.0))]
     pub kill_s: f64,
-    /// They tell refused clients when to return.
+    /// Whether limiters tell refused clients when to retry.
     #[garde(skip)]
     pub advise: bool,
-    /// The first so many hold units of quotas ahead of need (`[prefetch]` in the extensions file); the others are as before.
+    /// Number of limiters that prefetch quota units (`[prefetch]` in the extensions file): the first ones by
+    /// position.
     #[garde(range(min = 0, max = 1000))]
     pub prefetch: u32,
 }
 
-/// The booking nodes.
+/// The servers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Nodes {
-    /// How many.
+    /// Number of servers.
     #[garde(range(min = 1, max = 20_000))]
     pub count: u32,
-    /// Cores of each.
+    /// Cores of each server.
     #[garde(range(min = 0.1, max = 1024.0))]
     pub cores: f64,
-    /// Requests in work at most.
+    /// Maximum number of requests that a server processes concurrently.
     #[garde(range(min = 1, max = 10_000))]
     pub slots: u32,
-    /// Requests waiting at most.
+    /// Maximum number of requests in a server's queue.
     #[garde(range(min = 0, max = 100_000))]
     pub queue: u32,
-    /// Speeds, least and most; drawn once for each node.
+    /// Relative speed, minimum and maximum; drawn once for each server.
     #[garde(custom(span(0.01, 100.0)))]
     pub speed: [f64; 2],
-    /// Law of the work of a request round its class's mean.
+    /// Probability distribution of a request's work around the mean of its class.
     #[garde(skip)]
     pub law: Law,
-    /// Capacity of a node that has just started, as a share.
+    /// Capacity of a server that has just started, as a fraction of its full capacity.
     #[garde(range(min = 0.01, max = 1.0))]
     pub cold_share: f64,
-    /// Seconds until it is warm.
+    /// Time after its start until a server has its full capacity, in seconds.
     #[garde(range(min = 0.0, max = 600.0))]
     pub cold_s: f64,
-    /// Sent more than this many times what it can do at that moment...
+    /// A server in slow start crashes if it receives more than this multiple of its current capacity...
     #[garde(range(min = 1.0, max = 100.0))]
     pub fall_multiple: f64,
-    /// ...for so many seconds, a cold node falls over.
+    /// ...over this time, in seconds.
     #[garde(range(min = 0.0, max = 60.0))]
     pub fall_s: f64,
-    /// Share of capacity lost when slots and waiting room are full, in proportion.
+    /// Fraction of capacity that is lost when slots and queue are full; proportionally less when they are partly
+    /// full.
     #[garde(range(min = 0.0, max = 0.99))]
     pub thrash: f64,
-    /// Connections at most.
+    /// Maximum number of connections of a server.
     #[garde(range(min = 1, max = 1_000_000))]
     pub connections: u32,
-    /// Share of capacity that a full table of connections takes.
+    /// Fraction of capacity that a full connection table uses.
     #[garde(range(min = 0.0, max = 0.99))]
     pub table_tax: f64,
-    /// Work that a new connection costs, in milliseconds.
+    /// Work to accept a new connection, in milliseconds.
     #[garde(range(min = 0.0, max = 1000.0))]
     pub handshake_ms: f64,
-    /// Idle connections are closed after so many seconds.
+    /// Time after which idle connections are closed, in seconds.
     #[garde(range(min = 0.1, max = 3600.0))]
     pub idle_s: f64,
-    /// Work stops when its request is called off; else it runs on.
+    /// Whether a server stops work on a cancelled request; otherwise the work runs to its end.
     #[garde(skip)]
     pub cancel_stops: bool,
 }
 
-/// How often a request may take effect.
+/// How often a request may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeats {
     /// Any number of times.
     Safe,
-    /// All nodes drop repeats of its key for the window.
+    /// Any number of times, since all servers ignore repeats with the same key within the window.
     Keyed,
-    /// Once at most.
+    /// At most once.
     Unsafe,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ClassOf {
-    /// Its name.
+    /// Name of the class.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// Share of the requests; the shares of all classes count in proportion.
+    /// Weight of the class among all requests.
     #[garde(range(min = 0.0, max = 1.0))]
     pub share: f64,
-    /// Mean work, in milliseconds of one core.
+    /// Mean work of a request, in milliseconds of one core.
     #[garde(range(min = 0.1, max = 60_000.0))]
     pub work_ms: f64,
-    /// An answer within so many seconds earns its worth.
+    /// Target latency in seconds. An answer within it counts with the request's worth.
     #[garde(range(min = 0.01, max = 600.0))]
     pub aim_s: f64,
-    /// Given up after so many seconds.
+    /// Time after which the client cancels, in seconds.
     #[garde(range(min = 0.01, max = 600.0))]
     pub give_up_s: f64,
-    /// Worth of one.
+    /// Worth of a request that is answered in time.
     #[garde(range(min = 0.0, max = 1000.0))]
     pub worth: f64,
-    /// Units that it takes.
+    /// Quota units that a request uses.
     #[garde(range(min = 0.1, max = 1000.0))]
     pub units: f64,
-    /// How often it may run.
+    /// How often a request may be executed.
     #[garde(skip)]
     pub repeats: Repeats,
-    /// Seconds for which nodes drop repeats.
+    /// Time during which servers ignore repeats of a key, in seconds.
     #[garde(range(min = 0.0, max = 600.0))]
     #[serde(default)]
     pub window_s: f64,
@@ -218,317 +221,322 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct PlanOf {
-    /// Its name.
+    /// Name of the plan.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// Share of the use inside quotas; counts in proportion.
+    /// Weight of the plan in the use within quotas.
     #[garde(range(min = 0.0, max = 1.0))]
     pub share: f64,
-    /// Units a second for each firm.
+    /// Quota of each customer, in units per second.
     #[garde(range(min = 0.01, max = 1e6))]
     pub rate: f64,
-    /// Seconds' worth of the rate that may be used at once.
+    /// Burst size of the quota's token bucket, in seconds of its rate.
     #[garde(range(min = 0.0, max = 600.0))]
     pub burst_s: f64,
-    /// What worth counts times.
+    /// Factor on the worth of the plan's requests.
     #[garde(range(min = 0.0, max = 100.0))]
     pub price: f64,
-    /// What is sent on beyond the quota costs this share of its worth.
+    /// Cost of a request that is forwarded beyond the quota, as a fraction of its worth.
     #[garde(range(min = 0.0, max = 10.0))]
     pub over_cost: f64,
-    /// Hard ceiling as a multiple of the quota; 0 for none.
+    /// Hard ceiling as a multiple of the quota; 0 for no ceiling.
     #[garde(range(min = 0.0, max = 100.0))]
     #[serde(default)]
     pub ceiling: f64,
 }
 
-/// Member firms and their dispatch programs.
+/// Customers and their client programs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientsOf {
-    /// Use inside the quotas as a share of what the fleet can do.
+    /// Use within the quotas, as a fraction of the capacity of all servers.
     #[garde(range(min = 0.001, max = 3.0))]
     pub load: f64,
-    /// Share of the firms that use nearly all of their quota.
+    /// Fraction of the customers that use nearly all of their quota.
     #[garde(range(min = 0.0, max = 1.0))]
     pub full: f64,
-    /// Share of the firms that ask for up to `greedy_times` their quota for long spells.
+    /// Fraction of the customers that request up to `greedy_times` their quota for long periods.
     #[garde(range(min = 0.0, max = 1.0))]
     pub greedy: f64,
-    /// See `greedy`.
+    /// Multiple of the quota for `greedy` customers.
     #[garde(range(min = 1.0, max = 1000.0))]
     pub greedy_times: f64,
-    /// Share of the firms that ask for up to `flash_times` their quota for a moment now and then.
+    /// Fraction of the customers that request up to `flash_times` their quota in occasional short bursts.
     #[garde(range(min = 0.0, max = 1.0))]
     pub flash: f64,
-    /// See `flash`.
+    /// Multiple of the quota for `flash` customers.
     #[garde(range(min = 1.0, max = 1000.0))]
     pub flash_times: f64,
-    /// How long such a moment lasts, in seconds.
+    /// Duration of such a burst, minimum and maximum, in seconds.
     #[garde(custom(span(0.01, 600.0)))]
     pub flash_s: [f64; 2],
-    /// Limiters through which a firm's requests come in.
+    /// Number of limiters that receive a customer's requests, minimum and maximum.
     #[garde(custom(whole_span(1, 4)))]
     pub spread: [u32; 2],
-    /// Seconds after which the busiest of them change.
+    /// Interval between changes of a customer's distribution over these limiters, minimum and maximum, in seconds.
     #[garde(custom(span(0.1, 3600.0)))]
     pub shift_s: [f64; 2],
-    /// How often a client tries again by itself, at most.
+    /// Maximum number of retries by a client.
     #[garde(range(min = 0, max = 20))]
     pub retries: u32,
-    /// How long it waits before, in milliseconds; doubled each time.
+    /// Wait before the first retry, minimum and maximum, in milliseconds; doubled for each further retry.
     #[garde(custom(span(0.0, 60_000.0)))]
     pub backoff_ms: [f64; 2],
-    /// Share of the clients that obey advice on when to return.
+    /// Fraction of the clients that follow the limiter's advice on when to retry.
     #[garde(range(min = 0.0, max = 1.0))]
     pub obey: f64,
-    /// A try is given up after this share of the class's time.
+    /// Time-out of a try as a fraction of the class's `give_up_s`, minimum and maximum.
     #[garde(custom(span(0.01, 1.0)))]
     pub patience: [f64; 2],
-    /// Share of the firms whose requests come through proxies that ask a limiter about each (external processor).
+    /// Fraction of the customers whose requests come through proxies that ask a limiter about each (external
+    /// processor).
     #[garde(range(min = 0.0, max = 1.0))]
     pub proxied: f64,
-    /// Share of the tries whose client leaves without waiting.
+    /// Fraction of the tries whose client disconnects without waiting for the answer.
     #[garde(range(min = 0.0, max = 1.0))]
     pub leave: f64,
 }
 
-/// What goes wrong.
+/// Kind of a fault or load change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
-    /// All firms, or those of `plan`, ask for `times` as much.
+    /// All customers, or those of `plan`, send `times` as many requests.
     Surge,
-    /// So many `firms` add `share` to all traffic, each the same.
+    /// A number of `firms` together add `share` of the traffic, in equal parts.
     Flood,
-    /// Requests of firms that nobody has seen, `per_s` of them, on `plan`.
+    /// `per_s` requests per second, each of a customer on `plan` that has not been seen before.
     Strangers,
-    /// The processes of `nodes` end at once and start again, cold, after `for_s`.
+    /// The server processes in `nodes` exit at once and restart in slow start after `for_s`.
     Exit,
-    /// The roster says that `nodes` drain; they exit after `after_s` and start again, cold, after `for_s`.
+    /// The server list marks `nodes` as draining; they exit after `after_s` and restart in slow start after `for_s`.
     Drain,
-    /// `nodes` keep all connections, take requests in and do nothing.
+    /// `nodes` keep all connections and accept requests, but process none.
     Stall,
-    /// `nodes` do nothing for `length_s` every `every_s`.
+    /// `nodes` process nothing for `length_s` in each interval of `every_s`.
     Pause,
-    /// `nodes` take `times` as long.
+    /// `nodes` take `times` as long for each request.
     Slow,
-    /// `nodes` answer a `share` of the requests with an error, after having done them.
+    /// `nodes` answer a `share` of the requests with an error after executing them.
     Errors,
     /// `nodes` reset the connection of a `share` of the requests instead of answering.
     Resets,
-    /// The machines of `nodes` say nothing: no connection comes up, none is reset.
+    /// The machines of `nodes` are unreachable: no connection is established or reset.
     Vanish,
-    /// `building` is cut off from the others.
+    /// `building` is partitioned from the others.
     Cut,
-    /// `region` is parted from the others: neither requests, nor messages, nor news of the others' nodes pass. Within it all
-    /// goes on, its own registry too.
+    /// `region` is partitioned from the others: requests, messages and updates of the server list do not cross.
+    /// Within the region everything works, including its own registry.
     Part,
-    /// A further `share` of the messages between limiters is lost; with `from` and `to` on those ways alone.
+    /// A further `share` of the messages between limiters is lost; `from` and `to` restrict this to some links.
     Lossy,
-    /// Messages between limiters, or those `from` some `to` others, come later by `late_ms`, each by its own.
+    /// Messages between limiters are delayed by `late_ms`, drawn for each message; `from` and `to` restrict this to
+    /// some links.
     Late,
-    /// A `share` of the messages comes twice.
+    /// A `share` of the messages is delivered twice.
     Twice,
-    /// A `share` of the messages comes with a byte spoilt.
+    /// A `share` of the messages is delivered with a corrupted byte.
     Garble,
-    /// Limiters hear one another only where one of `groups` holds both.
+    /// Messages pass only between limiters that share one of `groups`.
     Groups,
-    /// Nobody, or none of `limiters`, hears a change of the roster.
+    /// No limiter, or none of `limiters`, receives changes of the server list.
     RosterSilent,
-    /// `nodes` refuse connections of `limiters`; those that are open stay.
+    /// `nodes` refuse new connections from `limiters`; open connections stay.
     Refuse,
-    /// `nodes` accept connections of `limiters`, and take in and say nothing on any of them.
+    /// `nodes` accept connections from `limiters`, but neither read nor write on any of them.
     Mute,
-    /// A `share` of what `limiters` send to `nodes` breaks off before its last byte; of discovery, of what it says to them.
+    /// A `share` of the requests from `limiters` to `nodes` is cut off before the last byte. With `discovery`, this
+    /// applies to the data from discovery to the limiters.
     Break,
-    /// Answers of `nodes` to `limiters` are held back by `late_ms`.
+    /// Answers from `nodes` to `limiters` are delayed by `late_ms`.
     Hold,
-    /// No more than `per_s` bytes a second go each way between `limiters` and `nodes`, on each connection.
+    /// Each connection between `limiters` and `nodes` carries at most `per_s` bytes per second in each direction.
     Trickle,
-    /// `limiters` get SIGTERM, and are up again `for_s` after they ended.
+    /// `limiters` receive SIGTERM and restart `for_s` after their exit.
     Restart,
-    /// All limiters are restarted one after another, `every_s` apart, each down for `down_s`.
+    /// All limiters are restarted one after another at intervals of `every_s`; each is down for `down_s`.
     Rolling,
-    /// `limiters` are killed and up again after `for_s`; with `stumbles` they die so often as they start, with `moment` each
-    /// is killed when it next holds a request that far.
+    /// `limiters` are killed and restart after `for_s`. With `stumbles`, the given number of starts fail before one
+    /// succeeds. With `moment`, each is killed when it next holds a request at that stage.
     Kill,
-    /// `limiters` stand still, and go on.
+    /// `limiters` stall (do not run) and then continue.
     Freeze,
-    /// `limiters` have a slow core: they stand still for a `share` of each 100 ms.
+    /// `limiters` have too little CPU time: they stall for a `share` of each 100 ms.
     Starve,
 }
 
-/// How far a request has come that a limiter holds.
+/// Stage of a request that a limiter holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Moment {
-    /// Taken from its client, and not sent on.
+    /// Received from the client, not yet forwarded.
     Taken,
-    /// Sent on, and not answered.
+    /// Forwarded, not yet answered.
     Sent,
 }
 
-/// One entry of the timeline.
+/// An entry of the timeline: a fault or a load change. Which of the optional keys apply depends on `what`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
-    /// What.
+    /// Kind of the fault or load change.
     #[garde(skip)]
     pub what: What,
-    /// When it begins, in seconds from the start.
+    /// Begin, in seconds from the start of the run.
     #[garde(range(min = 0.0, max = 7200.0))]
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     #[garde(range(min = 0.001, max = 7200.0))]
     pub for_s: f64,
-    /// Which nodes, by number from 0.
+    /// Affected servers, by index from 0.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub nodes: Option<Vec<u32>>,
-    /// Which nodes, as a share of all, evenly picked.
+    /// Affected servers as a fraction of all, evenly spaced over the list.
     #[garde(inner(range(min = 0.0, max = 1.0)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub node_share: Option<f64>,
-    /// Which limiters, by number from 0.
+    /// Affected limiters, by position from 0.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limiters: Option<Vec<u32>>,
-    /// Which limiters, as a share of all, drawn by the seed.
+    /// Affected limiters as a fraction of all, drawn from the seed.
     #[garde(inner(range(min = 0.0, max = 1.0)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limiter_share: Option<f64>,
-    /// Whose messages, by number from 0; all if left out.
+    /// Senders of the affected messages, by position from 0; all if omitted.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<Vec<u32>>,
-    /// Messages to whom, by number from 0; all if left out.
+    /// Receivers of the affected messages, by position from 0; all if omitted.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<Vec<u32>>,
-    /// Groups of limiters, which may overlap.
+    /// Groups of limiters, by position from 0; groups may overlap.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub groups: Option<Vec<Vec<u32>>>,
-    /// How much later, least and most, in milliseconds.
+    /// Additional delay, minimum and maximum, in milliseconds.
     #[garde(inner(custom(span(0.0, 600_000.0))))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub late_ms: Option<[f64; 2]>,
-    /// How often a limiter dies as it starts.
+    /// Number of failed starts of a limiter.
     #[garde(inner(range(min = 0, max = 20)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stumbles: Option<u32>,
-    /// What befalls streams befalls those to discovery, not those to nodes.
+    /// Whether a fault of connections applies to those to discovery rather than to servers.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub discovery: Option<bool>,
-    /// How far a request has come when its limiter is killed.
+    /// Stage of a request at which its limiter is killed.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub moment: Option<Moment>,
-    /// Which building, by number from 0.
+    /// Affected building, by index from 0.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub building: Option<u32>,
-    /// Which region, by number from 0.
+    /// Affected region, by index from 0.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<u32>,
-    /// Name of a plan.
+    /// Name of the affected plan.
     #[garde(skip)]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub plan: Option<String>,
-    /// How many times.
+    /// Factor on the demand or on the processing time.
     #[garde(inner(range(min = 0.0, max = 1000.0)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub times: Option<f64>,
-    /// Which share.
+    /// Fraction of the traffic, the requests, the messages or the time, as `what` defines it.
     #[garde(inner(range(min = 0.0, max = 10.0)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<f64>,
-    /// How many firms.
+    /// Number of customers.
     #[garde(inner(range(min = 1, max = 1000)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub firms: Option<u32>,
-    /// How many a second.
+    /// Rate per second: requests, or bytes for `trickle`.
     #[garde(inner(range(min = 0.01, max = 1e6)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub per_s: Option<f64>,
-    /// Seconds from the notice to the exit.
+    /// Time from the drain notice to the exit, in seconds.
     #[garde(inner(range(min = 0.0, max = 7200.0)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after_s: Option<f64>,
-    /// Seconds from one to the next.
+    /// Interval between repetitions, in seconds.
     #[garde(inner(range(min = 0.01, max = 7200.0)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub every_s: Option<f64>,
-    /// Seconds that each lasts.
+    /// Duration of each repetition, in seconds.
     #[garde(inner(range(min = 0.001, max = 7200.0)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub length_s: Option<f64>,
-    /// Seconds that each is down.
+    /// Time for which each limiter is down, in seconds.
     #[garde(inner(range(min = 0.0, max = 600.0)))]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub down_s: Option<f64>,
 }
 
+/// Validates a range: both ends within `low..=high`, the lower end first.
 fn span(low: f64, high: f64) -> impl FnOnce(&[f64; 2], &()) -> garde::Result {
     move |[from, to], _| {
-        let good = (low..=high).contains(from) && (low..=high).contains(to) && from <= to;
-        good.then_some(()).ok_or_else(|| {
+        let valid = (low..=high).contains(from) && (low..=high).contains(to) && from <= to;
+        valid.then_some(()).ok_or_else(|| {
             garde::Error::new(format!("two numbers from {low} to {high}, the lower first, are expected"))
         })
     }
 }
 
+/// As [`span`], for integers.
 fn whole_span(low: u32, high: u32) -> impl FnOnce(&[u32; 2], &()) -> garde::Result {
     move |[from, to], _| span(f64::from(low), f64::from(high))(&[f64::from(*from), f64::from(*to)], &())
 }
 
 impl Trouble {
-    /// It befalls streams to discovery.
+    /// Whether a fault of connections applies to those to discovery.
     pub fn targets_discovery(&self) -> bool {
         self.discovery == Some(true)
     }
 }
 
 impl Scenario {
-    /// Number of a plan.
+    /// Index of the plan with the given name.
     pub fn plan(&self, name: &str) -> Option<usize> {
         self.plans.iter().position(|p| p.name == name)
     }
 
-    /// Mean over the classes of some figure of theirs.
-    pub fn mean(&self, of: impl Fn(&ClassOf) -> f64) -> f64 {
+    /// Mean of a value over the classes, weighted by their shares.
+    pub fn mean(&self, value: impl Fn(&ClassOf) -> f64) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
-        self.classes.iter().map(|c| c.share * of(c)).sum::<f64>() / shares
+        self.classes.iter().map(|c| c.share * value(c)).sum::<f64>() / shares
     }
 
-    /// Requests a second inside the quotas.
+    /// Rate of requests within the quotas, per second.
     pub fn requests_per_s(&self) -> f64 {
         let speed = (self.nodes.speed[0] + self.nodes.speed[1]) / 2.0;
-        let can = f64::from(self.nodes.count) * self.nodes.cores * speed * 1000.0;
-        self.clients.load * can / self.mean(|c| c.work_ms)
+        let capacity = f64::from(self.nodes.count) * self.nodes.cores * speed * 1000.0;
+        self.clients.load * capacity / self.mean(|c| c.work_ms)
     }
 
-    /// Units of the largest request.
+    /// Units of the largest request class.
     pub fn largest_request_units(&self) -> f64 {
         self.classes.iter().map(|c| c.units).fold(0.0, f64::max)
     }
 
-    /// A plan's quota for each firm: units a second, and units that its store holds at most, which are those of the
-    /// largest request at least.
+    /// Token bucket of a customer on a plan: its rate in units per second, and its size in units, which is at least
+    /// that of the largest request.
     pub fn quota(&self, plan: usize) -> (f64, f64) {
         let p = &self.plans[plan];
         (p.rate, (p.rate * p.burst_s).max(self.largest_request_units()))
     }
 
-    /// Share of the use inside quotas that a plan has.
+    /// Fraction of the use within quotas that belongs to a plan.
     pub fn plan_share(&self, plan: usize) -> f64 {
         self.plans[plan].share / self.plans.iter().map(|p| p.share).sum::<f64>()
     }
 
-    /// A node of this scenario.
+    /// Parameters of a server with the given speed.
     pub fn model(&self, speed: f64) -> ServerParameters {
         let n = &self.nodes;
         ServerParameters {
@@ -548,7 +556,7 @@
         }
     }
 
-    /// What the limiter at a position is told.
+    /// Settings of the limiter at a position.
     pub fn settings(&self, position: u32) -> Settings {
         let largest = self.classes.iter().map(|c| c.units).fold(0.0, f64::max);
         let class = |c: &ClassOf| fawnhill::Class {
@@ -564,7 +572,7 @@
         };
         let plan = |p: &PlanOf| {
             let ceiling_burst = p.ceiling * p.rate * p.burst_s;
-            // The brief's rule: 10% or one of the largest requests, whichever is more.
+            // Tolerance of the ceiling: 10% of its burst or one largest request, whichever is more.
             let slack = if p.ceiling > 0.0 { (0.1 * ceiling_burst).max(largest) } else { 0.0 };
             fawnhill::Plan {
                 rate: p.rate,
@@ -598,15 +606,15 @@
         }
     }
 
-    /// The nodes that a trouble is about.
-    pub fn affected_servers(&self, trouble: &Trouble) -> Vec<usize> {
-        match (&trouble.nodes, trouble.node_share) {
+    /// Indices of the servers that a fault affects.
+    pub fn affected_servers(&self, fault: &Trouble) -> Vec<usize> {
+        match (&fault.nodes, fault.node_share) {
             (Some(nodes), _) => nodes.iter().map(|n| *n as usize).collect(),
             (None, Some(share)) => {
-                let (all, some) =
+                let (total, affected) =
                     (self.nodes.count as usize, (f64::from(self.nodes.count) * share).round() as usize);
-                // Evenly over the list, and so over the buildings.
-                (0..some).map(|n| n * all / some.max(1)).collect()
+                // Evenly spaced over the list, and therefore over the buildings.
+                (0..affected).map(|n| n * total / affected.max(1)).collect()
             }
             (None, None) => Vec::new(),
         }
@@ -614,50 +622,50 @@
 }
 
 impl Scenario {
-    /// The same with all draws that the seed leaves open made: who of the limiters a trouble is about.
+    /// Returns the scenario with each `limiter_share` replaced by a list of limiters that is drawn from the seed.
     pub fn resolve_random_targets(&self, seed: u64) -> Scenario {
-        let mut drawn = self.clone();
-        for (n, t) in drawn.timeline.iter_mut().enumerate() {
+        let mut resolved = self.clone();
+        for (n, t) in resolved.timeline.iter_mut().enumerate() {
             if let Some(share) = t.limiter_share.take() {
                 let mut rng = crate::draws::stream(seed, "who", n as u64);
                 let mut all: Vec<u32> = (0..self.limiters.count).collect();
-                let some = (f64::from(self.limiters.count) * share).round() as usize;
-                for at in 0..some {
+                let count = (f64::from(self.limiters.count) * share).round() as usize;
+                for at in 0..count {
                     let other = crate::draws::between(&mut rng, [at as f64, all.len() as f64]) as usize;
                     let other = other.min(all.len() - 1);
                     all.swap(at, other);
                 }
-                all.truncate(some);
+                all.truncate(count);
                 all.sort_unstable();
                 t.limiters = Some(all);
             }
         }
-        drawn
+        resolved
     }
 
-    /// What of it the virtual world cannot play, and why.
-    pub fn unsupported_in_simulation(&self) -> Vec<Wrong> {
-        let of = |(n, t): (usize, &Trouble)| {
-            let why = match t.what {
-                What::Refuse | What::Mute | What::Break | What::Hold | What::Trickle => "it has no streams",
-                What::Starve => "a limiter there takes no time to decide",
-                What::Kill if t.stumbles.is_some() => "a limiter there starts in no time",
-                What::Kill if t.moment.is_some() => {
-                    "its kills fall at their second, whatever a limiter holds"
+    /// Faults that the virtual world cannot simulate, each with the reason.
+    pub fn unsupported_in_simulation(&self) -> Vec<ScenarioError> {
+        let unsupported = |(n, t): (usize, &Trouble)| {
+            let reason = match t.what {
+                What::Refuse | What::Mute | What::Break | What::Hold | What::Trickle => {
+                    "it has no connections to corrupt or delay"
                 }
+                What::Starve => "its limiters take no time to decide",
+                What::Kill if t.stumbles.is_some() => "its limiters start in no time",
+                What::Kill if t.moment.is_some() => "it kills at the given time, whatever a limiter holds",
                 _ => return None,
             };
-            let what = format!(
-                "\"{}\" is played by real processes only (`marldeal faults`): {why}",
+            let message = format!(
+                "\"{}\" runs with real processes only (`marldeal faults`), not in the virtual world: {reason}",
                 fault_name(t.what)
             );
-            Some(Wrong { key: format!("timeline[{n}].what"), what })
+            Some(ScenarioError { key: format!("timeline[{n}].what"), message })
         };
-        self.timeline.iter().enumerate().filter_map(of).collect()
+        self.timeline.iter().enumerate().filter_map(unsupported).collect()
     }
 }
 
-/// The name of a trouble as files have it.
+/// Name of a fault as in scenario files (snake case).
 pub fn fault_name(what: What) -> String {
     format!("{what:?}").chars().fold(String::new(), |mut name, c| {
         if c.is_uppercase() && !name.is_empty() {
--- a/crates/rehearsal/src/search.rs
+++ b/crates/rehearsal/src/search.rs
@@ -1,7 +1,8 @@
-//! Which parameters of a scenario hurt most, within a stated factor of what it says.
+//! Searches for the parameters that lower the score of a scenario most, within a given factor of its values.
 //!
-//! A seeded (1 + λ) evolution strategy: each generation draws `CHILDREN` changes of the worst scenario so far, plays them
-//! side by side on the same seeds, and goes on from the worst. A broken rule ends the search: nothing is worse.
+//! The search is a seeded (1 + λ) evolution strategy. Each generation draws `CHILDREN` variants of the worst
+//! scenario so far, runs them in parallel on the same seeds, and continues from the one with the lowest score. A
+//! violated rule ends the search, since no score is lower.
 
 use rand::RngExt;
 use rayon::prelude::*;
@@ -10,16 +11,17 @@
 use crate::scenario::{Scenario, Trouble};
 use crate::trials;
 
-/// What is searched.
+/// Bounds of a search.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Loads, least and most.
+    /// Minimum and maximum load.
     pub load: [f64; 2],
-    /// No other figure goes beyond this many times what the scenario says, or below as small a part of it.
+    /// Other values stay between the scenario's value divided by this factor and multiplied by it. Only the start of
+    /// a fault may be anywhere in the run.
     pub factor: f64,
-    /// Generations.
+    /// Number of generations.
     pub generations: u32,
-    /// Seeds on which each candidate is played.
+    /// Number of seeds on which each candidate runs.
     pub seeds: u32,
 }
 
@@ -29,41 +31,41 @@
     }
 }
 
-/// What was found.
+/// Result of a search.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Found {
-    /// The scenario that hurts most.
+    /// The scenario with the lowest score.
     pub scenario: Scenario,
     /// Its mean score.
     pub score: f64,
-    /// The score of the scenario that was given.
+    /// Mean score of the original scenario.
     pub given: f64,
-    /// A rule was broken.
+    /// Whether the scenario violates a rule.
     pub broken: bool,
-    /// Candidates played.
+    /// Number of candidates that ran.
     pub candidates: u32,
 }
 
-/// Candidates a generation.
+/// Candidates per generation.
 const CHILDREN: u64 = 8;
 
-/// Searches; `told` hears of each generation and its worst score.
+/// Runs the search. `on_generation` is called with the number of each generation and the lowest score so far.
 ///
 /// # Errors
-/// When the scenario itself cannot be played.
+/// If a scenario cannot run: it has faults that cannot be simulated, or settings that the limiters reject.
 pub fn search(
     given: &Scenario,
     seed: u64,
     bounds: Bounds,
-    mut told: impl FnMut(u32, f64),
+    mut on_generation: impl FnMut(u32, f64),
 ) -> Result<Found, String> {
     let seeds: Vec<u64> = (0..u64::from(bounds.seeds.max(1))).map(|n| seed + n).collect();
-    let judge = |s: &Scenario| -> Result<(f64, bool), String> {
+    let evaluate = |s: &Scenario| -> Result<(f64, bool), String> {
         let runs = trials::play(s, &seeds, |_| {})?;
         let mean = runs.iter().map(|r| r.score).sum::<f64>() / runs.len() as f64;
         Ok((mean, runs.iter().any(|r| r.broken_count > 0)))
     };
-    let (score, broken) = judge(given)?;
+    let (score, broken) = evaluate(given)?;
     let mut found = Found { scenario: given.clone(), score, given: score, broken, candidates: 1 };
     for generation in 0..bounds.generations {
         if found.broken {
@@ -71,53 +73,54 @@
         }
         let child = |n| {
             let mut rng = draws::stream(seed, "search", u64::from(generation) * CHILDREN + n);
-            changed(&mut rng, given, &found.scenario, bounds)
+            mutate(&mut rng, given, &found.scenario, bounds)
         };
         let children: Vec<Scenario> =
             (0..CHILDREN).map(child).filter(|c| c.validation_errors().is_empty()).collect();
-        let judged: Vec<(f64, bool)> = children.par_iter().map(judge).collect::<Result<_, _>>()?;
+        let results: Vec<(f64, bool)> = children.par_iter().map(evaluate).collect::<Result<_, _>>()?;
         found.candidates += children.len() as u32;
-        for (child, (score, broken)) in children.into_iter().zip(judged) {
+        for (child, (score, broken)) in children.into_iter().zip(results) {
             if score < found.score {
                 (found.scenario, found.score, found.broken) = (child, score, broken);
             }
         }
-        told(generation + 1, found.score);
+        on_generation(generation + 1, found.score);
     }
     Ok(found)
 }
 
-/// A figure moved by up to a third, within its bounds.
-fn moved(rng: &mut Stream, value: f64, [low, high]: [f64; 2]) -> f64 {
+/// Multiplies a value by a random factor from 0.67 to 1.5, within its bounds.
+fn perturb(rng: &mut Stream, value: f64, [low, high]: [f64; 2]) -> f64 {
     (value * draws::between(rng, [0.67, 1.5])).clamp(low.min(high), high)
 }
 
-fn changed(rng: &mut Stream, given: &Scenario, from: &Scenario, bounds: Bounds) -> Scenario {
+/// Returns a variant of `from` whose values stay within the bounds around those of `given`.
+fn mutate(rng: &mut Stream, given: &Scenario, from: &Scenario, bounds: Bounds) -> Scenario {
     let round = |value: f64| (value * 1000.0).round() / 1000.0;
-    let within = |of: f64| [of / bounds.factor, of * bounds.factor];
+    let range = |value: f64| [value / bounds.factor, value * bounds.factor];
     let mut s = from.clone();
     if draws::chance(rng, 0.5) {
-        s.clients.load = round(moved(rng, s.clients.load, bounds.load));
+        s.clients.load = round(perturb(rng, s.clients.load, bounds.load));
     }
     if draws::chance(rng, 0.3) {
-        s.net.mail_loss = round(moved(rng, s.net.mail_loss, within(given.net.mail_loss)).min(1.0));
+        s.net.mail_loss = round(perturb(rng, s.net.mail_loss, range(given.net.mail_loss)).min(1.0));
     }
     if draws::chance(rng, 0.3) {
-        let times = moved(rng, s.clients.greedy_times, within(given.clients.greedy_times));
-        s.clients.greedy_times = round(times.max(1.0));
+        let factor = perturb(rng, s.clients.greedy_times, range(given.clients.greedy_times));
+        s.clients.greedy_times = round(factor.max(1.0));
     }
     let seconds = s.seconds;
-    for (t, was) in s.timeline.iter_mut().zip(&given.timeline) {
+    for (t, original) in s.timeline.iter_mut().zip(&given.timeline) {
         if draws::chance(rng, 0.5) {
             t.at_s = round(rng.random::<f64>() * (seconds - 1.0).max(0.0));
         }
-        let change = |rng: &mut Stream, now: &mut f64, was: f64| {
+        let change = |rng: &mut Stream, current: &mut f64, original: f64| {
             if draws::chance(rng, 0.4) {
-                *now = round(moved(rng, *now, within(was)));
+                *current = round(perturb(rng, *current, range(original)));
             }
         };
-        change(rng, &mut t.for_s, was.for_s);
-        let figures: [fn(&mut Trouble) -> &mut Option<f64>; 6] = [
+        change(rng, &mut t.for_s, original.for_s);
+        let values: [fn(&mut Trouble) -> &mut Option<f64>; 6] = [
             |t| &mut t.times,
             |t| &mut t.share,
             |t| &mut t.per_s,
@@ -125,10 +128,10 @@
             |t| &mut t.length_s,
             |t| &mut t.down_s,
         ];
-        for figure in figures {
-            let was = *figure(&mut was.clone());
-            if let (Some(now), Some(was)) = (figure(t).as_mut(), was) {
-                change(rng, now, was);
+        for value in values {
+            let original = *value(&mut original.clone());
+            if let (Some(current), Some(original)) = (value(t).as_mut(), original) {
+                change(rng, current, original);
             }
         }
     }
--- a/crates/rehearsal/src/shrink.rs
+++ b/crates/rehearsal/src/shrink.rs
@@ -1,40 +1,38 @@
-//! The shortest scenario that still breaks a rule, found by taking things away.
+//! Reduces a scenario that violates a rule to a minimal one that still violates it.
 
 use crate::rules::Rule;
 use crate::scenario::Scenario;
 use crate::world::World;
 
-/// A scenario that breaks a rule, and how many runs it took to find.
+/// A reduced scenario, and the number of runs that it took.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Shrunk {
-    /// The scenario.
+    /// The reduced scenario.
     pub scenario: Scenario,
-    /// Runs that were played.
+    /// Number of runs.
     pub runs: u32,
 }
 
-/// Seconds that are left after the moment of the break.
+/// Time that a scenario continues after the violation, in seconds.
 const TAIL_S: f64 = 1.0;
 
-/// Takes entries of the timeline, time, limiters, nodes, classes and plans away for as long as the same rule breaks under
-/// the same seed, with `most` runs at most. The scenario comes back as it is if it does not break the rule.
-pub fn shrink(scenario: &Scenario, seed: u64, rule: Rule, most: u32) -> Shrunk {
+/// Removes entries of the timeline, time, limiters, servers, classes and plans while the same rule is violated under
+/// the same seed, in at most `max_runs` runs. Returns the scenario unchanged if it does not violate the rule.
+pub fn shrink(scenario: &Scenario, seed: u64, rule: Rule, max_runs: u32) -> Shrunk {
     let mut runs = 0;
     let mut best = scenario.clone();
-    // Each pass tries everything once; what was kept by one may let another be taken away.
+    // Each pass tries every step once. Repeated, since one reduction may make another possible.
     loop {
         let before = best.clone();
         for step in 0.. {
-            let Some(next) = smaller(&best, step) else { break };
-            if runs >= most {
+            let Some(new) = reduce(&best, step) else { break };
+            if runs >= max_runs {
                 return Shrunk { scenario: best, runs };
             }
-            let Some(next) = next.filter(|s| *s != best && s.validation_errors().is_empty()) else {
-                continue;
-            };
+            let Some(new) = new.filter(|s| *s != best && s.validation_errors().is_empty()) else { continue };
             runs += 1;
-            if let Some(at_s) = breaks(&next, seed, rule) {
-                best = next;
+            if let Some(at_s) = first_violation(&new, seed, rule) {
+                best = new;
                 best.seconds = best.seconds.min((at_s + TAIL_S).max(2.0));
             }
         }
@@ -44,22 +42,23 @@
     }
 }
 
-/// When the rule is broken first, in seconds.
-pub fn breaks(scenario: &Scenario, seed: u64, rule: Rule) -> Option<f64> {
+/// Time of the first violation of the rule, in seconds; `None` if the run does not violate it.
+pub fn first_violation(scenario: &Scenario, seed: u64, rule: Rule) -> Option<f64> {
     let run = World::new(scenario, seed).ok()?.play(|_| {});
     run.figures.broken.iter().find(|b| b.rule == rule).map(|b| b.at_s)
 }
 
-/// The scenario with one thing less. Nothing when there are no more steps; an inner nothing when this one has no use.
-fn smaller(of: &Scenario, step: usize) -> Option<Option<Scenario>> {
-    let mut s = of.clone();
-    let troubles = s.timeline.len();
-    if step < troubles {
-        // From the last on: what came after the break goes first.
-        s.timeline.remove(troubles - 1 - step);
+/// Applies one step of the reduction. Returns `None` if there are no more steps, and `Some(None)` if this step does
+/// not apply to the scenario.
+fn reduce(scenario: &Scenario, step: usize) -> Option<Option<Scenario>> {
+    let mut s = scenario.clone();
+    let faults = s.timeline.len();
+    if step < faults {
+        // The last entries are removed first, since those after the violation cannot have caused it.
+        s.timeline.remove(faults - 1 - step);
         return Some(Some(s));
     }
-    match step - troubles {
+    match step - faults {
         0 => s.nodes.count = (s.nodes.count / 2).max(1),
         1 => s.nodes.count = (s.nodes.count - 1).max(1),
         2 => s.limiters.count = (s.limiters.count / 2).max(1),
--- a/crates/rehearsal/src/size.rs
+++ b/crates/rehearsal/src/size.rs
@@ -1,8 +1,9 @@
-//! The size that is planned for, as scenarios: the whole of it takes minutes and gigabytes, a small form seconds.
+//! Scenarios at the planned size of the deployment. A run at full size takes minutes and gigabytes of memory; scaled
+//! down it takes seconds.
 
 use crate::scenario::Scenario;
 
-/// Name of each scenario, and its file.
+/// Name and TOML text of each scenario.
 pub const ALL: &[(&str, &str)] = &[
     ("calm", include_str!("../scenarios/size/calm.toml")),
     ("zone-lost", include_str!("../scenarios/size/zone-lost.toml")),
@@ -10,18 +11,19 @@
     ("replaced", include_str!("../scenarios/size/replaced.toml")),
 ];
 
-/// The scenario of that name at its whole size; nothing if there is none.
+/// Returns the scenario with the given name at full size, if there is one.
 pub fn find(name: &str) -> Option<Scenario> {
     let (_, text) = ALL.iter().find(|(known, _)| *known == name)?;
     Scenario::read(text).ok()
 }
 
-/// The same with another number of limiters, and as many nodes and as much load for each.
+/// Returns the scenario with another number of limiters, and the same number of servers and the same load per
+/// limiter.
 pub fn scaled_to(scenario: &Scenario, limiters: u32) -> Scenario {
-    let mut sized = scenario.clone();
-    let times = f64::from(limiters) / f64::from(scenario.limiters.count);
-    sized.limiters.count = limiters;
-    sized.limiters.prefetch = (f64::from(scenario.limiters.prefetch) * times).round() as u32;
-    sized.nodes.count = (f64::from(scenario.nodes.count) * times).round().max(2.0) as u32;
-    sized
+    let mut scaled = scenario.clone();
+    let factor = f64::from(limiters) / f64::from(scenario.limiters.count);
+    scaled.limiters.count = limiters;
+    scaled.limiters.prefetch = (f64::from(scenario.limiters.prefetch) * factor).round() as u32;
+    scaled.nodes.count = (f64::from(scenario.nodes.count) * factor).round().max(2.0) as u32;
+    scaled
 }
--- a/crates/rehearsal/src/trials.rs
+++ b/crates/rehearsal/src/trials.rs
@@ -1,4 +1,4 @@
-//! One scenario under many seeds, and two scenarios under the same seeds.
+//! Runs of one scenario under many seeds, and comparison of two scenarios under the same seeds.
 
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -9,38 +9,38 @@
 use crate::world::World;
 use rand::RngExt;
 
-/// Plays a scenario under each seed, on all cores; the figures stand in the order of the seeds, whatever the number of
-/// threads. `played` is told of each run that is over.
+/// Runs a scenario under each seed, on all cores. The figures are in the order of the seeds, whatever the number of
+/// threads. `on_run` is called after each run.
 ///
 /// # Errors
-/// When the limiters cannot be served with the scenario's settings.
+/// If the scenario has faults that cannot be simulated, or settings that the limiters reject.
 pub fn play(
     scenario: &Scenario,
     seeds: &[u64],
-    played: impl Fn(&Figures) + Sync,
+    on_run: impl Fn(&Figures) + Sync,
 ) -> Result<Vec<Figures>, String> {
     let run = |seed: &u64| {
         let figures = World::new(scenario, *seed)?.play(|_| {}).figures;
-        played(&figures);
+        on_run(&figures);
         Ok(figures)
     };
     seeds.par_iter().map(run).collect()
 }
 
-/// What a figure came to over many seeds.
+/// Distribution of a figure over many seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// Least.
+    /// Minimum.
     pub least: f64,
     /// Median.
     pub median: f64,
     /// Mean.
     pub mean: f64,
-    /// Most.
+    /// Maximum.
     pub most: f64,
 }
 
-/// The spread of some figures; nothing of none.
+/// Distribution of some values; `None` if there are none.
 pub fn spread(values: &[f64]) -> Option<Spread> {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -49,19 +49,20 @@
     Some(Spread { least, median, mean: sorted.iter().sum::<f64>() / sorted.len() as f64, most })
 }
 
-/// What the difference of two builds or settings comes to on the same seeds.
+/// Difference between two builds or settings on the same seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
-    /// Mean of the paired differences, second less first.
+    /// Mean of the paired differences, second minus first.
     pub mean: f64,
-    /// Their 95% bootstrap interval (percentile method; Efron and Tibshirani, An Introduction to the Bootstrap, ch. 13).
+    /// Its 95% bootstrap confidence interval (percentile method; Efron and Tibshirani, An Introduction to the
+    /// Bootstrap, ch. 13).
     pub interval: [f64; 2],
-    /// Pairs.
+    /// Number of pairs.
     pub pairs: usize,
 }
 
 impl Difference {
-    /// In words.
+    /// Verdict in words: whether the second is better, assuming that higher values are.
     pub fn verdict(&self) -> &'static str {
         match self.interval {
             _ if self.pairs < 5 => "cannot tell: five seeds or more are needed",
@@ -72,10 +73,10 @@
     }
 }
 
-/// Resamples of the bootstrap.
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 4000;
 
-/// The paired difference of two rows of figures; nothing of none.
+/// Paired difference of two series of values; `None` if there are no pairs.
 pub fn difference(first: &[f64], second: &[f64]) -> Option<Difference> {
     let pairs: Vec<f64> = first.iter().zip(second).map(|(a, b)| b - a).collect();
     let mean = spread(&pairs)?.mean;
--- a/crates/rehearsal/tests/planted.rs
+++ b/crates/rehearsal/tests/planted.rs
@@ -42,15 +42,15 @@
         let (scenario, rule) = scenario(fault);
         activate(None);
         assert!(
-            (1..=SEEDS).all(|seed| shrink::breaks(&scenario, seed, rule).is_none()),
+            (1..=SEEDS).all(|seed| shrink::first_violation(&scenario, seed, rule).is_none()),
             "{fault:?}: found without it"
         );
         activate(Some(fault));
-        let found = (1..=SEEDS).find(|seed| shrink::breaks(&scenario, *seed, rule).is_some());
+        let found = (1..=SEEDS).find(|seed| shrink::first_violation(&scenario, *seed, rule).is_some());
         let seed = found.unwrap_or_else(|| panic!("{fault:?} is not found within {SEEDS} seeds"));
         let shrunk = shrink::shrink(&scenario, seed, rule, 120).scenario;
         assert!(
-            shrink::breaks(&shrunk, seed, rule).is_some(),
+            shrink::first_violation(&shrunk, seed, rule).is_some(),
             "{fault:?}: the shrunk scenario breaks the rule"
         );
         let size = |s: &Scenario| {
