--- a/marldeal/tests/crossings.rs
+++ b/marldeal/tests/crossings.rs
@@ -211,9 +211,9 @@
     let owned_by_peer = (1..40).find(|customer| {
         let mut client = TcpStream::connect(limiter.addr).expect("connect");
         client.write_all(request(*customer, 0).as_bytes()).expect("write");
-        let asked = peer.recv(&mut buffer).is_ok();
+        let peer_asked = peer.recv(&mut buffer).is_ok();
         read_answer(&mut client);
-        asked
+        peer_asked
     });
     let customer = owned_by_peer.expect("the peer is the first quota owner of one of them");
     while peer.recv(&mut buffer).is_ok() {}
--- a/marldeal/tests/external.rs
+++ b/marldeal/tests/external.rs
@@ -1,4 +1,4 @@
-//! The external processor on sockets: the real program, stand-in proxies that ask it and enforce its verdicts,
+//! The external processor on sockets: the real program, stand-in proxies that consult it and enforce its verdicts,
 //! and stub servers. Each test causes the failure it is named after.
 
 mod stubs;
@@ -752,15 +752,15 @@
     );
     let channel = channel(limiter.processor_addr()).await;
     let begun = || Phase::ResponseHeaders(headers(vec![(":status", "200".to_string())], false));
-    let mut whole = present(&channel, &call("c-1", "book"), Some(1)).await;
-    let answer = whole.next().await.expect("an answer");
+    let mut complete = present(&channel, &call("c-1", "book"), Some(1)).await;
+    let answer = complete.next().await.expect("an answer");
     assert_eq!(answer.mode_override.map(|m| m.response_trailer_mode), Some(1), "trailers are requested");
-    whole.send(begun()).await;
-    assert_eq!(next_verdict(&mut whole).await, "pass");
+    complete.send(begun()).await;
+    assert_eq!(next_verdict(&mut complete).await, "pass");
     for _ in 0..2 {
-        whole.send(Phase::ResponseTrailers(ext::HttpTrailers::default())).await;
+        complete.send(Phase::ResponseTrailers(ext::HttpTrailers::default())).await;
         assert!(matches!(
-            whole.next().await.expect("an answer").response,
+            complete.next().await.expect("an answer").response,
             Some(Verdict::ResponseTrailers(_))
         ));
     }
@@ -769,7 +769,7 @@
     broken.send(begun()).await;
     assert_eq!(next_verdict(&mut broken).await, "pass");
     drop(broken);
-    drop(whole);
+    drop(complete);
     tokio::time::sleep(Duration::from_millis(300)).await;
     let line = stop(&mut limiter);
     assert!(
--- a/marldeal/tests/failing_calls.rs
+++ b/marldeal/tests/failing_calls.rs
@@ -116,8 +116,8 @@
     let limiter = Limiter::start(&[("s-1", &old, "active")]);
     let next = Discovery::new(update_line(9, true, &[("s-2", new.addr, "active")]));
     let before = limiter.discovery.addr.to_string();
-    let mut whole = String::new();
-    let saved = std::sync::Mutex::new(&mut whole);
+    let mut complete = String::new();
+    let saved = std::sync::Mutex::new(&mut complete);
     limiter.reload(|config| {
         let altered = config.replace(&before, &next.addr.to_string());
         let half = altered[..altered.len() / 2].to_string();
@@ -125,7 +125,7 @@
         half
     });
     limiter.wait_log("the old configuration stands");
-    limiter.rewrite_config(&whole);
+    limiter.rewrite_config(&complete);
     wait_for("the new discovery address", || send_request(&limiter, &numbered(2)).body == "new");
 }
 
@@ -149,8 +149,8 @@
         let text =
             raw_answer(&limiter, &get("look", "Connection: close\r\n").replace("c-1", &format!("c-{n}")));
         // The client's connection may be the broken one; it then ends without an answer.
-        let whole = text.starts_with("HTTP/1.1 200") || text.starts_with("HTTP/1.1 429");
-        assert!(text.is_empty() || whole, "{text}");
+        let is_answer = text.starts_with("HTTP/1.1 200") || text.starts_with("HTTP/1.1 429");
+        assert!(text.is_empty() || is_answer, "{text}");
         served += usize::from(text.starts_with("HTTP/1.1 200"));
     }
     assert!(served >= 30, "{served} of 60");
--- a/marldeal/tests/faults.rs
+++ b/marldeal/tests/faults.rs
@@ -128,7 +128,7 @@
     }
 }
 
-/// Counts asks whose numbers have the highest bit set, which marks a prefetch instead of a request.
+/// Counts `Ask` lines whose ids have bit 31 set, which marks a prefetch instead of a request.
 struct CountsPrefetches(Arc<AtomicU64>);
 
 impl Invariant for CountsPrefetches {
--- a/marldeal/tests/modes.rs
+++ b/marldeal/tests/modes.rs
@@ -113,10 +113,10 @@
             (call.customer.id, call.kind.units, status)
         }));
     }
-    let mut figures = Counts::new();
+    let mut counts_by_customer = Counts::new();
     for answer in pending {
         let (customer, units, status) = answer.await.expect("an answer");
-        let counts = figures.entry(customer).or_default();
+        let counts = counts_by_customer.entry(customer).or_default();
         match status {
             200 => (counts.0, counts.1) = (counts.0 + units, counts.1 + 1),
             429 => counts.2 += 1,
@@ -125,7 +125,7 @@
             other => panic!("status {other} in {mode:?}"),
         }
     }
-    figures
+    counts_by_customer
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -141,14 +141,14 @@
         replay(mixed.0, &mixed.1, &calls)
     );
     for (mode, fleet) in &fleets {
-        let at_once = fleet.servers.iter().map(Stub::max_concurrent_requests).max();
-        assert_eq!(at_once, Some(1), "{mode:?}: two attempts of a request were at a server at once");
+        let max_concurrent = fleet.servers.iter().map(Stub::max_concurrent_requests).max();
+        assert_eq!(max_concurrent, Some(1), "{mode:?}: two attempts of a request were at a server at once");
     }
     let mut out_of_bound = Vec::new();
     for customer in customers {
         let (_, rate, burst) = PLANS.iter().find(|(name, ..)| *name == customer.plan).expect("a plan");
         let bound = burst + rate + MAX_REQUEST_UNITS;
-        let units = [&a, &b, &c].map(|figures| figures[&customer.id].0);
+        let units = [&a, &b, &c].map(|counts| counts[&customer.id].0);
         let (min, max) = units.iter().fold((f64::MAX, 0.0_f64), |(l, m), u| (l.min(*u), m.max(*u)));
         println!("customer {} on {}: units {units:?}, bound {bound}", customer.id, customer.plan);
         if max - min > bound {
@@ -156,7 +156,7 @@
         }
     }
     assert!(out_of_bound.is_empty(), "seed {SEED:#x}: beyond the bound: {out_of_bound:?}");
-    let refused = |figures: &Counts| figures.values().map(|f| f.2).sum::<u32>();
+    let refused = |counts: &Counts| counts.values().map(|c| c.2).sum::<u32>();
     assert!(
         refused(&a) > 300 && refused(&b) > 300 && refused(&c) > 300,
         "customers beyond their quotas are refused"
