--- a/crates/faults/src/environment/clients.rs
+++ b/crates/faults/src/environment/clients.rs
@@ -69,7 +69,7 @@
 fn send(environment: &Rc<Environment>, state: &mut State, now: f64, of: Try) {
     let (firm, class) =
         (state.clients.customers()[of.customer].clone(), state.scenario.classes[of.class].clone());
-    if of.turn == 0 {
+    if of.earlier_tries == 0 {
         while state.quota_stores.len() <= of.customer {
             state.oracle.add_customer(now, state.clients.customers()[state.quota_stores.len()].plan);
             state.quota_stores.push(TokenBucket::full(now, f64::INFINITY));
--- a/crates/faults/src/environment/servers.rs
+++ b/crates/faults/src/environment/servers.rs
@@ -199,7 +199,7 @@
                     let share =
                         state.servers[index].simulation.overload_failure().map_or(0.0, |f| f.notified_share);
                     state.oracle.server_overloaded(now, index, share);
-                    state.recorder.falls += 1;
+                    state.recorder.overload_failures += 1;
                     end_process(&environment, state, index);
                 }
                 drop(guard);
--- a/crates/faults/src/environment/timeline.rs
+++ b/crates/faults/src/environment/timeline.rs
@@ -60,19 +60,19 @@
             tokio::time::sleep(seconds(t.after_s)).await;
             nodes.iter().for_each(|n| end_process(&environment, &mut environment.state.borrow_mut(), *n));
         }
-        What::Stall => change_servers(&|server, now| server.simulation.halt(now, true)),
-        What::Slow => {
-            change_servers(&|server, now| server.simulation.slow(now, t.times.unwrap_or(1.0).max(0.01)))
-        }
+        What::Stall => change_servers(&|server, now| server.simulation.set_stalled(now, true)),
+        What::Slow => change_servers(&|server, now| {
+            server.simulation.set_slowdown(now, t.times.unwrap_or(1.0).max(0.01))
+        }),
         What::Errors => change_servers(&|server, _| server.error_share = t.share.unwrap_or(0.0)),
         What::Resets => change_servers(&|server, _| server.reset_share = t.share.unwrap_or(0.0)),
         What::RosterSilent => change_discovery_silence(&environment, &t, 1),
         What::Cut => environment.links.apply_cuts(&environment.datagrams.network.borrow()),
         What::Pause => {
             while tokio::time::Instant::now() < until {
-                change_servers(&|server, now| server.simulation.halt(now, true));
+                change_servers(&|server, now| server.simulation.set_stalled(now, true));
                 tokio::time::sleep(seconds(t.length_s)).await;
-                change_servers(&|server, now| server.simulation.halt(now, false));
+                change_servers(&|server, now| server.simulation.set_stalled(now, false));
                 let rest = t.every_s.unwrap_or(1.0) - t.length_s.unwrap_or(0.0);
                 tokio::time::sleep(Duration::from_secs_f64(rest.max(0.001))).await;
             }
@@ -129,8 +129,8 @@
                 restart_process(&environment, n).await;
             }
         }
-        What::Stall => change_servers(&|server, now| server.simulation.halt(now, false)),
-        What::Slow => change_servers(&|server, now| server.simulation.slow(now, 1.0)),
+        What::Stall => change_servers(&|server, now| server.simulation.set_stalled(now, false)),
+        What::Slow => change_servers(&|server, now| server.simulation.set_slowdown(now, 1.0)),
         What::Errors => change_servers(&|server, _| server.error_share = 0.0),
         What::Resets => change_servers(&|server, _| server.reset_share = 0.0),
         What::RosterSilent => {
--- a/crates/rehearsal/src/account.rs
+++ b/crates/rehearsal/src/account.rs
@@ -1,10 +1,11 @@
 //! The time that limiters add to requests, and the cost of their control messages.
 //!
-//! *Added* time is the time from the complete receipt of a request to the first byte of its first attempt: the wait until
-//! its ask may be sent under the message limit, the wait for the reply of the quota owner, queueing for a slot or a server,
-//! and the round trip of a new connection. It does not include a limiter's processor time, of which the virtual world has
-//! none (`marldeal-bench slopes` measures it on a process). *Control* is the messages between limiters and the changes of
-//! the server list; requests, attempts and their answers are data and don't count. Nothing here does I/O.
+//! *Added* time is the time from the complete receipt of a request to the first byte of its first attempt: the wait
+//! until its ask may be sent under the message limit, the wait for the reply of the quota owner, queueing for a slot
+//! or a server, and the round trip of a new connection. It does not include a limiter's processor time, of which the
+//! virtual world has none (`marldeal-bench slopes` measures it on a process). *Control* is the messages between
+//! limiters and the changes of the server list; requests, attempts and their answers are data and don't count.
+//! Nothing here does I/O.
 
 use fawnhill::{LineKind, Millis, RequestId};
 use hdrhistogram::Histogram;
@@ -40,8 +41,8 @@
     pub refused_ms: Quantiles,
 }
 
-/// Control messages and server list changes per second: the mean over all limiters, and the maximum of a limiter. The time
-/// for which a limiter was down counts as well.
+/// Control messages and server list changes per second: the mean over all limiters, and the maximum of a limiter. The
+/// time for which a limiter was down counts as well.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Control {
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,8 +1,8 @@
 //! Customers and their clients: when a request is made, of which class, at which limiter, and when a client retries.
 //!
 //! The load is an open loop: the seed alone decides the arrivals, which do not wait for answers. This module sends
-//! nothing itself. Each [`ClientAction`] says what a client does, and the caller carries it out in a virtual network or on
-//! sockets.
+//! nothing itself. Each [`ClientAction`] says what a client does, and the caller carries it out in a virtual network
+//! or on sockets.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -66,9 +66,9 @@
     /// How long the client waits for an answer.
     pub budget_ms: Millis,
     /// When the request was made.
-    pub asked: Millis,
-    /// Index of the try within its request, from 0.
-    pub turn: u32,
+    pub requested_at: Millis,
+    /// Number of earlier tries of the request.
+    pub earlier_tries: u32,
 }
 
 /// Outcome of a request for its client.
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Lets the last `customers` customers of the list, which are of the last plan, add `share` to the total traffic. A share
-    /// of 0 ends the flood.
+    /// Lets the last `customers` customers of the list, which are of the last plan, add `share` to the total traffic.
+    /// A share of 0 ends the flood.
     pub fn flood(&mut self, now: Millis, customers: u32, share: f64) {
         let total: f64 = self.customers[..self.regular_customers].iter().map(|state| state.demand).sum();
         let some: Vec<usize> = (0..self.regular_customers).rev().take(customers as usize).collect();
@@ -321,18 +321,19 @@
             TryResult::Answer(Answer::Refused { retry_ms }) => (retry_ms, ClientOutcome::Refused, true),
             // A request that may have run is retried only if a repeat does no harm.
             TryResult::Answer(Answer::Failed) | TryResult::NoAnswer => {
-                let keyed = class.repeats == Repeats::Keyed && now - current.asked < class.window_s * 1000.0;
+                let keyed =
+                    class.repeats == Repeats::Keyed && now - current.requested_at < class.window_s * 1000.0;
                 (0.0, ClientOutcome::Failed, class.repeats == Repeats::Safe || keyed)
             }
         };
         let give_up_at = open.give_up_at;
         let c = &self.scenario.clients;
-        let backoff_factor = 2f64.powi(current.turn as i32);
+        let backoff_factor = 2f64.powi(current.earlier_tries as i32);
         let mut wait = draws::between(&mut self.rng, c.backoff_ms) * backoff_factor;
         if draws::chance(&mut self.rng, c.obey) {
             wait = wait.max(advised_wait);
         }
-        if !may_retry || current.turn >= c.retries || now + wait >= give_up_at {
+        if !may_retry || current.earlier_tries >= c.retries || now + wait >= give_up_at {
             return self.finish(slot, outcome, out);
         }
         self.slots.remove(&try_id);
@@ -356,8 +357,8 @@
         self.events.push(Reverse((nanos(at), self.sequence, event)));
     }
 
-    /// Draws a customer's next arrival, which replaces the one drawn before. That is correct because Poisson arrivals are
-    /// memoryless.
+    /// Draws a customer's next arrival, which replaces the one drawn before. That is correct because Poisson arrivals
+    /// are memoryless.
     fn draw_arrival(&mut self, now: Millis, customer: usize) {
         let units = self.scenario.mean(|c| c.units);
         let state = &mut self.customers[customer];
@@ -456,8 +457,17 @@
         let work = draws::work(&mut state.rng, self.scenario.nodes.law, self.scenario.classes[class].work_ms);
         let give_up = self.scenario.classes[class].give_up_s * 1000.0;
         let job = self.next_id();
-        let first_try =
-            Try { id: 0, job, customer, class, limiter: 0, work, budget_ms: 0.0, asked: now, turn: 0 };
+        let first_try = Try {
+            id: 0,
+            job,
+            customer,
+            class,
+            limiter: 0,
+            work,
+            budget_ms: 0.0,
+            requested_at: now,
+            earlier_tries: 0,
+        };
         let slot = self.free.pop().unwrap_or_else(|| {
             self.open.push(None);
             self.open.len() as u32 - 1
@@ -474,7 +484,7 @@
             return;
         };
         open.waiting_for_retry = false;
-        open.current.turn += 1;
+        open.current.earlier_tries += 1;
         self.slots.remove(&open.current.id);
         self.send(now, slot, out);
     }
--- a/crates/rehearsal/src/draws.rs
+++ b/crates/rehearsal/src/draws.rs
@@ -1,5 +1,5 @@
-//! Random numbers. A run has one seed and an independent stream per purpose, so that a change to one part of a scenario
-//! leaves the draws of the other parts as they are (common random numbers, which make two runs comparable).
+//! Random numbers. A run has one seed and an independent stream per purpose, so that a change to one part of a
+//! scenario leaves the draws of the other parts as they are (common random numbers, which make two runs comparable).
 
 use fawnhill::Millis;
 use rand::{Rng, RngExt, SeedableRng};
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -139,7 +139,7 @@
     /// Connections opened.
     pub connections: u64,
     /// Servers that failed from overload.
-    pub falls: u32,
+    pub overload_failures: u32,
 }
 
 /// Size of a full message, by which the deduction for messages is scaled.
@@ -180,7 +180,7 @@
             completed_work_ms: 0.0,
             abandoned_work_ms: 0.0,
             connections: 0,
-            falls: 0,
+            overload_failures: 0,
             scenario: scenario.clone(),
         }
     }
@@ -236,7 +236,7 @@
     pub fn finished(&mut self, now: Millis, plan: usize, last: &Try, outcome: ClientOutcome, inside: bool) {
         let class = &self.scenario.classes[last.class];
         let worth = class.worth * self.scenario.plans[plan].price;
-        let elapsed_ms = now - last.asked;
+        let elapsed_ms = now - last.requested_at;
         let in_time = elapsed_ms <= class.aim_s * 1000.0;
         let add_outcome = |ends: &mut OutcomeCounts| match outcome {
             ClientOutcome::Served if in_time => ends.in_time += 1,
@@ -252,7 +252,7 @@
             let _ = self.latencies[plan].record(us.clamp(1, MAX_LATENCY_US));
             self.second_latencies_ms.push(elapsed_ms);
             if in_time && inside {
-                self.second(last.asked).worth[plan][1] += worth;
+                self.second(last.requested_at).worth[plan][1] += worth;
             }
         } else if !in_time {
             self.late_failure_worth += worth;
@@ -357,7 +357,7 @@
                 0.0
             },
             connections: self.connections,
-            falls: self.falls,
+            falls: self.overload_failures,
             broken_count,
             broken: broken.to_vec(),
             events,
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,9 +1,9 @@
 //! Simulation of incidents on one machine: real limiters in a virtual world of servers, network, clients and faults.
 //!
-//! This crate opens no socket, reads no clock and decides nothing for a limiter. A [`scenario::Scenario`] describes what
-//! is simulated. [`world::World`] runs it under a seed with the real engine and decision module. [`rules::Oracle`] checks
-//! every attempt and answer against the five rules, and [`figures::Figures`] hold the measured service. The same scenario
-//! and seed give the same figures, byte for byte.
+//! This crate opens no socket, reads no clock and decides nothing for a limiter. A [`scenario::Scenario`] describes
+//! what is simulated. [`world::World`] runs it under a seed with the real engine and decision module.
+//! [`rules::Oracle`] checks every attempt and answer against the five rules, and [`figures::Figures`] hold the
+//! measured service. The same scenario and seed give the same figures, byte for byte.
 //!
 //! ```
 //! use marldeal_rehearsal::{scenario::Scenario, world::World};
--- a/crates/rehearsal/src/network.rs
+++ b/crates/rehearsal/src/network.rs
@@ -1,6 +1,6 @@
 //! The simulated network between limiters, which decides for each datagram whether it is lost, delayed, duplicated,
-//! corrupted or cut off. Each ordered pair of limiters is a link of its own. There is no I/O and no clock here; the virtual
-//! world and the test environment of real processes use the same code.
+//! corrupted or cut off. Each ordered pair of limiters is a link of its own. There is no I/O and no clock here; the
+//! virtual world and the test environment of real processes use the same code.
 
 use fawnhill::Millis;
 use rand::RngExt;
@@ -101,8 +101,8 @@
         self.zone_cuts[zone as usize] == 0
     }
 
-    /// Whether discovery reaches a zone with changes of a server in another: both have to be in regions that reach each
-    /// other.
+    /// Whether discovery reaches a zone with changes of a server in another: both have to be in regions that reach
+    /// each other.
     pub fn discovery_reports(&self, zone: u32, server_zone: u32) -> bool {
         self.discovery_reaches(zone) && self.connected(zone, server_zone)
     }
--- a/crates/rehearsal/src/observe.rs
+++ b/crates/rehearsal/src/observe.rs
@@ -1,6 +1,6 @@
-//! Observations of a fleet from outside, and invariants over them. Each invariant is a state machine without I/O that gets
-//! observations with their times and never queries a limiter. The virtual world, real processes and a model checker can
-//! use the same invariants.
+//! Observations of a fleet from outside, and invariants over them. Each invariant is a state machine without I/O that
+//! gets observations with their times and never queries a limiter. The virtual world, real processes and a model
+//! checker can use the same invariants.
 
 use std::collections::BTreeMap;
 
@@ -155,10 +155,12 @@
     }
 }
 
-/// A limiter replies at most once to each ask that reaches it, so that asks from before a partition are not answered again.
+/// A limiter replies at most once to each ask that reaches it, so that asks from before a partition are not answered
+/// again.
 #[derive(Default)]
 pub struct OneReplyPerAsk {
-    /// By receiver, sender and request: number of asks received that have no reply yet, and when the last was received.
+    /// By receiver, sender and request: number of asks received that have no reply yet, and when the last was
+    /// received.
     asked: BTreeMap<(usize, usize, RequestId), (u32, Millis)>,
     last_cleanup: Millis,
 }
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -1,7 +1,7 @@
 //! The oracle, which checks every attempt, outcome and answer of all limiters against the five rules.
 //!
-//! It keeps its own records (token buckets, outstanding attempts, notices that limiters received) and never queries the
-//! limiters, so that a fault of a limiter cannot hide in that limiter's own figures.
+//! It keeps its own records (token buckets, outstanding attempts, notices that limiters received) and never queries
+//! the limiters, so that a fault of a limiter cannot hide in that limiter's own figures.
 
 use fawnhill::{Millis, Outcome};
 use marldeal_engine::Answer;
@@ -106,7 +106,8 @@
 const DRAIN_GRACE_MS: Millis = 1000.0;
 /// Maximum delay with which an oracle at the servers' sockets observes what a limiter did.
 pub const OBSERVATION_DELAY_MS: Millis = 150.0;
-/// Share of the work from limiters that had been notified of a server's start, from which they are blamed for its failure.
+/// Share of the work from limiters that had been notified of a server's start, from which they are blamed for its
+/// failure.
 const BLAMED_SHARE: f64 = 2.0 / 3.0;
 
 /// Checks the five rules; see the module documentation.
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Creates an oracle that observes attempts when they arrive at servers. It allows [`OBSERVATION_DELAY_MS`] more for each
-    /// time limit, and does not check whether an attempt had ended before the next began.
+    /// Creates an oracle that observes attempts when they arrive at servers. It allows [`OBSERVATION_DELAY_MS`] more
+    /// for each time limit, and does not check whether an attempt had ended before the next began.
     pub fn with_delayed_observation(scenario: &Scenario, from: Millis) -> Oracle {
         Oracle { delayed_observation: true, ..Oracle::new(scenario, from) }
     }
@@ -214,7 +215,8 @@
         self.tries.insert(try_id, open);
     }
 
-    /// A limiter has sent an attempt. For the first attempt of a try, returns whether its units were inside the quota.
+    /// A limiter has sent an attempt. For the first attempt of a try, returns whether its units were inside the
+    /// quota.
     pub fn attempt_sent(&mut self, now: Millis, try_id: u64, server: usize) -> Option<bool> {
         if self.delayed_observation && !self.tries.contains_key(&try_id) {
             return None;
@@ -335,8 +337,8 @@
         self.remove_if_finished(try_id);
     }
 
-    /// The client closes its connection. `excused` is set if its limiter was killed or stalled. What the limiter does until
-    /// it receives the disconnect is not a violation.
+    /// The client closes its connection. `excused` is set if its limiter was killed or stalled. What the limiter does
+    /// until it receives the disconnect is not a violation.
     pub fn client_disconnected(&mut self, now: Millis, try_id: u64, excused: bool) {
         let observation_delay_ms = self.observation_delay_ms();
         let Some(open) = self.tries.get_mut(&try_id) else { return };
@@ -387,8 +389,8 @@
         }
     }
 
-    /// A request has reached a server. Returns true if the server drops it as a repeat of a request that some server holds or
-    /// has completed.
+    /// A request has reached a server. Returns true if the server drops it as a repeat of a request that some server
+    /// holds or has completed.
     pub fn attempt_arrived(&mut self, now: Millis, job: u64, class: usize) -> bool {
         let class_settings = &self.scenario.classes[class];
         if class_settings.repeats == Repeats::Safe {
--- a/crates/rehearsal/src/server_model.rs
+++ b/crates/rehearsal/src/server_model.rs
@@ -1,11 +1,11 @@
-//! The model of a back-end server: cores that share their time among the requests in service, a bounded queue, a cold start
-//! during which overload makes the server fail, stalls, and a connection table.
+//! The model of a back-end server: cores that share their time among the requests in service, a bounded queue, a cold
+//! start during which overload makes the server fail, stalls, and a connection table.
 //!
-//! The model knows no clock, network or limiter: the time is an argument. While `n` requests are in service, each gets
-//! `speed · share(t) · efficiency · min(1, cores / n)` milliseconds of work per millisecond (egalitarian processor
-//! sharing; with as many slots as cores this is first come, first served). `share(t)` rises linearly from the cold share
-//! to one. All requests in service progress at the same rate, so one running total decides which completes next. The
-//! total is inverted in closed form, which needs no time steps and does not drift.
+//! The model knows no clock, network or limiter: the time is an argument. While `n` requests are in service, each
+//! gets `speed · share(t) · efficiency · min(1, cores / n)` milliseconds of work per millisecond (egalitarian
+//! processor sharing; with as many slots as cores this is first come, first served). `share(t)` rises linearly from
+//! the cold share to one. All requests in service progress at the same rate, so one running total decides which
+//! completes next. The total is inverted in closed form, which needs no time steps and does not drift.
 
 use std::collections::VecDeque;
 
@@ -30,7 +30,8 @@
     pub fall_multiple: f64,
     /// ...within a window of this length; 0 disables the failure.
     pub fall_ms: Millis,
-    /// Share of the capacity that is lost when `slots + queue` requests are held; fewer requests cost proportionally less.
+    /// Share of the capacity that is lost when `slots + queue` requests are held; fewer requests cost proportionally
+    /// less.
     pub thrash: f64,
     /// Maximum number of connections.
     pub connections: usize,
@@ -56,7 +57,8 @@
     pub key: u64,
     /// Milliseconds of work on one core.
     pub work: Millis,
-    /// Whether the sender had been notified that this server started; decides who is to blame for an overload failure.
+    /// Whether the sender had been notified that this server started; decides who is to blame for an overload
+    /// failure.
     pub sender_notified: bool,
 }
 
@@ -217,13 +219,13 @@
     }
 
     /// Stalls the server, or ends the stall. Connections stay open and requests are still accepted.
-    pub fn halt(&mut self, now: Millis, stalled: bool) {
+    pub fn set_stalled(&mut self, now: Millis, stalled: bool) {
         self.advance(now);
         self.stalled = stalled;
     }
 
     /// Makes work take `factor` times as long; 1 is normal speed.
-    pub fn slow(&mut self, now: Millis, factor: f64) {
+    pub fn set_slowdown(&mut self, now: Millis, factor: f64) {
         self.advance(now);
         self.slowdown = factor;
     }
@@ -387,9 +389,9 @@
         started + 2.0 * target / (a + (a * a + 2.0 * b * target).sqrt())
     }
 
-    /// Records an arrival at a cold server. Returns true if it overloads the server: the work sent within the window exceeds
-    /// the multiple of what the server can do in it, plus slack. The window ends now, or is the first full one after the
-    /// start.
+    /// Records an arrival at a cold server. Returns true if it overloads the server: the work sent within the window
+    /// exceeds the multiple of what the server can do in it, plus slack. The window ends now, or is the first full
+    /// one after the start.
     fn record_arrival(&mut self, now: Millis, job: Job) -> bool {
         let Some(started) = self.started else { return false };
         let ServerParameters { cold_ms, fall_ms, fall_multiple, .. } = self.parameters;
--- a/crates/rehearsal/src/world/attempts.rs
+++ b/crates/rehearsal/src/world/attempts.rs
@@ -3,13 +3,14 @@
 use super::*;
 
 impl World {
+    /// Whether packets between a limiter and a server arrive.
     pub(super) fn is_reachable(&self, limiter: usize, server: usize) -> bool {
         !self.servers[server].silent
             && self.network.reachable(self.limiters[limiter].zone, self.servers[server].zone)
     }
 
-    /// Sends an attempt from a limiter, or from a proxy next to it, and returns its key. Returns `None` if the server or the
-    /// try is unknown.
+    /// Sends an attempt from a limiter, or from a proxy next to it, and returns its key. Returns `None` if the server
+    /// or the try is unknown.
     pub(super) fn send_attempt(
         &mut self,
         limiter: usize,
@@ -91,6 +92,7 @@
         Some(key)
     }
 
+    /// A connection request has arrived at its server.
     pub(super) fn connect(&mut self, key: u64) {
         let Some(a) = self.attempts.get(&key) else { return };
         let (limiter, server, latency) = (a.limiter, a.server, a.latency);
@@ -112,6 +114,7 @@
         self.schedule(self.now + 2.0 * latency, Event::RequestArrives { key });
     }
 
+    /// The request of an attempt has arrived at its server completely.
     pub(super) fn request_arrives(&mut self, key: u64) {
         let Some(a) = self.attempts.get(&key) else { return };
         let (limiter, server, latency, new_connection) = (a.limiter, a.server, a.latency, a.new_connection);
@@ -149,6 +152,7 @@
         }
     }
 
+    /// A limiter stops one of its attempts.
     pub(super) fn stop_attempt(&mut self, limiter: usize, id: RequestId, attempt: u32, reason: Outcome) {
         let Some(key) = self.limiters[limiter].attempts.get(&(id, attempt)).copied() else { return };
         let Some(a) = self.attempts.get(&key).filter(|a| !a.ended) else { return };
@@ -190,6 +194,7 @@
         self.attempts.remove(&key);
     }
 
+    /// Reports the outcome of an attempt to its limiter, unless that has restarted since.
     pub(super) fn report_attempt_end(&mut self, key: u64, outcome: Outcome) {
         let Some(a) = self.attempts.get_mut(&key) else { return };
         a.ended = true;
@@ -211,6 +216,7 @@
         }
     }
 
+    /// The server of an attempt notices that the connection was closed.
     pub(super) fn cancel_arrives(&mut self, server: usize, key: u64) {
         let Some(a) = self.attempts.get(&key) else { return };
         if !a.at_server || !self.is_reachable(a.limiter, server) {
@@ -234,6 +240,7 @@
         self.schedule_server(server);
     }
 
+    /// Closes all idle connections of a limiter to a server.
     pub(super) fn close_idle_connections(&mut self, limiter: usize, server: usize) {
         let connections = std::mem::take(&mut self.limiters[limiter].idle_since[server]).len();
         self.servers[server].model.disconnect(self.now, connections);
--- a/crates/rehearsal/src/world/clients.rs
+++ b/crates/rehearsal/src/world/clients.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Carries out the actions of clients and schedules the next call of [`Clients::due`].
     pub(super) fn apply_client_actions(&mut self, mut actions: Vec<ClientAction>) {
         for action in actions.drain(..) {
             match action {
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Records how much work remains for the try of a client that disconnects: what is done of it from now on is wasted.
+    /// Records how much work remains for the try of a client that disconnects: what is done of it from now on is
+    /// wasted.
     fn record_remaining_work(&mut self, limiter: usize, try_id: u64) {
         let l = &self.limiters[limiter];
         let own =
@@ -47,10 +49,11 @@
         a.work_at_disconnect = Some(if a.at_server { model.remaining_work(self.now, key) } else { a.work });
     }
 
+    /// Sends a try of a client to its limiter.
     pub(super) fn send_try(&mut self, sent: Try) {
         let customer = &self.clients.customers()[sent.customer];
         let (plan, class) = (customer.plan, &self.scenario.classes[sent.class]);
-        if sent.turn == 0 {
+        if sent.earlier_tries == 0 {
             let (rate, burst) = self.scenario.quota(plan);
             while self.quota_buckets.len() <= sent.customer {
                 let customer = self.quota_buckets.len();
@@ -69,6 +72,7 @@
         self.schedule(at, Event::TryArrives(Box::new(sent)));
     }
 
+    /// A limiter receives a try, directly or through a proxy.
     pub(super) fn receive_try(&mut self, sent: Try) {
         if !self.limiters[sent.limiter].listening {
             let at = self.now + draws::between(&mut self.rng, CLIENT_LATENCY_MS);
@@ -113,6 +117,7 @@
         self.perform_outputs(sent.limiter, outputs);
     }
 
+    /// A limiter receives the disconnect of a client.
     pub(super) fn receive_disconnect(&mut self, limiter: usize, try_id: u64) {
         self.tries.remove(&try_id);
         self.oracle.disconnect_received(try_id);
--- a/crates/rehearsal/src/world/limiters.rs
+++ b/crates/rehearsal/src/world/limiters.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Passes an input to a limiter's engine, if it runs, and performs the outputs.
     pub(super) fn handle_input(&mut self, limiter: usize, input: Input) {
         let Some(engine) = self.limiters[limiter].engine.as_mut() else { return };
         let mut outputs = std::mem::take(&mut self.outputs);
@@ -12,12 +13,14 @@
         self.perform_outputs(limiter, outputs);
     }
 
+    /// Adds the time since `began` to the measured decision time.
     pub(super) fn add_decision_time(&mut self, began: Option<std::time::Instant>) {
         if let (Some(sum), Some(began)) = (&mut self.decision_time, began) {
             *sum += began.elapsed();
         }
     }
 
+    /// Performs the outputs of a limiter's engine.
     pub(super) fn perform_outputs(&mut self, limiter: usize, mut outputs: Vec<Output>) {
         if let Some(mut hook) = self.output_hook.take() {
             outputs = outputs.drain(..).flat_map(|o| hook(self.now, limiter, o)).collect();
@@ -66,6 +69,7 @@
         }
     }
 
+    /// Handles the final answer of a limiter to a direct request.
     pub(super) fn finish_request(&mut self, limiter: usize, id: RequestId, answer: Answer) {
         let l = &mut self.limiters[limiter];
         let Some(try_id) = l.try_by_request.remove(&id) else { return };
@@ -74,6 +78,7 @@
         self.send_answer(limiter, try_id, answer);
     }
 
+    /// Sends a final answer to the client of a try.
     pub(super) fn send_answer(&mut self, limiter: usize, try_id: u64, answer: Answer) {
         let excused = self.limiters[limiter].excused(self.now);
         self.tries.remove(&try_id);
@@ -82,6 +87,7 @@
         self.schedule(at, Event::AnswerArrives { try_id, result: TryResult::Answer(answer) });
     }
 
+    /// Sends a message from a limiter to one peer, or to all.
     pub(super) fn send_message(&mut self, from: usize, to: Option<u32>, body: &[u8]) {
         let all = 0..self.limiters.len();
         let peers = all.filter(|peer| *peer != from && to.is_none_or(|to| to as usize == *peer));
@@ -98,6 +104,7 @@
         }
     }
 
+    /// A message arrives at a limiter, which drops it if it exceeds its message rate.
     pub(super) fn receive_message(&mut self, limiter: usize, from: u32, body: Vec<u8>) {
         if self.network.accepts(self.now, limiter) {
             let line_kinds = fawnhill::line_kinds(&body).unwrap_or_default();
@@ -108,6 +115,7 @@
         }
     }
 
+    /// Starts a limiter that is down.
     pub(super) fn start_limiter(&mut self, limiter: usize) {
         let l = &mut self.limiters[limiter];
         if l.engine.is_some() {
@@ -135,8 +143,8 @@
         self.handle_input(limiter, Input::Servers { whole: true, entries });
     }
 
-    /// Sends SIGTERM to a limiter: it accepts connections for a while yet, finishes its requests and exits, or is killed
-    /// after the grace period.
+    /// Sends SIGTERM to a limiter: it accepts connections for a while yet, finishes its requests and exits, or is
+    /// killed after the grace period.
     pub(super) fn terminate_limiter(&mut self, limiter: usize, down_ms: Millis) {
         let (epoch, now) = (self.limiters[limiter].epoch, self.now);
         let l = &self.scenario.limiters;
@@ -145,6 +153,8 @@
         self.schedule(kill, Event::LimiterKilled { limiter, epoch, down_ms });
     }
 
+    /// Stops accepting connections at a limiter that was asked to exit, and stops it once all its requests are
+    /// answered.
     pub(super) fn close_limiter(&mut self, limiter: usize, epoch: u32, down_ms: Millis) {
         if self.limiters[limiter].epoch != epoch {
             return;
@@ -159,6 +169,7 @@
         }
     }
 
+    /// Ends the process of a limiter at once and schedules its next start.
     pub(super) fn stop_limiter(&mut self, limiter: usize, down_ms: Millis) {
         let l = &mut self.limiters[limiter];
         if l.engine.take().is_none() {
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -1,8 +1,8 @@
 //! The virtual world: clients, limiters, servers and the network between them on one virtual clock, under one seed.
 //!
-//! Each limiter is the real [`Engine`] with the decision module in it; the world decides nothing for it. Network delays,
-//! losses and work are drawn from the seed. A run uses one thread and one event queue. Events at the same time are
-//! handled in the order in which they were scheduled, so that a seed gives the same run on every machine.
+//! Each limiter is the real [`Engine`] with the decision module in it; the world decides nothing for it. Network
+//! delays, losses and work are drawn from the seed. A run uses one thread and one event queue. Events at the same
+//! time are handled in the order in which they were scheduled, so that a seed gives the same run on every machine.
 
 mod attempts;
 mod clients;
@@ -221,8 +221,8 @@
     decision_time: Option<std::time::Duration>,
 }
 
-/// Replaces outputs of limiters, for tests of the oracle. It gets the time, the limiter and one output; the outputs that
-/// it returns are performed instead.
+/// Replaces outputs of limiters, for tests of the oracle. It gets the time, the limiter and one output; the outputs
+/// that it returns are performed instead.
 pub type OutputHook = Box<dyn FnMut(Millis, usize, Output) -> Vec<Output> + Send>;
 
 /// The result of a run.
@@ -239,8 +239,8 @@
     /// Creates the world of a scenario under a seed, before its first event.
     ///
     /// # Errors
-    /// If the scenario has faults that the virtual world cannot simulate, or settings that no limiter accepts. The text
-    /// names the key or the setting.
+    /// If the scenario has faults that the virtual world cannot simulate, or settings that no limiter accepts. The
+    /// text names the key or the setting.
     pub fn new(scenario: &Scenario, seed: u64) -> Result<World, String> {
         if let Some(wrong) = scenario.unsupported_in_simulation().first() {
             return Err(wrong.to_string());
@@ -347,8 +347,8 @@
         self
     }
 
-    /// Measures the real time that the limiters take for their decisions. This is the only figure that differs between
-    /// two runs of the same seed.
+    /// Measures the real time that the limiters take for their decisions. This is the only figure that differs
+    /// between two runs of the same seed.
     pub fn with_decision_time(mut self) -> World {
         self.decision_time = Some(std::time::Duration::ZERO);
         self
--- a/crates/rehearsal/src/world/proxies.rs
+++ b/crates/rehearsal/src/world/proxies.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Passes an input to the external processor of a limiter and performs its actions.
     pub(super) fn handle_external(&mut self, limiter: usize, input: external::Input) {
         let Limiter { engine, external, .. } = &mut self.limiters[limiter];
         let (Some(engine), Some(external)) = (engine, external) else { return };
@@ -17,6 +18,7 @@
         self.schedule_limiter(limiter);
     }
 
+    /// A proxy receives a verdict.
     pub(super) fn apply_verdict(&mut self, limiter: usize, try_id: u64, verdict: Verdict) {
         let answer = match verdict {
             Verdict::Admit(grant) | Verdict::Retry(grant) => {
@@ -34,6 +36,7 @@
         }
     }
 
+    /// A proxy sends the attempt that a grant allows.
     pub(super) fn send_proxied_attempt(&mut self, limiter: usize, try_id: u64, grant: Grant) {
         if let Some(key) = self.send_attempt(limiter, try_id, None, grant.attempt, &grant.server) {
             self.limiters[limiter].proxied_attempts.insert(try_id, key);
--- a/crates/rehearsal/src/world/servers.rs
+++ b/crates/rehearsal/src/world/servers.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Schedules the next completion of a server.
     pub(super) fn schedule_server(&mut self, server: usize) {
         let m = &mut self.servers[server];
         m.generation = m.generation.wrapping_add(1);
@@ -12,6 +13,7 @@
         }
     }
 
+    /// Handles the requests that a server has completed.
     pub(super) fn server_due(&mut self, server: usize) {
         let mut completions = std::mem::take(&mut self.completions);
         self.servers[server].model.due(self.now, &mut completions);
@@ -64,6 +66,7 @@
         self.publish_condition(server, Condition::Gone);
     }
 
+    /// Starts a server that is down.
     pub(super) fn start_server(&mut self, server: usize) {
         if self.servers[server].model.running() {
             return;
@@ -72,14 +75,16 @@
         self.publish_condition(server, Condition::Serving);
     }
 
+    /// Handles the failure of a cold server that was overloaded.
     pub(super) fn fail_overloaded(&mut self, server: usize) {
         let notified_share = self.servers[server].model.overload_failure().map_or(0.0, |f| f.notified_share);
         self.oracle.server_overloaded(self.now, server, notified_share);
-        self.recorder.falls += 1;
+        self.recorder.overload_failures += 1;
         // The server stays down until a fault ends that starts it again.
         self.exit_server(server);
     }
 
+    /// Publishes the condition of a server to all limiters.
     pub(super) fn publish_condition(&mut self, server: usize, condition: Condition) {
         self.servers[server].condition = condition;
         let entries: Arc<[ServerEntry]> = [self.servers[server].entry()].into();
@@ -88,6 +93,7 @@
         }
     }
 
+    /// Sends changes of the server list to a limiter, or holds them while they cannot reach it.
     pub(super) fn send_server_list(&mut self, limiter: usize, entries: Arc<[ServerEntry]>) {
         if self.discovery_silence[limiter] > 0
             || !self.network.discovery_reports(self.limiters[limiter].zone, entries[0].zone)
@@ -102,6 +108,7 @@
         self.schedule(at, Event::ServerListArrives { limiter, entries });
     }
 
+    /// A limiter receives changes of the server list.
     pub(super) fn receive_server_list(&mut self, limiter: usize, entries: Arc<[ServerEntry]>) {
         self.account.server_list_changed(self.now, limiter, entries.len());
         for entry in entries.iter() {
@@ -117,6 +124,7 @@
         self.handle_input(limiter, Input::Servers { whole: false, entries });
     }
 
+    /// Sends the changes that were held, as far as they can reach their limiters now.
     pub(super) fn send_held_server_lists(&mut self) {
         for limiter in 0..self.limiters.len() {
             for entries in std::mem::take(&mut self.held_server_lists[limiter]) {
--- a/crates/rehearsal/src/world/timeline.rs
+++ b/crates/rehearsal/src/world/timeline.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl World {
+    /// Begins a fault of the timeline and schedules its end.
     pub(super) fn begin_fault(&mut self, fault: usize) {
         let t: Trouble = self.scenario.timeline[fault].clone();
         let servers = self.scenario.affected_servers(&t);
@@ -34,7 +35,7 @@
             What::Pause => self.step_fault(fault, true),
             What::Slow => {
                 for server in servers {
-                    self.servers[server].model.slow(self.now, t.times.unwrap_or(1.0).max(0.01));
+                    self.servers[server].model.set_slowdown(self.now, t.times.unwrap_or(1.0).max(0.01));
                     self.schedule_server(server);
                 }
             }
@@ -68,6 +69,7 @@
         self.reschedule_clients();
     }
 
+    /// Ends a fault of the timeline.
     pub(super) fn end_fault(&mut self, fault: usize) {
         let t: Trouble = self.scenario.timeline[fault].clone();
         let servers = self.scenario.affected_servers(&t);
@@ -89,7 +91,7 @@
             What::Stall | What::Pause => servers.iter().for_each(|n| self.set_stalled(*n, false)),
             What::Slow => {
                 for server in servers {
-                    self.servers[server].model.slow(self.now, 1.0);
+                    self.servers[server].model.set_slowdown(self.now, 1.0);
                     self.schedule_server(server);
                 }
             }
@@ -136,12 +138,13 @@
         self.schedule(self.now + next, Event::FaultStep { fault, on: !on });
     }
 
+    /// Stalls a server, or ends its stall.
     pub(super) fn set_stalled(&mut self, server: usize, stalled: bool) {
-        self.servers[server].model.halt(self.now, stalled);
+        self.servers[server].model.set_stalled(self.now, stalled);
         self.schedule_server(server);
     }
 
-    /// Schedules the clients anew; their next event may have moved.
+    /// Reschedules the clients, because the time of their next event may have changed.
     pub(super) fn reschedule_clients(&mut self) {
         let actions = std::mem::take(&mut self.actions);
         self.apply_client_actions(actions);
