--- a/crates/rehearsal/tests/oracle.rs
+++ b/crates/rehearsal/tests/oracle.rs
@@ -1,5 +1,5 @@
-//! The oracle finds what it is for. A tampered limiter breaks each rule; a module with a fault planted in it does too
-//! (`--features planted`).
+//! The oracle detects a violation of each rule. Here the output of the limiters is changed; `planted.rs` runs with
+//! faults in the module itself (`--features planted`).
 
 use marldeal_engine::{Answer, Output};
 use marldeal_rehearsal::rules::Rule;
@@ -7,8 +7,9 @@
 use marldeal_rehearsal::world::{OutputHook, World, BEGIN_MS};
 use marldeal_rehearsal::{library, shrink};
 
-fn tampered(scenario: &Scenario, tap: OutputHook) -> Vec<Rule> {
-    let run = World::new(scenario, 1).expect("legal settings").with_output_hook(tap).play(|_| {});
+/// Rules that are violated if the hook changes the output of the limiters.
+fn violated_rules(scenario: &Scenario, hook: OutputHook) -> Vec<Rule> {
+    let run = World::new(scenario, 1).expect("legal settings").with_output_hook(hook).play(|_| {});
     let mut rules: Vec<Rule> = run.figures.broken.iter().map(|b| b.rule).collect();
     rules.sort();
     rules.dedup();
@@ -20,9 +21,9 @@
 }
 
 #[test]
-fn an_answer_that_never_comes_is_seen() {
+fn missing_answer_is_detected() {
     let mut count = 0;
-    let tap = move |_, _, output| {
+    let hook = move |_, _, output| {
         count += u32::from(matches!(output, Output::Answer { .. }));
         if count == 500 {
             Vec::new()
@@ -30,27 +31,27 @@
             vec![output]
         }
     };
-    assert_eq!(tampered(&short("quiet-day"), Box::new(tap)), [Rule::Answer]);
+    assert_eq!(violated_rules(&short("quiet-day"), Box::new(hook)), [Rule::Answer]);
 }
 
 #[test]
-fn a_second_attempt_beside_the_first_is_seen() {
+fn second_concurrent_attempt_is_detected() {
     let mut count = 0;
-    let tap = move |_, _, output: Output| {
-        let mut done = vec![output.clone()];
+    let hook = move |_, _, output: Output| {
+        let mut outputs = vec![output.clone()];
         if let Output::Send { id, attempt, server, deadline } = output {
             count += 1;
             if count == 500 {
-                done.push(Output::Send { id, attempt: attempt + 100, server, deadline });
+                outputs.push(Output::Send { id, attempt: attempt + 100, server, deadline });
             }
         }
-        done
+        outputs
     };
-    assert_eq!(tampered(&short("quiet-day"), Box::new(tap)), [Rule::Effect]);
+    assert_eq!(violated_rules(&short("quiet-day"), Box::new(hook)), [Rule::Effect]);
 }
 
-/// From a second of the scenario on, all that limiters send goes to the first node that one chose, whatever becomes of that.
-fn to_one_node(from_s: f64) -> OutputHook {
+/// Sends all attempts after `from_s` to the server of the first of them, whatever its state.
+fn send_all_to_one_server(from_s: f64) -> OutputHook {
     let mut first = None;
     Box::new(move |now, _, output| match output {
         Output::Send { id, attempt, server, deadline } if now > BEGIN_MS + from_s * 1000.0 => {
@@ -62,42 +63,48 @@
 }
 
 #[test]
-fn work_for_a_node_that_drains_and_for_a_cold_one_is_seen() {
+fn attempts_at_draining_servers_and_in_slow_start_are_detected() {
     let mut scenario = short("slow-drains");
     scenario.timeline.truncate(1);
     scenario.timeline[0].nodes = Some((0..10).collect());
-    assert!(tampered(&scenario, to_one_node(0.0)).contains(&Rule::Drain));
-    // All limiters hear of the start at once: whoever pushes, knew.
+    assert!(violated_rules(&scenario, send_all_to_one_server(0.0)).contains(&Rule::Drain));
+    // All limiters receive the change of the server list at the same time, so each knows that the server has just
+    // started.
     let mut scenario = short("fleet-restarted");
     scenario.net.roster_s = [0.2, 0.2];
-    let rules = tampered(&scenario, to_one_node(18.0));
+    let rules = violated_rules(&scenario, send_all_to_one_server(18.0));
     assert!(rules.contains(&Rule::Cold), "{rules:?}");
 }
 
 #[test]
-fn a_ceiling_that_is_passed_is_seen() {
-    let mut known = None;
-    let tap = move |_, _, output| match output {
+fn exceeded_ceiling_is_detected() {
+    let mut last_server = None;
+    let hook = move |_, _, output| match output {
         Output::Send { ref server, .. } => {
-            known = Some(server.clone());
+            last_server = Some(server.clone());
             vec![output]
         }
-        // What should be refused is sent on instead.
+        // Requests that should be refused are forwarded as well.
         Output::Answer { id, answer: Answer::Refused { .. } } => {
-            let send =
-                known.clone().map(|server| Output::Send { id, attempt: 50, server, deadline: f64::MAX });
+            let send = last_server.clone().map(|server| Output::Send {
+                id,
+                attempt: 50,
+                server,
+                deadline: f64::MAX,
+            });
             send.into_iter().chain([output]).collect()
         }
         other => vec![other],
     };
     let mut scenario = short("flood-by-three");
     scenario.timeline[0].share = Some(2.0);
-    assert!(tampered(&scenario, Box::new(tap)).contains(&Rule::Ceiling));
+    assert!(violated_rules(&scenario, Box::new(hook)).contains(&Rule::Ceiling));
 }
 
-/// What was broken by a tampered limiter cannot be shrunk (the tap is not part of the scenario): it comes back as it is.
+/// A violation that a hook caused cannot be reduced, since the hook is not part of the scenario: the scenario is
+/// returned unchanged.
 #[test]
-fn a_scenario_that_breaks_nothing_comes_back_as_it_is() {
+fn scenario_without_violations_is_returned_unchanged() {
     let scenario = Scenario { seconds: 5.0, ..short("quiet-day") };
     let shrunk = shrink::shrink(&scenario, 1, Rule::Ceiling, 10);
     assert_eq!((shrunk.scenario, shrunk.runs <= 10), (scenario, true));
--- a/crates/rehearsal/tests/prefetch.rs
+++ b/crates/rehearsal/tests/prefetch.rs
@@ -1,5 +1,5 @@
-//! Units held ahead of need, in whole worlds: no rule breaks in any scenario, whoever of the limiters holds them, and 99 of
-//! 100 requests wait for nobody.
+//! Prefetched quota units in whole scenarios: no rule is violated, whichever limiters prefetch, and 99% of the
+//! requests do not wait for a peer.
 
 use marldeal_rehearsal::figures::Figures;
 use marldeal_rehearsal::scenario::{Scenario, Trouble, What};
@@ -10,48 +10,58 @@
     World::new(scenario, seed).expect("legal settings").play(|_| {}).figures
 }
 
-fn ahead(scenario: &Scenario, limiters: u32) -> Scenario {
+/// The scenario with the given number of limiters that prefetch.
+fn with_prefetch(scenario: &Scenario, limiters: u32) -> Scenario {
     let mut scenario = scenario.clone();
     scenario.limiters.prefetch = limiters;
     scenario
 }
 
 #[test]
-fn the_whole_library_keeps_the_rules_with_all_half_or_one_of_them() {
+fn built_in_scenarios_violate_no_rule_with_all_half_or_one_limiter_prefetching() {
     for (name, _) in library::ALL {
         let scenario = library::find(name).expect("a scenario");
-        let all = scenario.limiters.count;
-        for some in [all, all / 2 + 1, 1] {
-            for f in trials::play(&ahead(&scenario, some), &[1, 2, 3], |_| {}).expect("played") {
-                assert_eq!(f.broken_count, 0, "{name}, {some} of {all}, seed {}: {:?}", f.seed, f.broken);
+        let count = scenario.limiters.count;
+        for prefetching in [count, count / 2 + 1, 1] {
+            for f in trials::play(&with_prefetch(&scenario, prefetching), &[1, 2, 3], |_| {})
+                .expect("scenario runs")
+            {
+                assert_eq!(
+                    f.broken_count, 0,
+                    "{name}, {prefetching} of {count}, seed {}: {:?}",
+                    f.seed, f.broken
+                );
             }
         }
     }
 }
 
-/// The size that is planned for, in small: the time added is that of the network, and hardly anyone waits for a word.
+/// The planned size, scaled down: the added time is that of the network, and hardly any request waits for a message.
 #[test]
-fn ninety_nine_of_a_hundred_requests_wait_for_nobody_at_any_size() {
+fn ninety_nine_percent_of_requests_wait_for_no_peer_at_any_size() {
     for limiters in [3, 4, 12] {
         let calm =
             Scenario { regions: 1, ..size::scaled_to(&size::find("calm").expect("a scenario"), limiters) };
-        let (without, with) = (play(&ahead(&calm, 0), 1), play(&ahead(&calm, limiters), 1));
+        let (without, with) = (play(&with_prefetch(&calm, 0), 1), play(&with_prefetch(&calm, limiters), 1));
         let share = |f: &Figures| f.added.waited as f64 / f.added.sent_on as f64;
         assert!(share(&without) > 0.05, "{limiters}: {:?}", without.added);
         assert!(share(&with) < 0.01 && with.added.ms[1] <= 2.7, "{limiters}: {:?}", with.added);
         assert!(with.whole > 0.985 && with.broken_count == 0, "{limiters}: {}", with.whole);
-        // What it costs in words: they stay within the allowance.
-        let [_, most] = with.control.messages_in;
-        assert!(most <= calm.limiters.messages_per_s * 1.05, "{limiters}: {most} messages a second");
+        // The rate of messages stays within its limit.
+        let [_, max_rate] = with.control.messages_in;
+        assert!(
+            max_rate <= calm.limiters.messages_per_s * 1.05,
+            "{limiters}: {max_rate} messages per second"
+        );
     }
 }
 
-/// The hard cases over one another, at all and at half of the limiters: words lost, late, twice and spoilt, a building cut
-/// off, limiters killed in the middle, and one that stands still while it holds units.
+/// Overlapping faults with three and with two of three limiters prefetching: messages lost, delayed, duplicated and
+/// corrupted, a building partitioned, a limiter killed, and one that stalls while it holds units.
 #[test]
-fn words_lost_late_twice_limiters_killed_and_stopped_break_nothing() {
-    let trouble =
-        |text: &str| Scenario::read(text).unwrap_or_else(|wrong| panic!("{wrong:?}")).timeline.remove(0);
+fn overlapping_message_faults_kills_and_stalls_violate_no_rule() {
+    let fault =
+        |text: &str| Scenario::read(text).unwrap_or_else(|errors| panic!("{errors:?}")).timeline.remove(0);
     let timeline: Vec<Trouble> = [
         "what = \"lossy\"\nshare = 0.3\nat_s = 2\nfor_s = 20",
         "what = \"late\"\nlate_ms = [0, 900]\nat_s = 4\nfor_s = 8",
@@ -63,15 +73,15 @@
         "what = \"flood\"\nfirms = 3\nshare = 0.5\nat_s = 5\nfor_s = 15",
     ]
     .iter()
-    .map(|text| trouble(&format!("[limiters]\ncount = 3\n[[timeline]]\n{text}\n")))
+    .map(|text| fault(&format!("[limiters]\ncount = 3\n[[timeline]]\n{text}\n")))
     .collect();
     assert!(timeline.iter().any(|t| t.what == What::Freeze));
     let scenario = Scenario { seconds: 26.0, timeline, ..Scenario::default() };
-    for some in [3, 2] {
-        for f in
-            trials::play(&ahead(&scenario, some), &(1..=10).collect::<Vec<u64>>(), |_| {}).expect("played")
+    for prefetching in [3, 2] {
+        for f in trials::play(&with_prefetch(&scenario, prefetching), &(1..=10).collect::<Vec<u64>>(), |_| {})
+            .expect("scenario runs")
         {
-            assert_eq!(f.broken_count, 0, "{some} of 3, seed {}: {:?}", f.seed, f.broken);
+            assert_eq!(f.broken_count, 0, "{prefetching} of 3, seed {}: {:?}", f.seed, f.broken);
         }
     }
 }
--- a/crates/rehearsal/tests/queueing.rs
+++ b/crates/rehearsal/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! The node model against known results of queueing theory: within 2%.
+//! Compares the server model with known results of queueing theory, within 2%.
 
 use marldeal_rehearsal::draws::{self, gap, work, Law};
 use marldeal_rehearsal::server_model::{Completion, Job, ServerModel, ServerParameters};
@@ -21,28 +21,28 @@
     }
 }
 
-/// Mean time in the node and mean wait, of Poisson arrivals at a load.
+/// Mean sojourn time of Poisson arrivals at a server with the given load. The first 5% of the jobs are not counted.
 fn sojourn(model: ServerParameters, law: Law, load: f64, jobs: u64, seed: u64) -> f64 {
     let mean = 100.0;
     let per_ms = load * model.cores / mean;
-    let mut node = ServerModel::warm(model, 0.0);
+    let mut server = ServerModel::warm(model, 0.0);
     let (mut arrivals, mut works) = (draws::stream(seed, "arrivals", 0), draws::stream(seed, "work", 0));
-    let (mut came, mut sum, mut counted) = (vec![0.0; jobs as usize], 0.0, 0u64);
+    let (mut arrived_at, mut sum, mut counted) = (vec![0.0; jobs as usize], 0.0, 0u64);
     let mut next = gap(&mut arrivals, per_ms);
     let (mut done, mut key) = (Vec::<Completion>::new(), 0);
-    while key < jobs || node.held() > 0 {
-        match node.next_due().filter(|due| key >= jobs || *due <= next) {
+    while key < jobs || server.held() > 0 {
+        match server.next_due().filter(|due| key >= jobs || *due <= next) {
             Some(due) => {
-                node.due(due, &mut done);
+                server.due(due, &mut done);
                 for d in done.drain(..).filter(|d| d.key > jobs / 20) {
-                    sum += due - came[d.key as usize];
+                    sum += due - arrived_at[d.key as usize];
                     counted += 1;
                 }
             }
             None => {
-                came[key as usize] = next;
+                arrived_at[key as usize] = next;
                 let job = Job { key, work: work(&mut works, law, mean), sender_notified: false };
-                node.arrive(next, job, false).expect("room");
+                server.arrive(next, job, false).expect("queue has space");
                 key += 1;
                 next += gap(&mut arrivals, per_ms);
             }
@@ -51,11 +51,12 @@
     sum / counted as f64
 }
 
-fn close(seen: f64, known: f64, what: &str) {
-    assert!((seen / known - 1.0).abs() < 0.02, "{what}: {seen:.2} seen, {known:.2} known");
+/// Asserts that a measured value differs from the expected one by less than 2%.
+fn assert_close(measured: f64, expected: f64, what: &str) {
+    assert!((measured / expected - 1.0).abs() < 0.02, "{what}: {measured:.2}, {expected:.2} expected");
 }
 
-/// Erlang's C formula: the chance that an arrival waits in M/M/c.
+/// Erlang's C formula: the probability that an arrival waits in M/M/c.
 fn erlang_c(c: u32, load: f64) -> f64 {
     let offered = load * f64::from(c);
     let blocked = (1..=c).fold(1.0, |b, n| offered * b / (f64::from(n) + offered * b));
@@ -63,74 +64,86 @@
 }
 
 #[test]
-fn m_m_c_waits_as_erlang_says() {
+fn m_m_c_matches_erlang_c() {
     for (c, load) in [(1, 0.5), (1, 0.7), (4, 0.8), (8, 0.9)] {
         let wait = erlang_c(c, load) * 100.0 / (f64::from(c) * (1.0 - load));
         let model = model(f64::from(c), c as usize);
         let jobs = if load > 0.85 { 3_000_000 } else { 1_000_000 };
-        close(sojourn(model, Law::Exponential, load, jobs, 3), 100.0 + wait, &format!("M/M/{c} at {load}"));
+        assert_close(
+            sojourn(model, Law::Exponential, load, jobs, 3),
+            100.0 + wait,
+            &format!("M/M/{c} at {load}"),
+        );
     }
 }
 
 #[test]
-fn m_g_1_waits_as_pollaczek_and_khinchine_say() {
+fn m_g_1_matches_pollaczek_khinchine() {
     for (law, variation) in [(Law::Fixed, 0.0), (Law::Lognormal, 0.6_f64)] {
         let load = 0.7;
         let wait = load * 100.0 * (1.0 + variation * variation) / (2.0 * (1.0 - load));
-        close(sojourn(model(1.0, 1), law, load, 1_500_000, 5), 100.0 + wait, &format!("M/G/1 {law:?}"));
+        assert_close(
+            sojourn(model(1.0, 1), law, load, 1_500_000, 5),
+            100.0 + wait,
+            &format!("M/G/1 {law:?}"),
+        );
     }
 }
 
-/// Under processor sharing the mean does not depend on the law of the work.
+/// Under processor sharing, the mean does not depend on the distribution of the work.
 #[test]
-fn shared_cores_do_not_care_for_the_law_of_work() {
+fn processor_sharing_is_insensitive_to_the_distribution_of_work() {
     for law in [Law::Fixed, Law::Lognormal, Law::Exponential] {
-        close(sojourn(model(1.0, 10_000), law, 0.7, 800_000, 7), 100.0 / 0.3, &format!("M/G/1-PS {law:?}"));
+        assert_close(
+            sojourn(model(1.0, 10_000), law, 0.7, 800_000, 7),
+            100.0 / 0.3,
+            &format!("M/G/1-PS {law:?}"),
+        );
     }
 }
 
-/// Jobs without end for a node that has just started: what it has done follows the ramp's integral.
+/// A server that has just started and always has jobs completes work according to the integral of its slow start.
 #[test]
-fn a_cold_node_warms_along_its_ramp() {
-    let mut node = ServerModel::warm(model(4.0, 4), 0.0);
-    node.exit(0.0);
-    node.start(1000.0);
+fn server_in_slow_start_follows_its_ramp() {
+    let mut server = ServerModel::warm(model(4.0, 4), 0.0);
+    server.exit(0.0);
+    server.start(1000.0);
     (0..100_000).for_each(|key| {
-        node.arrive(1000.0, Job { key, work: 1.0, sender_notified: false }, false).expect("room")
+        server.arrive(1000.0, Job { key, work: 1.0, sender_notified: false }, false).expect("queue has space")
     });
     let mut done = Vec::new();
-    for (seconds, known) in [
+    for (seconds, expected) in [
         (1.0, 0.17 + 0.83 / 28.0),
         (7.0, 7.0 * 0.17 + 0.83 * 49.0 / 28.0),
         (14.0, 14.0 * 0.585),
         (16.0, 10.19),
     ] {
         let at = 1000.0 + seconds * 1000.0;
-        while let Some(due) = node.next_due().filter(|due| *due <= at) {
-            node.due(due, &mut done);
+        while let Some(due) = server.next_due().filter(|due| *due <= at) {
+            server.due(due, &mut done);
         }
-        close(done.len() as f64, 4000.0 * known, &format!("work done {seconds} s after the start"));
+        assert_close(done.len() as f64, 4000.0 * expected, &format!("work done {seconds} s after the start"));
         let share = (0.17 + 0.83 * seconds / 14.0_f64).min(1.0);
-        assert!((node.share(at) - share).abs() < 1e-9);
+        assert!((server.share(at) - share).abs() < 1e-9);
     }
 }
 
-/// Rule 1.2 of the brief: over 4 times what it can do, for 2 s.
+/// A server in slow start crashes when it receives more than 4 times its capacity for 2 s.
 #[test]
-fn a_cold_node_falls_at_the_stated_multiple_and_not_below() {
-    let fallen = |multiple: f64| {
-        let mut node =
+fn server_in_slow_start_crashes_only_above_the_given_multiple() {
+    let crashes = |multiple: f64| {
+        let mut server =
             ServerModel::warm(ServerParameters { fall_ms: 2000.0, slots: 100_000, ..model(4.0, 4) }, 0.0);
-        node.exit(0.0);
-        node.start(0.0);
-        // What the node can do in its first two seconds, times the multiple, in even pieces of 10 ms.
-        let could = 4.0 * (2000.0 * 0.17 + 0.83 * 2000.0 * 2000.0 / 28_000.0);
-        let pieces = (could * multiple / 10.0) as u64;
-        (0..pieces).any(|key| {
-            let at = key as f64 * 2000.0 / pieces as f64;
-            node.arrive(at, Job { key, work: 10.0, sender_notified: true }, false).is_err()
+        server.exit(0.0);
+        server.start(0.0);
+        // The server's capacity in its first two seconds times the multiple, as evenly spaced jobs of 10 ms.
+        let capacity = 4.0 * (2000.0 * 0.17 + 0.83 * 2000.0 * 2000.0 / 28_000.0);
+        let jobs = (capacity * multiple / 10.0) as u64;
+        (0..jobs).any(|key| {
+            let at = key as f64 * 2000.0 / jobs as f64;
+            server.arrive(at, Job { key, work: 10.0, sender_notified: true }, false).is_err()
         })
     };
-    assert!(!fallen(3.9));
-    assert!(fallen(4.3));
+    assert!(!crashes(3.9));
+    assert!(crashes(4.3));
 }
--- a/crates/rehearsal/tests/world.rs
+++ b/crates/rehearsal/tests/world.rs
@@ -1,4 +1,4 @@
-//! Whole scenarios: the same figures every time, the hard cases, and what must not happen in any of them.
+//! Whole scenarios: reproducible figures, difficult cases, and conditions that hold in every run.
 
 use marldeal_rehearsal::figures::Figures;
 use marldeal_rehearsal::scenario::{Scenario, What};
@@ -13,7 +13,7 @@
     World::new(scenario, seed).expect("legal settings").play(|_| {})
 }
 
-fn no_rule_broken(f: &Figures) {
+fn assert_no_violation(f: &Figures) {
     assert_eq!(f.broken_count, 0, "{}, seed {}: {:?}", f.scenario, f.seed, f.broken);
 }
 
@@ -21,61 +21,67 @@
     serde_json::to_string_pretty(figures).expect("figures")
 }
 
-/// The same bytes on one thread and on four, and on a second run.
+/// The figures are the same, byte for byte, on one thread, on four, and in a second run.
 #[test]
-fn a_seed_gives_the_same_bytes_whatever_the_threads() {
+fn figures_do_not_depend_on_the_number_of_threads() {
     let scenario = Scenario { seconds: 20.0, ..named("limiter-lost") };
     let on = |threads| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().expect("threads");
-        text(&pool.install(|| trials::play(&scenario, &[1, 2, 3, 4, 5, 6], |_| {})).expect("played"))
+        text(&pool.install(|| trials::play(&scenario, &[1, 2, 3, 4, 5, 6], |_| {})).expect("scenario runs"))
     };
     let first = on(1);
     assert_eq!(first, on(4));
     assert_eq!(first, on(1));
     assert_ne!(
-        text(&trials::play(&scenario, &[7], |_| {}).expect("played")),
+        text(&trials::play(&scenario, &[7], |_| {}).expect("scenario runs")),
         first,
-        "another seed, other figures"
+        "another seed gives other figures"
     );
 }
 
-/// The whole library against figures that stand in the repository. A change of the module, the engine or the world
-/// changes them: look at what moved, then write them anew with `MARLDEAL_WRITE_FIGURES=1`.
+/// All built-in scenarios against the committed figures. A change of the module, the engine or the simulated world
+/// changes the figures: review the difference, then write the file again with `MARLDEAL_WRITE_FIGURES=1`.
 #[test]
-fn the_library_comes_to_the_committed_figures() {
+fn built_in_scenarios_give_the_committed_figures() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/committed.json");
     let mut all = Vec::new();
     for (name, _) in library::ALL {
-        let mut figures = trials::play(&named(name), &[1, 2], |_| {}).expect("played");
-        figures.iter().for_each(no_rule_broken);
+        let mut figures = trials::play(&named(name), &[1, 2], |_| {}).expect("scenario runs");
+        figures.iter().for_each(assert_no_violation);
         all.append(&mut figures);
     }
-    let came = text(&all);
+    let measured = text(&all);
     if std::env::var_os("MARLDEAL_WRITE_FIGURES").is_some() {
-        std::fs::write(path, &came).expect("written");
+        std::fs::write(path, &measured).expect("figures are writable");
     }
-    let committed = std::fs::read_to_string(path).expect("committed");
+    let committed = std::fs::read_to_string(path).expect("committed figures are readable");
     let (mut first, mut number) = (None, 0);
-    for (was, is) in committed.lines().zip(came.lines()) {
+    for (expected, actual) in committed.lines().zip(measured.lines()) {
         number += 1;
-        if was != is {
-            first = first.or(Some(format!("line {number}: {was} was committed, {is} came")));
+        if expected != actual {
+            first = first.or(Some(format!("line {number}: {expected} is committed, {actual} was measured")));
         }
     }
     assert_eq!(first, None);
-    assert!(committed == came, "another length: {} and {} bytes", committed.len(), came.len());
+    assert!(
+        committed == measured,
+        "{} bytes are committed, {} were measured",
+        committed.len(),
+        measured.len()
+    );
 }
 
-/// Rule 3 is about the notice; a stall gives none. The module must see by itself that nothing comes back.
+/// A server that stalls gives no notice, unlike one that drains. The module must detect by itself that no responses
+/// arrive.
 #[test]
-fn a_node_that_stalls_holding_connections_gets_next_to_nothing() {
+fn stalled_server_that_keeps_connections_gets_few_requests() {
     let scenario = named("stalled-node");
     for seed in 1..=5 {
         let run = play(&scenario, seed);
-        no_rule_broken(&run.figures);
+        assert_no_violation(&run.figures);
         let held = |second: usize| run.seconds[second].held[2];
         let before: f32 = (5..15).map(held).sum::<f32>() / 10.0;
-        // Taken in when it stalled, and no more than a few tries each aim after.
+        // The requests it held when it stalled, and after that only a few attempts per target latency.
         assert!(
             (20..30).map(held).all(|h| h <= before + 12.0),
             "seed {seed}: {:?}",
@@ -84,18 +90,18 @@
         let busy = |s: usize| run.seconds[s].busy[2];
         assert!(
             (17..29).all(|s| busy(s) == 0.0) && (34..48).any(|s| busy(s) > 0.2),
-            "seed {seed}: stalls, and works again"
+            "seed {seed}: idle during the stall, busy after it"
         );
     }
 }
 
-/// All nodes start together, cold, at 60% of what they can do when warm: none is pushed over again.
+/// Servers that restart together, in slow start and at 60% of their full capacity, do not crash again.
 #[test]
-fn nodes_that_start_together_are_not_pushed_over() {
+fn servers_that_restart_together_do_not_crash() {
     for name in ["fleet-restarted", "half-started-together"] {
         for seed in 1..=10 {
             let run = play(&named(name), seed);
-            no_rule_broken(&run.figures);
+            assert_no_violation(&run.figures);
             assert_eq!(run.figures.falls, 0, "{name}, seed {seed}");
             let sum = |which: usize| -> f64 {
                 run.seconds[50..58].iter().flat_map(|s| &s.worth).map(|w| w[which]).sum()
@@ -105,15 +111,16 @@
     }
 }
 
-/// 81 to 100% of what the fleet can do: what is let in is answered, in time for nearly all of those that come once, and
-/// nothing is sent twice. Late ones are mostly those that were refused and came again.
+/// At 81 to 100% of the capacity of all servers, admitted requests are answered, nearly all in time, and hardly any
+/// is sent twice. Clients do not retry here, since late answers are mostly those to refused requests that were
+/// retried.
 #[test]
-fn near_full_capacity_what_is_let_in_is_answered() {
+fn admitted_requests_are_answered_near_full_capacity() {
     for load in [0.81, 0.9, 1.0] {
         let mut scenario = Scenario { seconds: 40.0, ..named("near-capacity") };
         (scenario.clients.load, scenario.clients.retries) = (load, 0);
         let f = play(&scenario, 1).figures;
-        no_rule_broken(&f);
+        assert_no_violation(&f);
         assert!(f.ends.late as f64 <= 0.03 * f.ends.in_time as f64, "{load}: {:?}", f.ends);
         assert!(f.ends.failed as f64 <= 0.002 * f.ends.asked as f64, "{load}: {:?}", f.ends);
         assert!(f.attempts_a_try < 1.02, "{load}: {}", f.attempts_a_try);
@@ -121,9 +128,9 @@
 }
 
 #[test]
-fn a_retry_storm_with_a_limiter_lost_does_not_feed_itself() {
+fn retry_storm_after_the_loss_of_a_limiter_does_not_amplify() {
     let run = play(&named("limiter-lost"), 1);
-    no_rule_broken(&run.figures);
+    assert_no_violation(&run.figures);
     assert!(run.figures.attempts_a_try < 1.5, "{}", run.figures.attempts_a_try);
     let served = |seconds: std::ops::Range<usize>| {
         let sum = |which: usize| -> f64 {
@@ -134,41 +141,46 @@
     assert!(served(30..48) > 0.95 * served(3..14), "{} before, {} after", served(3..14), served(30..48));
 }
 
-/// The notice of a drain comes with the heal of the partition, and from then on a second counts.
+/// The drain notice arrives when the partition heals; the one second that the drain rule allows begins only then.
 #[test]
-fn a_partition_that_heals_in_the_middle_of_a_drain() {
+fn partition_that_heals_during_a_drain_violates_no_rule() {
     for seed in 1..=10 {
-        no_rule_broken(&play(&named("heals-during-drain"), seed).figures);
+        assert_no_violation(&play(&named("heals-during-drain"), seed).figures);
     }
 }
 
-/// Every trouble there is, at once and over one another, on a small house: nothing breaks, and all ends.
+/// The faults of all built-in scenarios overlap in a small deployment: no rule is violated, and each request has an
+/// outcome.
 #[test]
-fn troubles_over_one_another() {
+fn overlapping_faults_violate_no_rule() {
     let mut scenario = Scenario { seconds: 30.0, name: "all at once".into(), ..Scenario::default() };
     for (name, _) in library::ALL {
         scenario
             .timeline
             .extend(named(name).timeline.into_iter().filter(|t| t.at_s < 28.0 && t.what != What::Strangers));
     }
-    let all = trials::play(&scenario, &(1..=8).collect::<Vec<u64>>(), |_| {}).expect("played");
+    let all = trials::play(&scenario, &(1..=8).collect::<Vec<u64>>(), |_| {}).expect("scenario runs");
     for f in &all {
-        no_rule_broken(f);
+        assert_no_violation(f);
         let e = f.ends;
-        assert_eq!(e.asked, e.in_time + e.late + e.refused + e.failed + e.left, "each request has one end");
+        assert_eq!(
+            e.asked,
+            e.in_time + e.late + e.refused + e.failed + e.left,
+            "each request has one outcome"
+        );
     }
 }
 
-/// The same clients, all through limiters or all through proxies that ask them: decided alike, within chance.
+/// The same clients get the same service, apart from chance, through limiters and through proxies that ask limiters.
 #[test]
-fn proxies_get_the_service_that_direct_clients_get() {
+fn proxied_clients_get_the_service_of_direct_clients() {
     for name in ["bad-nodes", "rolling-restart"] {
         let direct = named(name);
         let mut proxied = direct.clone();
         proxied.clients.proxied = 1.0;
         let scores = |s: &Scenario| -> Vec<f64> {
-            let all = trials::play(s, &(1..=16).collect::<Vec<u64>>(), |_| {}).expect("played");
-            all.iter().map(|f| (no_rule_broken(f), f.score).1).collect()
+            let all = trials::play(s, &(1..=16).collect::<Vec<u64>>(), |_| {}).expect("scenario runs");
+            all.iter().map(|f| (assert_no_violation(f), f.score).1).collect()
         };
         let d = trials::difference(&scores(&direct), &scores(&proxied)).expect("pairs");
         assert!(d.mean.abs() < 0.01, "{name}: {d:?}");
@@ -176,10 +188,10 @@
 }
 
 #[test]
-fn a_mistake_is_named_with_its_key() {
-    let wrong = |text: &str| match Scenario::read(text) {
-        Ok(_) => panic!("taken: {text}"),
-        Err(wrong) => wrong.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"),
+fn errors_name_their_key() {
+    let errors = |text: &str| match Scenario::read(text) {
+        Ok(_) => panic!("accepted: {text}"),
+        Err(errors) => errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"),
     };
     let cases = [
         ("seconds = -1", "seconds"),
@@ -203,7 +215,7 @@
         ("seconds = ", "line 1"),
     ];
     for (text, expected) in cases {
-        let said = wrong(text);
-        assert!(said.contains(expected), "{text:?}: {said:?}, {expected:?} was expected");
+        let message = errors(text);
+        assert!(message.contains(expected), "{text:?}: {message:?}, {expected:?} expected");
     }
 }
