--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -101,7 +101,7 @@
     attempts: Vec<AttemptRecord>,
 }
 
-/// A time in which a limiter's process was stopped_since.
+/// A time in which a limiter's process was stopped.
 #[derive(Debug, Clone, Copy)]
 struct Stall {
     limiter: Limiter,
--- a/crates/soak/src/judge/answers.rs
+++ b/crates/soak/src/judge/answers.rs
@@ -25,12 +25,12 @@
             breach(Rule::Forged, at, "answered 200 with a body that no server made for it".to_string());
         }
         let refused = [429, 503].contains(&status) && record.effect != Effect::Safe;
-        let may_have_run = record.attempts.iter().find(|t| t.may_have_run() && t.arrived < at);
-        if let (true, Some(may_have_run)) = (refused, may_have_run) {
+        let executed = record.attempts.iter().find(|t| t.may_have_run() && t.arrived < at);
+        if let (true, Some(executed)) = (refused, executed) {
             breach(
                 Rule::Refusal,
                 at,
-                format!("refused, though an attempt at server {} may have run", may_have_run.server),
+                format!("refused, though an attempt at server {} may have run", executed.server),
             );
         }
         return;
