--- a/crates/faults/src/environment/clients.rs
+++ b/crates/faults/src/environment/clients.rs
@@ -67,31 +67,31 @@
 }
 
 fn send(environment: &Rc<Environment>, state: &mut State, now: f64, of: Try) {
-    let (firm, class) =
+    let (customer, class) =
         (state.clients.customers()[of.customer].clone(), state.scenario.classes[of.class].clone());
     if of.earlier_tries == 0 {
         while state.quota_stores.len() <= of.customer {
             state.oracle.add_customer(now, state.clients.customers()[state.quota_stores.len()].plan);
             state.quota_stores.push(TokenBucket::full(now, f64::INFINITY));
         }
-        let (rate, burst) = state.scenario.quota(firm.plan);
+        let (rate, burst) = state.scenario.quota(customer.plan);
         let inside = of.customer < state.usual_customers
             && state.quota_stores[of.customer].take(now, rate, burst, class.units);
-        state.recorder.request_made(now, firm.plan, of.class, inside);
+        state.recorder.request_made(now, customer.plan, of.class, inside);
         if inside {
-            let worth = class.worth * state.scenario.plans[firm.plan].price;
+            let worth = class.worth * state.scenario.plans[customer.plan].price;
             state.outcomes.inside += worth;
             state.worth_within_quota.insert(of.job, worth);
         }
     }
     let keyed = class.repeats == Repeats::Keyed;
-    let weight = format!("units={},spread={},first={}", class.units, firm.spread, firm.first);
+    let weight = format!("units={},spread={},first={}", class.units, customer.spread, customer.first);
     let mut request = Request::builder()
         .method(if class.repeats == Repeats::Safe { "GET" } else { "POST" })
-        .uri(format!("/{}/{:016x}", class.name, firm.id))
+        .uri(format!("/{}/{:016x}", class.name, customer.id))
         .header("host", "service.internal")
         .header("x-correlation-id", format!("{:016x}", of.id))
-        .header("x-tariff", state.scenario.plans[firm.plan].name.as_str())
+        .header("x-tariff", state.scenario.plans[customer.plan].name.as_str())
         .header("x-time-left", format!("{:.4}", of.budget_ms / 1000.0))
         .header("x-weight", weight);
     if keyed {
--- a/crates/faults/src/environment/mod.rs
+++ b/crates/faults/src/environment/mod.rs
@@ -135,7 +135,7 @@
     start_unix_ms: f64,
     clients: Clients,
     oracle: Oracle,
-    judges: InvariantSet,
+    invariants: InvariantSet,
     recorder: Recorder,
     outcomes: Outcomes,
     servers: Vec<TestServer>,
@@ -215,7 +215,7 @@
     scenario: &Scenario,
     seed: u64,
     program: &Program,
-    judges: Vec<Box<dyn Invariant>>,
+    invariants: Vec<Box<dyn Invariant>>,
     progress: impl FnMut(f64) + 'static,
 ) -> Result<Run, String> {
     let unsupported = unsupported(scenario);
@@ -231,7 +231,7 @@
         let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
             .map_err(|e| format!("SIGTERM: {e}"))?;
         tokio::select! {
-            run = run_in_environment(&scenario, seed, program, judges, progress) => run,
+            run = run_in_environment(&scenario, seed, program, invariants, progress) => run,
             _ = tokio::signal::ctrl_c() => Err("interrupted".to_string()),
             _ = term.recv() => Err("terminated".to_string()),
         }
@@ -242,15 +242,15 @@
     scenario: &Scenario,
     seed: u64,
     program: &Program,
-    mut judges: Vec<Box<dyn Invariant>>,
+    mut invariants: Vec<Box<dyn Invariant>>,
     mut progress: impl FnMut(f64) + 'static,
 ) -> Result<Run, String> {
     // Discards the panic of an earlier run on this thread.
     drop(tasks::take_panic());
-    judges.push(Box::new(NothingAfterDeadline { slack_ms: OBSERVATION_SLACK_MS }));
-    judges.push(Box::new(OneReplyPerAsk::default()));
-    judges.push(Box::new(OneActorPerNumber::default()));
-    judges.push(Box::new(SharesWithinTotal::default()));
+    invariants.push(Box::new(NothingAfterDeadline { slack_ms: OBSERVATION_SLACK_MS }));
+    invariants.push(Box::new(OneReplyPerAsk::default()));
+    invariants.push(Box::new(OneActorPerNumber::default()));
+    invariants.push(Box::new(SharesWithinTotal::default()));
     let started = Instant::now();
     let count = scenario.limiters.count as usize;
     let (servers, listeners) = servers::open(scenario, seed).await?;
@@ -264,7 +264,7 @@
         start_unix_ms: 0.0,
         clients: Clients::new(scenario, seed, BEGIN_MS),
         oracle: Oracle::with_delayed_observation(scenario, BEGIN_MS),
-        judges: InvariantSet::new(judges),
+        invariants: InvariantSet::new(invariants),
         recorder: Recorder::new(scenario, BEGIN_MS),
         outcomes: Outcomes::default(),
         arrivals: Arrivals::new(
@@ -322,7 +322,7 @@
         };
         let mut state = environment.state.borrow_mut();
         let now = state.now();
-        state.judges.observe(now, &Observation::Datagram { from, to, delivered, lines: &lines });
+        state.invariants.observe(now, &Observation::Datagram { from, to, delivered, lines: &lines });
     }));
     spawn_local(servers::record_received_lists(environment.clone()));
     start_all(&environment).await?;
@@ -394,8 +394,8 @@
         descriptors: state.descriptors,
         load: state.arrivals.finish(seed),
         lateness: state.lateness.finish(),
-        breaches: state.judges.breaches().to_vec(),
-        breach_count: state.judges.count(),
+        breaches: state.invariants.breaches().to_vec(),
+        breach_count: state.invariants.count(),
         notes: std::mem::take(&mut state.notes),
     };
     Run { figures, seconds, fleet }
@@ -466,7 +466,7 @@
                     if let (Some(duty), Some(fence)) =
                         (text("duty"), fields.get("number").and_then(|n| n.as_u64()))
                     {
-                        state.judges.observe(now, &Observation::Acts { limiter, duty, number: fence });
+                        state.invariants.observe(now, &Observation::Acts { limiter, duty, number: fence });
                     }
                 }
                 Some("holds") => {
@@ -474,7 +474,7 @@
                     if let (Some(budget), Some(part), Some(whole), Some(for_ms)) = figures {
                         let until = now + for_ms;
                         state
-                            .judges
+                            .invariants
                             .observe(now, &Observation::Holds { limiter, budget, part, whole, until });
                     }
                 }
@@ -516,7 +516,7 @@
             held: server.simulation.held(),
             slots: server.simulation.parameters().slots,
         };
-        state.judges.observe(now, &seen);
+        state.invariants.observe(now, &seen);
         state.arrivals.end_second(n, ready);
     }
     state.recorder.tick(now, busy, held);
@@ -534,7 +534,7 @@
         if let Some(status) = exit_status {
             limiter.process = None;
             state.outcomes.crashes += 1;
-            state.judges.observe(now, &Observation::LimiterExited { limiter: n });
+            state.invariants.observe(now, &Observation::LimiterExited { limiter: n });
             let what = format!("limiter {n} ended by itself: {status}");
             state.record_violation(Rule::Answer, what);
         }
--- a/crates/faults/src/environment/servers.rs
+++ b/crates/faults/src/environment/servers.rs
@@ -140,7 +140,7 @@
             .sent_requests
             .get(&try_id)
             .map(|s| (s.request.job, s.request.class, s.request.work, s.request.customer));
-        let (job, class, work, firm) = known.unwrap_or((try_id, 0, state.scenario.classes[0].work_ms, 0));
+        let (job, class, work, customer) = known.unwrap_or((try_id, 0, state.scenario.classes[0].work_ms, 0));
         state.recorder.attempts += 1;
         state.arrivals.record(index);
         if let Some(sent) = state.sent_requests.get_mut(&try_id) {
@@ -153,7 +153,7 @@
             let stopped = !state.is_accountable(limiter, deadline - 60_000.0);
             // An attempt that the test environment itself delayed is not held against the limiter.
             if state.lateness.last_exceeded < deadline {
-                state.judges.observe(
+                state.invariants.observe(
                     now,
                     &Observation::Arrived { server: index, try_id, limiter, deadline, stopped },
                 );
@@ -161,7 +161,7 @@
         }
         if known.is_some() {
             if let Some(inside) = state.oracle.attempt_sent(now, try_id, index) {
-                state.recorder.try_sent_on(state.clients.customers()[firm].plan, class, inside);
+                state.recorder.try_sent_on(state.clients.customers()[customer].plan, class, inside);
                 let units = state.scenario.classes[class].units;
                 state.outcomes.units[0] += units;
                 state.outcomes.units[1] += if inside { 0.0 } else { units };
--- a/crates/faults/src/environment/timeline.rs
+++ b/crates/faults/src/environment/timeline.rs
@@ -237,7 +237,7 @@
         let mut state = environment.state.borrow_mut();
         let now = state.now();
         state.oracle.limiter_exited(limiter);
-        state.judges.observe(now, &Observation::LimiterExited { limiter });
+        state.invariants.observe(now, &Observation::LimiterExited { limiter });
     }
     tokio::time::sleep(down).await;
     let config = environment.state.borrow().configs[limiter].clone();
