--- a/crates/faults/src/datagrams.rs
+++ b/crates/faults/src/datagrams.rs
@@ -1,9 +1,8 @@
 //! Proxy for datagrams between limiters. Each limiter is known to its peers by a socket of the proxy.
 //!
-//! A limiter sends to a peer's proxy socket. The proxy identifies the sender by its address, asks
-//! [`Network`](marldeal_rehearsal::network::Network) what becomes of the datagram, and forwards it from the sender's
-//! proxy socket, so that the receiver sees the address that stands in its `peers`. This takes one socket for
-//! each limiter, not one for each pair.
+//! A limiter sends to a peer's proxy socket. The proxy identifies the sender by its address, asks [`Network`] what
+//! becomes of the datagram, and forwards it from the sender's proxy socket, so that the receiver sees the address
+//! that stands in its `peers`. This takes one socket for each limiter, not one for each pair.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
