--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -643,7 +643,7 @@
         resolved
     }
 
-    /// Faults that the virtual world cannot simulate, each with the reason.
+    /// Faults that the simulation does not support, each with the reason.
     pub fn unsupported_in_simulation(&self) -> Vec<ScenarioError> {
         let unsupported = |(n, t): (usize, &Trouble)| {
             let reason = match t.what {
@@ -656,7 +656,7 @@
                 _ => return None,
             };
             let message = format!(
-                "\"{}\" runs with real processes only (`marldeal faults`), not in the virtual world: {reason}",
+                "\"{}\" runs with real processes only (`marldeal faults`), not in the simulation: {reason}",
                 fault_name(t.what)
             );
             Some(ScenarioError { key: format!("timeline[{n}].what"), message })
--- a/crates/rehearsal/tests/deciding.rs
+++ b/crates/rehearsal/tests/deciding.rs
@@ -30,7 +30,7 @@
     assert!(verdicts(-0.4, "worse") >= 190, "{}", verdicts(-0.4, "worse"));
     assert!(
         difference(&[1.0; 4], &[2.0; 4]).expect("pairs").verdict().starts_with("cannot tell"),
-        "four pairs are too few for a verdict"
+        "four pairs must be too few for a verdict"
     );
     assert!(difference(&[], &[]).is_none());
 }
@@ -73,5 +73,8 @@
         assert!(t.times.zip(original.times).is_none_or(|(value, original)| within(value, original)), "{t:?}");
     }
     let score = trials::play(&found.scenario, &[4], |_| {}).expect("scenario runs")[0].score;
-    assert_eq!(score, found.score, "a run of the scenario found has the score that the search reported");
+    assert_eq!(
+        score, found.score,
+        "a run of the scenario found differs from the score that the search reported"
+    );
 }
--- a/crates/rehearsal/tests/growth.rs
+++ b/crates/rehearsal/tests/growth.rs
@@ -18,7 +18,7 @@
     let full_size = size::find("replaced").expect("a scenario");
     let scenario = Scenario { seconds: 6.0, regions: 1, ..size::scaled_to(&full_size, limiters) };
     let before = servers_examined();
-    let f = World::new(&scenario, 1).expect("legal settings").play(|_| {}).figures;
+    let f = World::new(&scenario, 1).expect("valid settings").play(|_| {}).figures;
     assert_eq!(f.broken_count, 0, "{limiters} limiters: {:?}", f.broken);
     let requests = f.ends.asked as f64;
     [f.messages[0] as f64 / requests, (servers_examined() - before) as f64 / requests]
@@ -50,7 +50,7 @@
     assert!(examined < MAX_GROWTH, "servers examined per request grow by a factor of {examined:.2}");
     #[cfg(feature = "planted")]
     {
-        assert!(servers_examined() > 0, "examined servers are counted");
+        assert!(servers_examined() > 0, "no examined server was counted");
         planted::activate(Some(planted::Fault::Sweep));
         let [_, examined] = growth();
         assert!(
--- a/crates/rehearsal/tests/oracle.rs
+++ b/crates/rehearsal/tests/oracle.rs
@@ -9,7 +9,7 @@
 
 /// Rules that are violated if the hook changes the output of the limiters.
 fn violated_rules(scenario: &Scenario, hook: OutputHook) -> Vec<Rule> {
-    let run = World::new(scenario, 1).expect("legal settings").with_output_hook(hook).play(|_| {});
+    let run = World::new(scenario, 1).expect("valid settings").with_output_hook(hook).play(|_| {});
     let mut rules: Vec<Rule> = run.figures.broken.iter().map(|b| b.rule).collect();
     rules.sort();
     rules.dedup();
--- a/crates/rehearsal/tests/prefetch.rs
+++ b/crates/rehearsal/tests/prefetch.rs
@@ -7,7 +7,7 @@
 use marldeal_rehearsal::{library, size, trials};
 
 fn play(scenario: &Scenario, seed: u64) -> Figures {
-    World::new(scenario, seed).expect("legal settings").play(|_| {}).figures
+    World::new(scenario, seed).expect("valid settings").play(|_| {}).figures
 }
 
 /// The scenario with the given number of limiters that prefetch.
--- a/crates/rehearsal/tests/world.rs
+++ b/crates/rehearsal/tests/world.rs
@@ -10,7 +10,7 @@
 }
 
 fn play(scenario: &Scenario, seed: u64) -> Run {
-    World::new(scenario, seed).expect("legal settings").play(|_| {})
+    World::new(scenario, seed).expect("valid settings").play(|_| {})
 }
 
 fn assert_no_violation(f: &Figures) {
@@ -35,7 +35,7 @@
     assert_ne!(
         text(&trials::play(&scenario, &[7], |_| {}).expect("scenario runs")),
         first,
-        "another seed gives other figures"
+        "another seed must give other figures"
     );
 }
 
@@ -166,7 +166,7 @@
         assert_eq!(
             e.asked,
             e.in_time + e.late + e.refused + e.failed + e.left,
-            "each request has one outcome"
+            "each request must have one outcome"
         );
     }
 }
