--- a/crates/faults/src/environment/clients.rs
+++ b/crates/faults/src/environment/clients.rs
@@ -47,7 +47,7 @@
                     if now < sent.deadline {
                         sent.task.abort();
                     } else {
-                        // The exchange stays open for the grace period, so that a late answer is told from a
+                        // The exchange stays open for the grace period, so that a late answer is distinguished from a
                         // missing one.
                         spawn_local(report_if_unanswered(environment.clone(), sent));
                     }
--- a/crates/faults/src/environment/mod.rs
+++ b/crates/faults/src/environment/mod.rs
@@ -65,7 +65,7 @@
     let unsupported_fault = |t: &Trouble| {
         let why = match t.what {
             What::Part => "the test environment has no regions",
-            What::Vanish => "a loopback_address address cannot fall discovery_silences without privileges",
+            What::Vanish => "a loopback address cannot fall silent without privileges",
             _ => return None,
         };
         Some(format!("\"{}\" runs in the simulation only: {why}", fault_name(t.what)))
@@ -484,7 +484,7 @@
     }
 }
 
-/// Measures status late this process wakes up; what it sees late is not held against limiters.
+/// Measures how late this process wakes up; what it sees late is not held against limiters.
 async fn measure_own_lateness(environment: Rc<Environment>) {
     const INTERVAL: Duration = Duration::from_millis(20);
     loop {
--- a/crates/faults/src/environment/servers.rs
+++ b/crates/faults/src/environment/servers.rs
@@ -134,7 +134,7 @@
         let mut guard = environment.state.borrow_mut();
         let state = &mut *guard;
         let now = state.now();
-        // A request whose client has left is no longer known here; the server works on it all the same, as any
+        // A request whose client has disconnected is no longer known here; the server works on it all the same, as any
         // server would.
         let known = state
             .sent_requests
--- a/crates/permit/src/sending.rs
+++ b/crates/permit/src/sending.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// Whether an attempt may be sent now. Reasons that rule it out for allowed_attempt take precedence over facts to refresh.
+/// Whether an attempt may be sent now. Reasons that rule it out for good take precedence over facts to
+/// refresh.
 pub fn may_send(attempt: &Attempt) -> Verdict {
     let Attempt { now, effect, may_have_run, .. } = *attempt;
     if attempt.another_outstanding {
--- a/crates/rehearsal/src/observe.rs
+++ b/crates/rehearsal/src/observe.rs
@@ -23,7 +23,7 @@
         /// Whether the limiter was stopped or starved at some time since it accepted the try.
         stopped: bool,
     },
-    /// The relay has received a datagram from a limiter, or has delivered it to another.
+    /// The proxy has received a datagram from a limiter, or has delivered it to another.
     Datagram {
         /// The sender.
         from: usize,
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -102,7 +102,7 @@
 
 /// Maximum number of violations that are recorded; all are counted.
 const MAX_RECORDED_VIOLATIONS: usize = 100;
-/// Rule 1.1: time after a notice during which requests may still be sent.
+/// Time after the notice that a server drains or was removed, during which requests may still be sent to it.
 const DRAIN_GRACE_MS: Millis = 1000.0;
 /// Maximum delay with which an oracle at the servers' sockets observes what a limiter did.
 pub const OBSERVATION_DELAY_MS: Millis = 150.0;
--- a/marldeal/src/run.rs
+++ b/marldeal/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of the limiter and serves until the process is told to stop.
+//! Starts the parts of the limiter and serves until the process is asked to stop.
 
 use std::path::Path;
 use std::rc::Rc;
--- a/marldeal/src/upgrade/mod.rs
+++ b/marldeal/src/upgrade/mod.rs
@@ -217,7 +217,7 @@
     pub successor: Rc<SuccessorHandle>,
 }
 
-/// Accepts successors. Sends each a snapshot, and hands over to one of them when this process is told to end.
+/// Accepts successors. Sends each a snapshot, and hands over to one of them when this process is asked to end.
 pub async fn accept_successors(driver: Rc<Driver>, endpoint: UpgradeEndpoint) {
     let listener = match bind(&endpoint.path) {
         Ok(listener) => listener,
@@ -285,7 +285,7 @@
         return "it did not accept the snapshot".to_string();
     }
     info!("a successor warms up");
-    // Until this process is told to end.
+    // Until this process is asked to end.
     while !matches!(driver.phase(), Phase::Stopping | Phase::HandingOver) {
         tokio::select! {
             () = driver.phase_changed.notified() => {}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -91,7 +91,7 @@
     pub may_tell: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
-    /// Refused clients are told when to try again.
+    /// Refused clients are advised when to retry.
     pub may_advise: bool,
     /// Messages per second that a limiter accepts.
     pub messages_per_s: f64,
