--- a/crates/faults/src/environment/timeline.rs
+++ b/crates/faults/src/environment/timeline.rs
@@ -19,13 +19,13 @@
         (t, from, until)
     };
     tokio::time::sleep_until(from).await;
-    let nodes = environment.state.borrow().scenario.affected_servers(&t);
+    let servers = environment.state.borrow().scenario.affected_servers(&t);
     let limiters: Vec<usize> = t.limiters.iter().flatten().map(|l| *l as usize).collect();
     let plan = t.plan.as_deref().and_then(|p| environment.state.borrow().scenario.plan(p));
     let change_servers = |change: &dyn Fn(&mut TestServer, f64)| {
         let mut guard = environment.state.borrow_mut();
         let now = guard.now();
-        for n in &nodes {
+        for n in &servers {
             let server = &mut guard.servers[*n];
             change(server, now);
             server.changed.notify_one();
@@ -38,7 +38,7 @@
         environment.clients_changed.notify_one();
     };
     environment.datagrams.network.borrow_mut().begin_fault(index, &t);
-    environment.links.start_fault(index, &t, &nodes);
+    environment.links.start_fault(index, &t, &servers);
     let seconds = |s: Option<f64>| Duration::from_secs_f64(s.unwrap_or(0.0));
     match t.what {
         What::Surge => change_state(&|s, now| s.clients.surge(now, plan, t.times.unwrap_or(1.0))),
@@ -49,16 +49,16 @@
             change_state(&|s, now| s.clients.strangers(now, t.per_s.map(|p| (p, plan.unwrap_or(0)))))
         }
         What::Exit => {
-            nodes.iter().for_each(|n| end_process(&environment, &mut environment.state.borrow_mut(), *n));
+            servers.iter().for_each(|n| end_process(&environment, &mut environment.state.borrow_mut(), *n));
         }
         What::Drain => {
-            for n in &nodes {
+            for n in &servers {
                 let mut state = environment.state.borrow_mut();
                 state.servers[*n].simulation.drain();
                 set_condition(&environment, &mut state, *n, Condition::Draining);
             }
             tokio::time::sleep(seconds(t.after_s)).await;
-            nodes.iter().for_each(|n| end_process(&environment, &mut environment.state.borrow_mut(), *n));
+            servers.iter().for_each(|n| end_process(&environment, &mut environment.state.borrow_mut(), *n));
         }
         What::Stall => change_servers(&|server, now| server.simulation.set_stalled(now, true)),
         What::Slow => change_servers(&|server, now| {
@@ -119,13 +119,13 @@
     if t.what != What::Cut {
         environment.datagrams.network.borrow_mut().end_fault(index, &t);
     }
-    environment.links.end_fault(index, &t, &nodes);
+    environment.links.end_fault(index, &t, &servers);
     match t.what {
         What::Surge => change_state(&|s, now| s.clients.surge(now, plan, 1.0)),
         What::Flood => change_state(&|s, now| s.clients.flood(now, t.firms.unwrap_or(1), 0.0)),
         What::Strangers => change_state(&|s, now| s.clients.strangers(now, None)),
         What::Exit | What::Drain => {
-            for n in nodes {
+            for n in servers {
                 restart_process(&environment, n).await;
             }
         }
--- a/crates/rehearsal/src/planner.rs
+++ b/crates/rehearsal/src/planner.rs
@@ -42,13 +42,13 @@
 
 /// Returns the scenario with another number of servers and the same demand. Faults of servers that no longer exist
 /// affect others instead.
-pub fn with_nodes(scenario: &Scenario, nodes: u32) -> Scenario {
+pub fn with_server_count(scenario: &Scenario, count: u32) -> Scenario {
     let mut s = scenario.clone();
-    s.clients.load = scenario.clients.load * f64::from(scenario.nodes.count) / f64::from(nodes);
-    s.nodes.count = nodes;
+    s.clients.load = scenario.clients.load * f64::from(scenario.nodes.count) / f64::from(count);
+    s.nodes.count = count;
     for fault in &mut s.timeline {
         if let Some(list) = &mut fault.nodes {
-            list.iter_mut().for_each(|n| *n %= nodes);
+            list.iter_mut().for_each(|n| *n %= count);
             list.sort_unstable();
             list.dedup();
         }
@@ -71,7 +71,7 @@
         if let Some(known) = tried.iter().find(|t| t.nodes == nodes) {
             return Ok(known.good);
         }
-        let s = with_nodes(scenario, nodes);
+        let s = with_server_count(scenario, nodes);
         if let Some(error) = s.validation_errors().first() {
             return Err(format!("with {nodes} servers: {error}"));
         }
--- a/crates/rehearsal/tests/deciding.rs
+++ b/crates/rehearsal/tests/deciding.rs
@@ -2,7 +2,7 @@
 
 use marldeal_rehearsal::draws;
 use marldeal_rehearsal::library;
-use marldeal_rehearsal::planner::{plan, with_nodes, Goal};
+use marldeal_rehearsal::planner::{plan, with_server_count, Goal};
 use marldeal_rehearsal::scenario::Scenario;
 use marldeal_rehearsal::search::{search, Bounds};
 use marldeal_rehearsal::trials::{self, difference};
@@ -43,12 +43,12 @@
     let goal = Goal { score: 0.97, nodes: [8, 16] };
     let found = plan(&scenario, &seeds, goal, |_| {}).expect("scenario runs").nodes.expect("enough servers");
     let meets_goal = |nodes| {
-        let runs = trials::play(&with_nodes(&scenario, nodes), &seeds, |_| {}).expect("scenario runs");
+        let runs = trials::play(&with_server_count(&scenario, nodes), &seeds, |_| {}).expect("scenario runs");
         runs.iter().all(|f| f.score >= goal.score)
     };
     assert!((9..16).contains(&found) && meets_goal(found) && !meets_goal(found - 1), "{found}");
     let demand = |s: &Scenario| s.requests_per_s();
-    assert!((demand(&with_nodes(&scenario, 15)) / demand(&scenario) - 1.0).abs() < 1e-9);
+    assert!((demand(&with_server_count(&scenario, 15)) / demand(&scenario) - 1.0).abs() < 1e-9);
     assert_eq!(
         plan(&scenario, &seeds, Goal { score: 1.1, ..goal }, |_| {}).expect("scenario runs").nodes,
         None
--- a/src/customers.rs
+++ b/src/customers.rs
@@ -125,7 +125,7 @@
     fn new_customer(&self, request: &Request) -> Customer {
         let plan = &self.settings.plans[request.plan];
         let (rate, capacity) = equal_share(plan, request.spread);
-        let owed_s = seconds_until(
+        let deficit_s = seconds_until(
             self.deficits.equal_shares.deficit_until(&(request.customer, request.plan as u8)),
             self.now,
         );
@@ -135,11 +135,11 @@
             true => capacity.min(rate * (self.now - self.process_started_at) / 1000.0),
             false => capacity.max(request.units),
         };
-        let level = if owed_s > 0.0 { (initial - rate * owed_s).max(0.0) } else { initial };
+        let level = if deficit_s > 0.0 { (initial - rate * deficit_s).max(0.0) } else { initial };
         Customer {
             equal_share: TokenBucket { level, at: self.now },
             // A customer with a deficit asks before it spends: what its owner's store holds was forgotten too.
-            store_left: if owed_s > 0.0 { 0.0 } else { plan.burst },
+            store_left: if deficit_s > 0.0 { 0.0 } else { plan.burst },
             demand_at: f64::NEG_INFINITY,
             spread: request.spread as u16,
             plan: request.plan as u8,
@@ -166,10 +166,10 @@
         let (capacity, lowest) = (plan.ceiling_burst * fraction, -plan.ceiling_slack * fraction);
         let filled_s = (self.now - self.ceilings_from() - GRANT_LIFETIME_MS).max(0.0) / 1000.0;
         let filled = (lowest + plan.ceiling_rate * fraction * filled_s).min(capacity);
-        let owed_s =
+        let deficit_s =
             |sketch: &marldeal_firms::DeficitSketch| seconds_until(sketch.deficit_until(&key), self.now);
-        let ceiling = capacity - plan.ceiling_rate * fraction * owed_s(&self.deficits.ceilings);
-        let store = plan.burst * share - plan.rate * share * owed_s(&self.deficits.stores);
+        let ceiling = capacity - plan.ceiling_rate * fraction * deficit_s(&self.deficits.ceilings);
+        let store = plan.burst * share - plan.rate * share * deficit_s(&self.deficits.stores);
         Account {
             at: self.now,
             store: store.max(-plan.burst),
--- a/src/prefetch/tests.rs
+++ b/src/prefetch/tests.rs
@@ -127,8 +127,8 @@
             limiter.enable_prefetch(100);
         }
         // The ceiling starts at minus its slack and fills from then on.
-        let owed_ms = 1000.0 * (1.0 + 2.0 * 5.0 * 0.62) / (10.0 * 0.62);
-        advance(&mut limiter, START_MS + after + owed_ms);
+        let deficit_ms = 1000.0 * (1.0 + 2.0 * 5.0 * 0.62) / (10.0 * 0.62);
+        advance(&mut limiter, START_MS + after + deficit_ms);
         grantable_units(&mut limiter, 1)
     };
     assert!(from_start(false, GRANT_LIFETIME_MS) >= 1.0);
