--- a/crates/faults/src/processes.rs
+++ b/crates/faults/src/processes.rs
@@ -1,4 +1,4 @@
-//! Limiters as processes of their own on loopback. What is started here ends when it is dropped.
+//! Limiters as processes of their own on loopback. Dropping a process handle kills the process.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -14,75 +14,77 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Longest that a limiter may take to listen and to be ready; generous, for hundreds may start at once.
-const START: Duration = Duration::from_secs(60);
+/// Time in which a limiter has to listen and to get ready; long, because hundreds may start at once.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Which program is started, and with what beside its configuration.
+/// The program to start, and its environment.
 #[derive(Debug, Clone)]
 pub struct Program {
-    /// The built program.
+    /// Path of the built program.
     pub path: PathBuf,
-    /// Variables for all of its processes.
+    /// Environment variables for all of its processes.
     pub variables: Vec<(String, String)>,
 }
 
 impl Program {
-    /// This very program.
+    /// Returns the program that runs now.
     ///
     /// # Errors
-    /// One plain line.
-    pub fn own() -> Result<Program, String> {
-        let path = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
+    /// Its path cannot be read.
+    pub fn current() -> Result<Program, String> {
+        let path = std::env::current_exe()
+            .map_err(|e| format!("cannot read the path of the running program: {e}"))?;
         Ok(Program { path, variables: Vec::new() })
     }
 }
 
 /// One line of a limiter's log.
 #[derive(Debug, Clone)]
-pub enum Line {
-    /// With its fields.
-    Told(serde_json::Value),
-    /// Not in the log's form: what a panic says, for one.
-    Other(String),
+pub enum LogLine {
+    /// A line in JSON form.
+    Fields(serde_json::Value),
+    /// A line in another form, such as the message of a panic.
+    Text(String),
 }
 
-impl Line {
-    fn read(text: String) -> Line {
+impl LogLine {
+    fn read(text: String) -> LogLine {
         match serde_json::from_str::<serde_json::Value>(&text) {
-            Ok(told) if told.is_object() => Line::Told(told),
-            _ => Line::Other(text),
+            Ok(fields) if fields.is_object() => LogLine::Fields(fields),
+            _ => LogLine::Text(text),
         }
     }
 
-    /// What happened, if the line names it.
+    /// Returns the line's event, if it names one.
     pub fn event(&self) -> Option<&str> {
         match self {
-            Line::Told(told) => told.get("event")?.as_str(),
-            Line::Other(_) => None,
+            LogLine::Fields(fields) => fields.get("event")?.as_str(),
+            LogLine::Text(_) => None,
         }
     }
 }
 
 /// The directory of configuration files; removed when dropped.
-pub struct Files {
+pub struct ConfigFiles {
     at: TempDir,
     prefetch: u32,
 }
 
-impl Files {
-    /// A new one. The limiters at the first `prefetch` positions hold units of quotas ahead of need.
+impl ConfigFiles {
+    /// Creates the directory. Limiters at the first `prefetch` positions prefetch units of quotas.
     ///
     /// # Errors
-    /// One plain line.
-    pub fn new(prefetch: u32) -> Result<Files, String> {
-        let at = TempDir::with_prefix("marldeal-").map_err(|e| format!("no directory for files: {e}"))?;
+    /// Says which file or directory could not be written.
+    pub fn new(prefetch: u32) -> Result<ConfigFiles, String> {
+        let at = TempDir::with_prefix("marldeal-")
+            .map_err(|e| format!("cannot create a directory for files: {e}"))?;
         let log = at.path().join("log.toml");
         let ahead = at.path().join("ahead.toml");
         let json = "[log]\nform = \"json\"\n";
         for (path, text) in [(log, json.to_string()), (ahead, format!("{json}[prefetch]\n"))] {
             std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
         }
-        Ok(Files { at, prefetch })
+        Ok(ConfigFiles { at, prefetch })
     }
 
     fn path(&self) -> &Path {
@@ -90,84 +92,88 @@
     }
 }
 
-/// A limiter that is killed when it is dropped.
+/// A limiter's process; killed when dropped.
 pub struct Process {
     child: Child,
-    /// The number of its process.
+    /// Its process id.
     pub pid: u32,
-    /// Where it serves.
+    /// The address at which it serves.
     pub addr: SocketAddr,
-    /// What it logs from then on.
-    pub lines: Option<mpsc::UnboundedReceiver<Line>>,
+    /// Its log lines after the one that says where it serves.
+    pub lines: Option<mpsc::UnboundedReceiver<LogLine>>,
 }
 
 impl Process {
-    /// Starts a limiter with that configuration, and waits until it listens.
+    /// Starts a limiter with that configuration and waits until it listens.
     ///
     /// # Errors
-    /// One plain line: what could not be started, with what it said last.
+    /// Says what could not be started, with the last line that the limiter logged.
     pub async fn start(
         program: &Program,
-        files: &Files,
+        files: &ConfigFiles,
         config: &serde_json::Value,
     ) -> Result<Process, String> {
         let mut child = spawn(program, files, config)?;
         let pid = child.id().ok_or("a limiter ended at once")?;
         let log = child.stderr.take().ok_or("a limiter has no log")?;
-        let (say, mut heard) = mpsc::unbounded_channel();
-        // Read to the end, so that the limiter never waits for its log.
+        let (sender, mut received) = mpsc::unbounded_channel();
+        // Reads the log to its end, so that the limiter never blocks on writing it.
         tokio::spawn(async move {
             let mut lines = BufReader::new(log).lines();
             while let Ok(Some(text)) = lines.next_line().await {
-                let _ = say.send(Line::read(text));
+                let _ = sender.send(LogLine::read(text));
             }
         });
         let mut last = String::new();
         let listens = async {
-            while let Some(line) = heard.recv().await {
+            while let Some(line) = received.recv().await {
                 if line.event() == Some("serving") {
-                    let Line::Told(told) = &line else { continue };
-                    return told.get("at").and_then(|at| at.as_str()?.parse::<SocketAddr>().ok());
+                    let LogLine::Fields(fields) = &line else { continue };
+                    return fields.get("at").and_then(|at| at.as_str()?.parse::<SocketAddr>().ok());
                 }
                 last = format!("{line:?}");
             }
             None
         };
-        let addr = tokio::time::timeout(START, listens).await;
-        let addr = addr.map_err(|_| "a limiter does not listen".to_string())?;
-        let addr = addr.ok_or_else(|| format!("a limiter ends as it starts: {last}"))?;
-        Ok(Process { child, pid, addr, lines: Some(heard) })
+        let addr = tokio::time::timeout(START_TIMEOUT, listens).await;
+        let addr = addr.map_err(|_| "a limiter did not listen in time".to_string())?;
+        let addr = addr.ok_or_else(|| format!("a limiter ended during its start: {last}"))?;
+        Ok(Process { child, pid, addr, lines: Some(received) })
     }
 
-    /// Starts a limiter and ends it before it can listen.
+    /// Starts a limiter and kills it before it can listen.
     ///
     /// # Errors
-    /// One plain line.
-    pub async fn stumble(program: &Program, files: &Files, config: &serde_json::Value) -> Result<(), String> {
+    /// The limiter cannot be started or killed.
+    pub async fn start_and_kill(
+        program: &Program,
+        files: &ConfigFiles,
+        config: &serde_json::Value,
+    ) -> Result<(), String> {
         let mut child = spawn(program, files, config)?;
-        child.kill().await.map_err(|e| format!("a limiter does not die: {e}"))
+        child.kill().await.map_err(|e| format!("a limiter cannot be killed: {e}"))
     }
 
-    /// Sends it a signal; one that has ended hears nothing.
+    /// Sends a signal; no effect on a process that has ended.
     pub fn signal(&self, what: Signal) {
-        // Its number is its own until it has been waited for, which `ended` alone does.
+        // The process id stays reserved until the process has been waited for, which only `exit_status` does.
         if self.child.id().is_some() {
             let _ = kill(Pid::from_raw(self.pid as i32), what);
         }
     }
 
-    /// How it has ended by itself, if it has.
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    /// Returns the exit status if the process has ended by itself.
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Kills it and waits until it is gone, so that its addresses are free.
-    pub async fn end(mut self) {
+    /// Kills the process and waits for its end, so that its addresses are free.
+    pub async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 }
 
-fn spawn(program: &Program, files: &Files, config: &serde_json::Value) -> Result<Child, String> {
+fn spawn(program: &Program, files: &ConfigFiles, config: &serde_json::Value) -> Result<Child, String> {
     let name = config.get("name").and_then(|n| n.as_str()).unwrap_or("limiter");
     let path = files.path().join(format!("{name}.json"));
     std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
@@ -180,30 +186,32 @@
     command.arg("--extensions").arg(files.path().join(extensions));
     command.env("ROUTER_CONFIG", &path).envs(program.variables.iter().cloned());
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
-    command.spawn().map_err(|e| format!("a limiter does not start: {e}"))
+    command.spawn().map_err(|e| format!("a limiter cannot be started: {e}"))
 }
 
-/// The loopback address of one of many: each kind has a network of its own, so that no connection's own port ever takes
-/// the place of a listener that comes back.
-pub fn loopback(kind: u8, number: usize) -> Ipv4Addr {
+/// Returns a loopback address. Each kind of socket has a network of its own, so that the local port of no
+/// connection takes the address of a listener that is opened again.
+pub fn loopback_address(kind: u8, number: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, kind, (number / 250) as u8, (number % 250 + 1) as u8)
 }
 
-/// Addresses for datagrams of so many limiters: each has to be known before any of them listens there.
+/// Returns addresses for the datagrams of so many limiters. Each address has to be known before any limiter
+/// listens.
 ///
 /// # Errors
-/// One plain line.
-pub fn mail_addresses(limiters: usize) -> Result<Vec<SocketAddr>, String> {
-    let bound: Result<Vec<_>, _> = (0..limiters).map(|n| UdpSocket::bind((loopback(14, n), 0))).collect();
+/// An address cannot be bound.
+pub fn datagram_addresses(limiters: usize) -> Result<Vec<SocketAddr>, String> {
+    let bound: Result<Vec<_>, _> =
+        (0..limiters).map(|n| UdpSocket::bind((loopback_address(14, n), 0))).collect();
     let all = bound.and_then(|all| all.iter().map(UdpSocket::local_addr).collect::<Result<Vec<_>, _>>());
-    all.map_err(|e| format!("no address for datagrams: {e}"))
+    all.map_err(|e| format!("cannot bind an address for datagrams: {e}"))
 }
 
 /// Waits until a limiter is ready.
 ///
 /// # Errors
-/// When it does not get ready in time.
-pub async fn ready(client: &Client, addr: SocketAddr) -> Result<(), String> {
+/// The limiter is not ready within the start time-out.
+pub async fn wait_until_ready(client: &Client, addr: SocketAddr) -> Result<(), String> {
     let began = Instant::now();
     loop {
         let request = hyper::Request::get("/-/ready").header("host", "ground").body(bytes::Bytes::new());
@@ -211,8 +219,8 @@
         if client.exchange(addr, request).await.is_ok_and(|a| a.status() == 200) {
             return Ok(());
         }
-        if began.elapsed() > START {
-            return Err(format!("the limiter at {addr} does not get ready"));
+        if began.elapsed() > START_TIMEOUT {
+            return Err(format!("the limiter at {addr} did not get ready in time"));
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -1,44 +1,44 @@
-//! Plays seeds one after another, and tells what was broken and how to play it again.
+//! Runs seeds one after another and reports which rules were broken and by what.
 
 use std::path::{Path, PathBuf};
 
 use tempfile::TempDir;
 
+use crate::environment::Environment;
 use crate::history::{History, What};
 use crate::judge::{judge, Breach};
 use crate::plan::Plan;
-use crate::run::{log_of_request, play, Subject};
+use crate::run::{request_log_lines, run_plan, RunConfig};
 use crate::shim::{FailingCalls, Shim};
-use crate::world::World;
 
-/// Breaches that are told in full.
-const MOST_TOLD: usize = 6;
+/// Breaches that are reported in full.
+const MAX_REPORTED: usize = 6;
 
-/// What to play.
+/// What to run.
 pub struct Arguments {
-    /// The built limiter.
+    /// Path of the built limiter.
     pub program: PathBuf,
     /// One seed, or `FROM..TO`.
     pub seeds: String,
-    /// How many limiters.
+    /// Number of limiters.
     pub limiters: usize,
-    /// How many servers.
+    /// Number of servers.
     pub servers: usize,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub seconds: f64,
-    /// System calls of every third limiter fail now and then.
+    /// Whether system calls of every third limiter fail now and then.
     pub failing_calls: bool,
-    /// Where logs and histories are kept; a temporary directory otherwise.
+    /// Where logs and histories are kept; otherwise they go to a temporary directory.
     pub keep: Option<PathBuf>,
-    /// Variables for every limiter.
+    /// Environment variables for every limiter.
     pub variables: Vec<(String, String)>,
 }
 
-/// Plays one seed: what was seen, and what was broken.
+/// Runs one seed and returns its history and the breaches found.
 ///
 /// # Errors
-/// One plain line: what of the harness could not be done.
-pub fn play_seed(arguments: &Arguments, seed: u64, files: &Path) -> Result<(History, Vec<Breach>), String> {
+/// Says what the test environment could not do.
+pub fn run_seed(arguments: &Arguments, seed: u64, files: &Path) -> Result<(History, Vec<Breach>), String> {
     let plan = Plan::draw(seed, arguments.limiters, arguments.servers, arguments.seconds * 1000.0);
     let shim = match arguments.failing_calls {
         true => Some(Shim::build()?),
@@ -48,20 +48,20 @@
         .map(|n| {
             let mut all = arguments.variables.clone();
             if let Some(shim) = shim.as_ref().filter(|_| n % 3 == 0) {
-                all.extend(shim.environment(&calls(seed, n)));
+                all.extend(shim.environment(&draw_failing_calls(seed, n)));
             }
             all
         })
         .collect();
-    let subject = Subject { program: arguments.program.clone(), variables, files: files.to_path_buf() };
-    let history = play(&plan, subject)?;
+    let config = RunConfig { program: arguments.program.clone(), variables, files: files.to_path_buf() };
+    let history = run_plan(&plan, config)?;
     let breaches = judge(&history);
     Ok((history, breaches))
 }
 
-/// Calls that fail often enough to meet other troubles, and seldom enough to leave work to do. The wall clock is off by an
-/// hour, either way, for some.
-fn calls(seed: u64, limiter: usize) -> FailingCalls {
+/// Returns failure rates that are high enough for failing calls to coincide with other faults, and low enough
+/// to leave requests that succeed. The wall clock of some limiters is off by an hour, either way.
+fn draw_failing_calls(seed: u64, limiter: usize) -> FailingCalls {
     FailingCalls {
         short_reads: 100,
         short_writes: 100,
@@ -74,37 +74,38 @@
     }
 }
 
-fn range(text: &str) -> Result<std::ops::RangeInclusive<u64>, String> {
-    let number = |text: &str| text.trim().parse::<u64>().map_err(|_| format!("'{text}' is no seed"));
+fn parse_seeds(text: &str) -> Result<std::ops::RangeInclusive<u64>, String> {
+    let number = |text: &str| text.trim().parse::<u64>().map_err(|_| format!("'{text}' is not a seed"));
     match text.split_once("..") {
         Some((from, to)) => Ok(number(from)?..=number(to)?),
         None => number(text).map(|seed| seed..=seed),
     }
 }
 
-/// Plays all seeds; how many of them broke a rule.
+/// Runs all seeds and returns how many of them broke a rule.
 ///
 /// # Errors
-/// One plain line: what of the harness could not be done.
-pub fn run(arguments: &Arguments, mut say: impl FnMut(&str)) -> Result<u32, String> {
+/// Says what the test environment could not do.
+pub fn run(arguments: &Arguments, mut report: impl FnMut(&str)) -> Result<u32, String> {
     let mut broken = 0;
-    for seed in range(&arguments.seeds)? {
-        let temporary = TempDir::with_prefix("marldeal-soak-").map_err(|e| format!("no directory: {e}"))?;
+    for seed in parse_seeds(&arguments.seeds)? {
+        let temporary =
+            TempDir::with_prefix("marldeal-soak-").map_err(|e| format!("cannot create a directory: {e}"))?;
         let files = match &arguments.keep {
             Some(kept) => kept.join(format!("seed-{seed}")),
             None => temporary.path().to_path_buf(),
         };
         std::fs::create_dir_all(&files).map_err(|e| format!("{}: {e}", files.display()))?;
-        let (history, breaches) = play_seed(arguments, seed, &files)?;
-        say(&summary(seed, &history, &breaches));
-        for breach in breaches.iter().take(MOST_TOLD) {
-            say(&format!("  {breach}"));
-            for line in story(&history, &files, breach) {
-                say(&format!("    {line}"));
+        let (history, breaches) = run_seed(arguments, seed, &files)?;
+        report(&summary(seed, &history, &breaches));
+        for breach in breaches.iter().take(MAX_REPORTED) {
+            report(&format!("  {breach}"));
+            for line in request_trace(&history, &files, breach) {
+                report(&format!("    {line}"));
             }
         }
-        if breaches.len() > MOST_TOLD {
-            say(&format!("  and {} more", breaches.len() - MOST_TOLD));
+        if breaches.len() > MAX_REPORTED {
+            report(&format!("  and {} more", breaches.len() - MAX_REPORTED));
         }
         if arguments.keep.is_some() {
             let text: String = history.events.iter().map(|e| format!("{e}\n")).collect();
@@ -116,8 +117,8 @@
     Ok(broken)
 }
 
-/// What was seen of the request that a breach is about, and what its limiter logged of it.
-pub fn story(history: &History, files: &Path, breach: &Breach) -> Vec<String> {
+/// Returns the events of the request that a breach is about, and what its limiter logged of it.
+pub fn request_trace(history: &History, files: &Path, breach: &Breach) -> Vec<String> {
     let Some(request) = breach.request else { return Vec::new() };
     let mut lines: Vec<String> = history.of_request(request).map(ToString::to_string).collect();
     let limiter = history.events.iter().find_map(|e| match e.what {
@@ -126,7 +127,7 @@
     });
     if let Some(limiter) = limiter {
         lines.extend(
-            log_of_request(files, limiter, &World::correlation(request))
+            request_log_lines(files, limiter, &Environment::correlation_id(request))
                 .into_iter()
                 .map(|l| format!("log {l}")),
         );
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,119 +1,123 @@
-//! What goes wrong in a run, drawn from its seed: troubles meet in twos and threes, within a fraction of a second, at the same
-//! limiter or server.
+//! Faults of a run, drawn from its seed: they coincide in twos and threes, within a fraction of a second, at
+//! the same limiter or server.
 
 use crate::history::{Limiter, Millis, Server};
 
-/// Something that goes wrong.
+/// A fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Trouble {
-    /// A limiter's process stands still.
+pub enum Fault {
+    /// A limiter's process is stopped for so long.
     Stop(Limiter, Millis),
-    /// A limiter's configuration names another place of discovery.
+    /// A limiter's configuration is changed to the other discovery agent and reloaded.
     Reload(Limiter),
-    /// A limiter is told to end, killed in time and started again.
+    /// A limiter is asked to end, killed when its time is up, and started again.
     Restart(Limiter),
     /// A limiter is killed and started again.
     Kill(Limiter),
-    /// A server drains, for so long; then it is gone, and comes back cold.
+    /// A server drains for so long, is removed, and comes back cold.
     Drain(Server, Millis),
-    /// A server's process dies and comes back cold after so long.
+    /// A server's process ends and comes back cold after so long.
     Crash(Server, Millis),
     /// A server answers nothing for so long.
     Hang(Server, Millis),
     /// A server resets all its connections.
     Reset(Server),
-    /// A limiter's agent says nothing for so long, and learns nothing.
-    AgentAway(Limiter, Millis),
-    /// A limiter's watch ends.
-    WatchEnds(Limiter),
-    /// A limiter's watch stays open, and says nothing more.
-    WatchMute(Limiter),
-    /// All clients of a limiter that wait for an answer leave.
-    ClientsLeave(Limiter),
-    /// So many idle clients connect to a limiter and stay.
-    Crowd(Limiter, u32),
+    /// A limiter's discovery agent sends nothing for so long, and receives no updates.
+    SilenceAgent(Limiter, Millis),
+    /// A limiter's watch on discovery is closed.
+    CloseWatch(Limiter),
+    /// A limiter's watch on discovery stays open and sends nothing more.
+    SilenceWatch(Limiter),
+    /// All clients that wait for an answer of a limiter disconnect.
+    DisconnectClients(Limiter),
+    /// So many clients connect to a limiter, send nothing and stay connected.
+    IdleConnections(Limiter, u32),
 }
 
-/// A trouble and when it begins.
+/// A fault with its start.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Entry {
-    /// Milliseconds from the begin of the run.
-    pub at: Millis,
-    /// What.
-    pub trouble: Trouble,
+pub struct ScheduledFault {
+    /// Milliseconds from the start of the run.
+    pub at_ms: Millis,
+    /// The fault.
+    pub fault: Fault,
 }
 
-/// A run.
+/// The faults of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Draws all of it.
+    /// Seed of the run.
     pub seed: u64,
-    /// How many limiters.
+    /// Number of limiters.
     pub limiters: usize,
-    /// How many servers.
+    /// Number of servers.
     pub servers: usize,
-    /// How long clients ask.
+    /// How long clients send requests.
     pub length_ms: Millis,
-    /// What goes wrong, in the order of time.
-    pub entries: Vec<Entry>,
+    /// The faults in the order of time.
+    pub faults: Vec<ScheduledFault>,
 }
 
-/// Nothing goes wrong before all have settled, and in the last part of a run.
-const QUIET_MS: (Millis, Millis) = (2500.0, 4000.0);
-/// Between one crossing of troubles and the next, and within one.
-const BETWEEN_MS: (Millis, Millis) = (300.0, 1200.0);
-const WITHIN_MS: Millis = 400.0;
+/// No fault starts before this, while limiters and clients settle.
+const FIRST_FAULT_MS: Millis = 2500.0;
+/// No fault starts in this last part of a run.
+const QUIET_END_MS: Millis = 4000.0;
+/// Time between one group of coinciding faults and the next, at least and at most.
+const CROSSING_INTERVAL_MS: (Millis, Millis) = (300.0, 1200.0);
+/// Faults of a group start within this time.
+const CROSSING_SPREAD_MS: Millis = 400.0;
 
 fn between(rng: &mut fastrand::Rng, (low, high): (Millis, Millis)) -> Millis {
     low + (high - low) * rng.f64()
 }
 
-/// A trouble of a limiter's own.
-fn at_limiter(rng: &mut fastrand::Rng, limiter: Limiter) -> Trouble {
+/// Draws a fault of a limiter.
+fn draw_limiter_fault(rng: &mut fastrand::Rng, limiter: Limiter) -> Fault {
     match rng.u32(0..11) {
-        0 | 1 => Trouble::Stop(limiter, between(rng, (100.0, 400.0))),
-        2 => Trouble::Stop(limiter, between(rng, (1000.0, 2500.0))),
-        3 | 4 => Trouble::Reload(limiter),
-        5 => Trouble::Restart(limiter),
-        6 => Trouble::Kill(limiter),
-        7 => Trouble::AgentAway(limiter, between(rng, (500.0, 5000.0))),
-        8 => Trouble::WatchEnds(limiter),
-        9 => Trouble::WatchMute(limiter),
-        _ if rng.bool() => Trouble::ClientsLeave(limiter),
-        _ => Trouble::Crowd(limiter, rng.u32(20..200)),
+        0 | 1 => Fault::Stop(limiter, between(rng, (100.0, 400.0))),
+        2 => Fault::Stop(limiter, between(rng, (1000.0, 2500.0))),
+        3 | 4 => Fault::Reload(limiter),
+        5 => Fault::Restart(limiter),
+        6 => Fault::Kill(limiter),
+        7 => Fault::SilenceAgent(limiter, between(rng, (500.0, 5000.0))),
+        8 => Fault::CloseWatch(limiter),
+        9 => Fault::SilenceWatch(limiter),
+        _ if rng.bool() => Fault::DisconnectClients(limiter),
+        _ => Fault::IdleConnections(limiter, rng.u32(20..200)),
     }
 }
 
-/// A trouble of a server's.
-fn at_server(rng: &mut fastrand::Rng, server: Server) -> Trouble {
+/// Draws a fault of a server.
+fn draw_server_fault(rng: &mut fastrand::Rng, server: Server) -> Fault {
     match rng.u32(0..6) {
-        0..=2 => Trouble::Drain(server, between(rng, (2000.0, 5000.0))),
-        3 => Trouble::Crash(server, between(rng, (300.0, 2000.0))),
-        4 => Trouble::Hang(server, between(rng, (500.0, 3000.0))),
-        _ => Trouble::Reset(server),
+        0..=2 => Fault::Drain(server, between(rng, (2000.0, 5000.0))),
+        3 => Fault::Crash(server, between(rng, (300.0, 2000.0))),
+        4 => Fault::Hang(server, between(rng, (500.0, 3000.0))),
+        _ => Fault::Reset(server),
     }
 }
 
 impl Plan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64, limiters: usize, servers: usize, length_ms: Millis) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut entries = Vec::new();
-        let mut at = QUIET_MS.0;
-        while at < length_ms - QUIET_MS.1 {
+        let mut faults = Vec::new();
+        let mut at = FIRST_FAULT_MS;
+        while at < length_ms - QUIET_END_MS {
             let (limiter, server) = (rng.usize(0..limiters), rng.usize(0..servers));
-            let mut meet = vec![at_limiter(&mut rng, limiter), at_server(&mut rng, server)];
+            let mut crossing =
+                vec![draw_limiter_fault(&mut rng, limiter), draw_server_fault(&mut rng, server)];
             if rng.bool() {
-                meet.push(at_limiter(&mut rng, limiter));
+                crossing.push(draw_limiter_fault(&mut rng, limiter));
             }
-            for trouble in meet {
-                let at = at + rng.f64() * WITHIN_MS;
-                entries.push(Entry { at, trouble });
+            for fault in crossing {
+                let at = at + rng.f64() * CROSSING_SPREAD_MS;
+                faults.push(ScheduledFault { at_ms: at, fault });
             }
-            at += between(&mut rng, BETWEEN_MS);
+            at += between(&mut rng, CROSSING_INTERVAL_MS);
         }
-        entries.sort_by(|a, b| a.at.total_cmp(&b.at));
-        Plan { seed, limiters, servers, length_ms, entries }
+        faults.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+        Plan { seed, limiters, servers, length_ms, faults }
     }
 }
 
@@ -122,11 +126,14 @@
     use super::*;
 
     #[test]
-    fn a_seed_draws_the_same_plan_and_troubles_meet() {
+    fn plan_is_reproducible_and_dense() {
         let plan = Plan::draw(7, 24, 10, 30_000.0);
         assert_eq!(plan, Plan::draw(7, 24, 10, 30_000.0));
-        assert_ne!(plan.entries, Plan::draw(8, 24, 10, 30_000.0).entries);
-        assert!(plan.entries.len() > 40, "{}", plan.entries.len());
-        assert!(plan.entries.iter().all(|e| e.at >= QUIET_MS.0 && e.at < 30_000.0 - QUIET_MS.1 + WITHIN_MS));
+        assert_ne!(plan.faults, Plan::draw(8, 24, 10, 30_000.0).faults);
+        assert!(plan.faults.len() > 40, "{}", plan.faults.len());
+        assert!(plan
+            .faults
+            .iter()
+            .all(|e| e.at_ms >= FIRST_FAULT_MS && e.at_ms < 30_000.0 - QUIET_END_MS + CROSSING_SPREAD_MS));
     }
 }
--- a/marldeal/src/logging.rs
+++ b/marldeal/src/logging.rs
@@ -1,7 +1,7 @@
-//! The log on standard error: plain lines for people, or one JSON object a line for programs.
+//! Logging to standard error, as plain lines for people or as one JSON object per line for programs.
 //!
-//! What happens is told with `tracing` events. Those that a program may act on carry `event` (what happened) and further
-//! fields, whose names stay the same from version to version; the plain form shows the message alone.
+//! Log lines are `tracing` events. Events that a program may act on have an `event` field and further fields, whose
+//! names are stable between versions. The plain format shows only the message.
 
 use std::fmt;
 
@@ -10,29 +10,29 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How log lines are written.
+/// Format of the log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Form {
-    /// The limiter's name and the message.
+pub enum Format {
+    /// The name of the limiter and the message.
     #[default]
     Plain,
-    /// One JSON object a line with all fields.
+    /// One JSON object per line with all fields.
     Json,
 }
 
-/// What is logged, and how.
+/// What is logged, and in which format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Options {
-    /// How lines are written.
-    pub form: Form,
-    /// Also the life of each request and connection: taken, sent, ended, answered, closed, with the reason. Several lines a
-    /// request: for a hunt, not for every day.
+    /// Format of the lines.
+    pub form: Format,
+    /// Also logs the life cycle of each request and connection (accepted, sent, ended, answered, closed) with
+    /// reasons. This takes several lines per request and is meant for debugging, not for normal operation.
     pub requests: bool,
 }
 
-/// Name and message, as operators have always read them.
+/// Formats events as the name of the limiter and the message.
 struct Plain {
     name: String,
 }
@@ -49,14 +49,14 @@
     }
 }
 
-/// Starts the log of this process; the first call counts.
-pub fn start(name: &str, options: Options) {
-    // A log that nobody reads any more must not end the limiter: errors of writing are passed over.
+/// Initializes logging for this process. Only the first call has an effect.
+pub fn init(name: &str, options: Options) {
+    // Write errors are ignored: the limiter must not end because nobody reads its log any more.
     let level = if options.requests { Level::DEBUG } else { Level::INFO };
     let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).log_internal_errors(false);
     let lines = lines.with_max_level(level);
     let _ = match options.form {
-        Form::Plain => {
+        Format::Plain => {
             let message = debug_fn(|to, field, value| match field.name() {
                 "message" => write!(to, "{value:?}"),
                 _ => Ok(()),
@@ -64,6 +64,6 @@
             let plain = Plain { name: name.to_string() };
             tracing::subscriber::set_global_default(lines.event_format(plain).fmt_fields(message).finish())
         }
-        Form::Json => tracing::subscriber::set_global_default(lines.json().flatten_event(true).finish()),
+        Format::Json => tracing::subscriber::set_global_default(lines.json().flatten_event(true).finish()),
     };
 }
--- a/marldeal/src/payload.rs
+++ b/marldeal/src/payload.rs
@@ -1,4 +1,5 @@
-//! Bodies on their way: a request's to a server, held or piped; an answer's to its client, whole or in pieces.
+//! Request and response bodies in transit: a request's body to a server, buffered or streamed, and a response's
+//! body to a client, buffered or in chunks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -12,120 +13,133 @@
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use marldeal_bodies::{Budget, Held, Pace};
+use marldeal_bodies::{Budget, BufferedBody, MinDataRate};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, Sleep};
 
-/// Longest answer that is read whole before it is passed on, and longest body that counts as a small one.
-pub const MOST_WHOLE: usize = 64 << 10;
-/// Longest body of a request.
-pub const MOST_BODY: u64 = 64 << 20;
-/// A pipe on which either side stands still for so long has broken.
-pub const STILL: Duration = Duration::from_secs(10);
+/// Largest response that is read in full before it is passed on, and largest body that is buffered in one
+/// block.
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
+/// Largest request body.
+pub const MAX_REQUEST_BODY_BYTES: u64 = 64 << 20;
+/// A transfer on which either side makes no progress for this long is broken off.
+pub const TRANSFER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a request's sender is asked for: the platform's slowest client writes 64 kB a second.
-pub const PACE: Pace = Pace { grace_ms: 2400.0, bytes_a_s: 60_000.0 };
+/// The rate at which a client has to send a request's body. The platform's slowest client writes 64 kB/s.
+pub const MIN_UPLOAD_RATE: MinDataRate = MinDataRate { grace_ms: 2400.0, bytes_per_s: 60_000.0 };
 
 /// A request's body.
 #[derive(Debug)]
 pub enum Payload {
-    /// All of it is here, and may be sent again.
-    Held {
-        /// Its bytes.
+    /// The body has been received in full and may be sent more than once.
+    Buffered {
+        /// The bytes of the body.
         blocks: Vec<Bytes>,
-        /// How many.
+        /// Length in bytes.
         length: usize,
-        /// Keeps its place in the budget.
-        held: Option<Held>,
+        /// Keeps the bytes accounted for in the memory budget.
+        reservation: Option<BufferedBody>,
     },
-    /// It is still to come, and can be sent once.
-    Piped(Rc<Pipe>),
+    /// The body is still being received and can be sent only once.
+    Streamed(Rc<StreamedBody>),
 }
 
 impl Payload {
-    /// A whole one.
-    pub fn held(mut held: Held) -> Payload {
-        Payload::Held { blocks: held.blocks().to_vec(), length: held.len(), held: Some(held) }
+    /// A body that has been received in full.
+    pub fn buffered(mut buffered: BufferedBody) -> Payload {
+        Payload::Buffered {
+            blocks: buffered.blocks().to_vec(),
+            length: buffered.len(),
+            reservation: Some(buffered),
+        }
     }
 
-    /// The bytes of a small one that is here.
+    /// The bytes, if the body is buffered in at most one block.
     pub fn small(&self) -> Option<&[u8]> {
         match self {
-            Payload::Held { blocks, .. } if blocks.len() <= 1 => Some(blocks.first().map_or(&[], |b| b)),
+            Payload::Buffered { blocks, .. } if blocks.len() <= 1 => Some(blocks.first().map_or(&[], |b| b)),
             _ => None,
         }
     }
 }
 
-/// A body that is passed on as it comes.
+/// A request body that is passed on while it is received.
 #[derive(Debug)]
-pub struct Pipe {
-    /// What has been read of it already.
-    first: RefCell<(VecDeque<Bytes>, Option<Held>)>,
+pub struct StreamedBody {
+    /// The chunks read before streaming began, and their share of the memory budget.
+    prefix: RefCell<(VecDeque<Bytes>, Option<BufferedBody>)>,
     rest: RefCell<Incoming>,
-    told: Option<u64>,
-    began: Instant,
-    came: Cell<u64>,
-    /// All of it has come.
+    declared_length: Option<u64>,
+    started: Instant,
+    received: Cell<u64>,
+    /// The body has been received in full.
     ended: Cell<bool>,
 }
 
-impl Pipe {
-    /// With what was held of it, and a piece that found no room.
-    pub fn new(mut held: Held, piece: Bytes, rest: Incoming, told: Option<u64>, began: Instant) -> Pipe {
-        let mut first: VecDeque<Bytes> = held.blocks().iter().cloned().collect();
-        first.extend((!piece.is_empty()).then_some(piece));
-        let came = first.iter().map(|b| b.len() as u64).sum();
-        let ended = Cell::new(told == Some(came));
-        Pipe {
-            first: RefCell::new((first, Some(held))),
+impl StreamedBody {
+    /// Continues a body of which `buffered` has been read, and `chunk` did not fit into the memory budget.
+    pub fn new(
+        mut buffered: BufferedBody,
+        chunk: Bytes,
+        rest: Incoming,
+        declared_length: Option<u64>,
+        started: Instant,
+    ) -> StreamedBody {
+        let mut prefix: VecDeque<Bytes> = buffered.blocks().iter().cloned().collect();
+        prefix.extend((!chunk.is_empty()).then_some(chunk));
+        let received = prefix.iter().map(|b| b.len() as u64).sum();
+        let ended = Cell::new(declared_length == Some(received));
+        StreamedBody {
+            prefix: RefCell::new((prefix, Some(buffered))),
             rest: RefCell::new(rest),
-            told,
-            began,
-            came: Cell::new(came),
+            declared_length,
+            started,
+            received: Cell::new(received),
             ended,
         }
     }
 
-    /// The sender is waited for until then.
-    fn until(&self) -> Instant {
-        self.began + Duration::from_secs_f64(PACE.until_ms(self.came.get()) / 1000.0)
+    /// When the client has to have sent more of the body.
+    fn receive_deadline(&self) -> Instant {
+        self.started + Duration::from_secs_f64(MIN_UPLOAD_RATE.deadline_ms(self.received.get()) / 1000.0)
     }
 
-    fn poll_piece(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        let mut first = self.first.borrow_mut();
-        if let Some(piece) = first.0.pop_front() {
-            return Poll::Ready(Some(Ok(piece)));
+    fn poll_chunk(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+        let mut prefix = self.prefix.borrow_mut();
+        if let Some(chunk) = prefix.0.pop_front() {
+            return Poll::Ready(Some(Ok(chunk)));
         }
-        first.1 = None;
+        prefix.1 = None;
         loop {
             let frame = std::task::ready!(Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx));
-            let piece = match frame {
+            let chunk = match frame {
                 None => {
                     self.ended.set(true);
                     return Poll::Ready(None);
                 }
                 Some(Err(e)) => return Poll::Ready(Some(Err(io::Error::other(e)))),
-                // Trailers end here.
+                // Trailers are not passed on.
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
-            if !piece.is_empty() {
-                self.came.set(self.came.get() + piece.len() as u64);
-                // One whose length was not told: what has gone cannot be called back, the rest need not follow.
-                if self.came.get() > MOST_BODY {
-                    return Poll::Ready(Some(Err(io::Error::other("the body is too long"))));
+            if !chunk.is_empty() {
+                self.received.set(self.received.get() + chunk.len() as u64);
+                // Reached only if no length was declared. What has been sent cannot be recalled, but the rest
+                // is not sent.
+                if self.received.get() > MAX_REQUEST_BODY_BYTES {
+                    return Poll::Ready(Some(Err(io::Error::other("the request body is too large"))));
                 }
-                self.ended.set(self.told == Some(self.came.get()));
-                return Poll::Ready(Some(Ok(piece)));
+                self.ended.set(self.declared_length == Some(self.received.get()));
+                return Poll::Ready(Some(Ok(chunk)));
             }
         }
     }
 
-    /// Reads off what is left, at the sender's pace, so that it sees its answer; false if it does not come.
-    pub async fn read_off(&self) -> bool {
+    /// Reads and discards the rest of the body at the client's rate, so that the client reads its answer.
+    /// Returns false if the rest is not received in time.
+    pub async fn discard_rest(&self) -> bool {
         while !self.ended.get() {
-            let piece = std::future::poll_fn(|cx| self.poll_piece(cx));
-            match tokio::time::timeout_at(self.until(), piece).await {
+            let chunk = std::future::poll_fn(|cx| self.poll_chunk(cx));
+            match tokio::time::timeout_at(self.receive_deadline(), chunk).await {
                 Ok(Some(Ok(_))) => {}
                 Ok(None) => return true,
                 Ok(Some(Err(_))) | Err(_) => return false,
@@ -135,29 +149,29 @@
     }
 }
 
-/// How far a message on a connection has gone.
+/// Tracks how far a message has been written to a connection.
 pub trait Progress {
-    /// The connection has taken its last byte in.
-    fn taken(&self);
+    /// The connection has taken the last byte of the body.
+    fn body_consumed(&self);
 }
 
-/// A body that tells its progress when its last byte has been taken.
-pub struct Watched<B, P> {
+/// A body that reports when its last byte has been taken.
+pub struct TrackedBody<B, P> {
     body: B,
     progress: Rc<P>,
 }
 
-impl<B: Body, P: Progress> Watched<B, P> {
-    /// Of a body; an empty one has been taken from the start, for the connection never asks it.
-    pub fn new(body: B, progress: Rc<P>) -> Watched<B, P> {
+impl<B: Body, P: Progress> TrackedBody<B, P> {
+    /// Wraps a body. An empty body is reported at once, since the connection never polls it.
+    pub fn new(body: B, progress: Rc<P>) -> TrackedBody<B, P> {
         if body.is_end_stream() {
-            progress.taken();
+            progress.body_consumed();
         }
-        Watched { body, progress }
+        TrackedBody { body, progress }
     }
 }
 
-impl<B: Body + Unpin, P: Progress> Body for Watched<B, P> {
+impl<B: Body + Unpin, P: Progress> Body for TrackedBody<B, P> {
     type Data = B::Data;
     type Error = B::Error;
 
@@ -167,7 +181,7 @@
     ) -> Poll<Option<Result<Frame<B::Data>, B::Error>>> {
         let frame = Pin::new(&mut self.body).poll_frame(cx);
         if matches!(frame, Poll::Ready(None)) || self.body.is_end_stream() {
-            self.progress.taken();
+            self.progress.body_consumed();
         }
         frame
     }
@@ -182,165 +196,179 @@
 }
 
 /// A request's body on its way to a server.
-pub enum Outgoing {
-    /// Of a held payload: blocks, and bytes that are left.
-    Held(std::vec::IntoIter<Bytes>, u64),
-    /// Of a piped one, and when its sender is late.
-    Piped(Rc<Pipe>, Pin<Box<Sleep>>),
+pub enum OutgoingBody {
+    /// The blocks of a buffered body, and the number of bytes not taken yet.
+    Buffered(std::vec::IntoIter<Bytes>, u64),
+    /// A streamed body, and a timer that expires when its client is too slow.
+    Streamed(Rc<StreamedBody>, Pin<Box<Sleep>>),
 }
 
-impl Outgoing {
-    /// Of a payload.
-    pub fn new(payload: &Payload) -> Outgoing {
+impl OutgoingBody {
+    /// The body to send for a payload.
+    pub fn new(payload: &Payload) -> OutgoingBody {
         match payload {
-            Payload::Held { blocks, length, .. } => {
-                Outgoing::Held(blocks.clone().into_iter(), *length as u64)
-            }
-            Payload::Piped(pipe) => {
-                Outgoing::Piped(pipe.clone(), Box::pin(tokio::time::sleep_until(pipe.until())))
+            Payload::Buffered { blocks, length, .. } => {
+                OutgoingBody::Buffered(blocks.clone().into_iter(), *length as u64)
             }
+            Payload::Streamed(body) => OutgoingBody::Streamed(
+                body.clone(),
+                Box::pin(tokio::time::sleep_until(body.receive_deadline())),
+            ),
         }
     }
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match &mut *self {
-            Outgoing::Held(blocks, left) => {
+            OutgoingBody::Buffered(blocks, remaining) => {
                 let block = blocks.next();
-                *left -= block.as_ref().map_or(0, |b| b.len() as u64);
+                *remaining -= block.as_ref().map_or(0, |b| b.len() as u64);
                 Poll::Ready(block.map(|b| Ok(Frame::data(b))))
             }
-            Outgoing::Piped(pipe, late) => match pipe.poll_piece(cx) {
-                Poll::Ready(piece) => {
-                    late.as_mut().reset(pipe.until());
-                    Poll::Ready(piece.map(|p| p.map(Frame::data)))
+            OutgoingBody::Streamed(body, timer) => match body.poll_chunk(cx) {
+                Poll::Ready(chunk) => {
+                    timer.as_mut().reset(body.receive_deadline());
+                    Poll::Ready(chunk.map(|frame| frame.map(Frame::data)))
                 }
-                Poll::Pending => late.as_mut().poll(cx).map(|()| Some(Err(io::ErrorKind::TimedOut.into()))),
+                Poll::Pending => timer.as_mut().poll(cx).map(|()| Some(Err(io::ErrorKind::TimedOut.into()))),
             },
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Held(_, left) => *left == 0,
-            Outgoing::Piped(pipe, _) => pipe.ended.get() && pipe.first.borrow().0.is_empty(),
+            OutgoingBody::Buffered(_, remaining) => *remaining == 0,
+            OutgoingBody::Streamed(body, _) => body.ended.get() && body.prefix.borrow().0.is_empty(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        let left = match self {
-            Outgoing::Held(_, left) => Some(*left),
-            // As the connection has not taken any of it yet when it asks.
-            Outgoing::Piped(pipe, _) => pipe.told,
+        let remaining = match self {
+            OutgoingBody::Buffered(_, remaining) => Some(*remaining),
+            // The connection asks before it has taken any of the body.
+            OutgoingBody::Streamed(body, _) => body.declared_length,
         };
-        left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-/// A part of an answer that is passed on as it comes. Without [`Piece::End`] it was broken off.
+/// A part of a streamed response. If the channel ends without [`Chunk::End`], the response was cut off.
 #[derive(Debug)]
-pub enum Piece {
-    /// More of it.
+pub enum Chunk {
+    /// More bytes of the body.
     Data(Bytes),
-    /// That was all.
+    /// The end of the body.
     End,
 }
 
-/// An answer's body on its way to a client.
+/// A response's body on its way to a client.
 #[derive(Debug)]
-pub enum Reply {
-    /// All of it is here.
-    Whole(Bytes),
-    /// It comes as its reader takes it.
-    Pieces {
-        /// Its pieces.
-        pieces: mpsc::Receiver<Piece>,
-        /// Bytes that are still to come, where they were told.
-        left: Option<u64>,
-        /// There are no more.
+pub enum ResponseBody {
+    /// The whole body.
+    Buffered(Bytes),
+    /// The body is passed on at the rate at which the client reads it.
+    Streamed {
+        /// The chunks of the body.
+        chunks: mpsc::Receiver<Chunk>,
+        /// Bytes that are still to come, if the length is known.
+        remaining: Option<u64>,
+        /// The last chunk has been received.
         ended: bool,
     },
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         match &mut *self {
-            Reply::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Reply::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Reply::Pieces { ended: true, .. } => Poll::Ready(None),
-            Reply::Pieces { pieces, left, ended } => match std::task::ready!(pieces.poll_recv(cx)) {
-                Some(Piece::Data(bytes)) => {
-                    *left = left.map(|l| l.saturating_sub(bytes.len() as u64));
-                    Poll::Ready(Some(Ok(Frame::data(bytes))))
-                }
-                Some(Piece::End) => {
-                    *ended = true;
-                    Poll::Ready(None)
+            ResponseBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            ResponseBody::Streamed { ended: true, .. } => Poll::Ready(None),
+            ResponseBody::Streamed { chunks, remaining, ended } => {
+                match std::task::ready!(chunks.poll_recv(cx)) {
+                    Some(Chunk::Data(bytes)) => {
+                        *remaining =
+                            remaining.map(|bytes_left| bytes_left.saturating_sub(bytes.len() as u64));
+                        Poll::Ready(Some(Ok(Frame::data(bytes))))
+                    }
+                    Some(Chunk::End) => {
+                        *ended = true;
+                        Poll::Ready(None)
+                    }
+                    // The client has to notice the truncation, so the connection ends within the body.
+                    None => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
                 }
-                // The reader must be able to tell: the connection ends in the middle.
-                None => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
-            },
+            }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Whole(bytes) => bytes.is_empty(),
-            Reply::Pieces { left, ended, .. } => *ended || *left == Some(0),
+            ResponseBody::Buffered(bytes) => bytes.is_empty(),
+            ResponseBody::Streamed { remaining, ended, .. } => *ended || *remaining == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Reply::Pieces { left: Some(left), .. } => SizeHint::with_exact(*left),
-            Reply::Pieces { .. } => SizeHint::default(),
+            ResponseBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::Streamed { remaining: Some(remaining), .. } => SizeHint::with_exact(*remaining),
+            ResponseBody::Streamed { .. } => SizeHint::default(),
         }
     }
 }
 
-/// Reads a request's body into memory as far as there is room; what finds none is to be piped.
+/// Reads a request's body into memory as far as the budget allows. A body that does not fit is streamed.
 ///
 /// # Errors
-/// It did not come, or not at the pace that is asked for.
-pub async fn take_in(mut body: Incoming, budget: &Rc<Budget>) -> Result<Payload, Refused> {
-    let began = Instant::now();
-    let told = body.size_hint().exact();
-    let mut held = Held::new(budget, told.and_then(|told| usize::try_from(told).ok()));
+/// The body is too large, incomplete, or was sent more slowly than [`MIN_UPLOAD_RATE`].
+pub async fn receive(mut body: Incoming, budget: &Rc<Budget>) -> Result<Payload, ReceiveError> {
+    let started = Instant::now();
+    let declared_length = body.size_hint().exact();
+    let mut buffered = BufferedBody::new(
+        budget,
+        declared_length.and_then(|declared_length| usize::try_from(declared_length).ok()),
+    );
     if body.is_end_stream() {
-        return Ok(Payload::held(held));
+        return Ok(Payload::buffered(buffered));
     }
-    if told.is_some_and(|told| told > MOST_BODY) {
-        return Err(Refused::TooLarge(body));
+    if declared_length.is_some_and(|declared_length| declared_length > MAX_REQUEST_BODY_BYTES) {
+        return Err(ReceiveError::TooLarge(body));
     }
     loop {
-        let until = began + Duration::from_secs_f64(PACE.until_ms(held.len() as u64) / 1000.0);
-        let piece = match tokio::time::timeout_at(until, body.frame()).await {
-            Ok(None) => return Ok(Payload::held(held)),
+        let deadline =
+            started + Duration::from_secs_f64(MIN_UPLOAD_RATE.deadline_ms(buffered.len() as u64) / 1000.0);
+        let chunk = match tokio::time::timeout_at(deadline, body.frame()).await {
+            Ok(None) => return Ok(Payload::buffered(buffered)),
             Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
-            Ok(Some(Err(_))) => return Err(Refused::Broken),
-            Err(_) => return Err(Refused::Late),
+            Ok(Some(Err(_))) => return Err(ReceiveError::Incomplete),
+            Err(_) => return Err(ReceiveError::TimedOut),
         };
-        if !held.push(&piece) {
-            return Ok(Payload::Piped(Rc::new(Pipe::new(held, piece, body, told, began))));
+        if !buffered.push(&chunk) {
+            return Ok(Payload::Streamed(Rc::new(StreamedBody::new(
+                buffered,
+                chunk,
+                body,
+                declared_length,
+                started,
+            ))));
         }
     }
 }
 
-/// Why a body was not taken in.
+/// Why a request's body was not received.
 #[derive(Debug)]
-pub enum Refused {
-    /// It says that it is longer than any may be.
+pub enum ReceiveError {
+    /// The declared length exceeds [`MAX_REQUEST_BODY_BYTES`].
     TooLarge(Incoming),
-    /// It did not come whole.
-    Broken,
-    /// It came too slowly.
-    Late,
+    /// The connection ended within the body.
+    Incomplete,
+    /// The body was sent too slowly.
+    TimedOut,
 }
--- a/marldeal/src/tier/peers.rs
+++ b/marldeal/src/tier/peers.rs
@@ -5,24 +5,25 @@
 
 use tokio::net::UdpSocket;
 
-use crate::driver::{Driver, MOST_DATAGRAM};
+use crate::driver::{Driver, MAX_DATAGRAM_BYTES};
 
-/// Hands what peers tell to the module, until the mail is closed. Guards against strangers and oversized datagrams: both are ignored.
+/// Passes messages from peers to the driver until the peer socket is closed. Datagrams from unknown senders and
+/// oversized datagrams are ignored.
 pub async fn listen(driver: Rc<Driver>, socket: Rc<UdpSocket>) {
-    let mut buffer = [0u8; MOST_DATAGRAM + 1];
+    let mut buffer = [0u8; MAX_DATAGRAM_BYTES + 1];
     loop {
         let received = tokio::select! {
             received = socket.recv_from(&mut buffer) => received,
-            () = driver.mail_closed.notified() => return,
+            () = driver.peer_socket_closed.notified() => return,
         };
         match received {
-            Ok((length, sender)) if length <= MOST_DATAGRAM => {
+            Ok((length, sender)) if length <= MAX_DATAGRAM_BYTES => {
                 if let Some(from) = position(&driver.config.peers, sender) {
-                    driver.heard(from, buffer[..length].to_vec());
+                    driver.receive_peer_message(from, buffer[..length].to_vec());
                 }
             }
             Ok(_) => {}
-            // An unreachable peer shows up as an error of the next receive: nothing is lost by going on.
+            // An unreachable peer surfaces as an error of the next receive. Nothing is lost by going on.
             Err(_) => tokio::time::sleep(std::time::Duration::from_millis(1)).await,
         }
     }
--- a/src/accounts.rs
+++ b/src/accounts.rs
@@ -1,70 +1,79 @@
-//! The arithmetic of stores, rates and debts in the records of customers. What follows from it is decided in
-//! `firms.rs` and `policy.rs`.
+//! Arithmetic of token buckets, rates and deficits in the records of customers. The decisions based on it are
+//! in `customers.rs` and `policy.rs`.
+//!
+//! Each customer has a set of limiters that receive its requests, its members. Some of them are its quota
+//! owners, in a fixed order of rank.
 
-use marldeal_firms::Fate;
+use marldeal_firms::Evictability;
 
 use crate::interface::*;
 use crate::state::*;
 
-/// Keepers of a customer.
-pub(crate) const KEEPERS: usize = 3;
-/// The first keeper owns this many times the quota's part of a ceiling, within these shares: what it grants beyond the
-/// quota is owed to nobody.
-const FIRST_ROOM: f64 = 1.05;
-const FIRST_PART: (f64, f64) = (0.3, 0.62);
-/// Shares of the rest that the other keepers own, who carry on while the first is dead, and that all members of the set
-/// own together, for the time in which they hear nobody. All sum to one.
-const OTHERS_PARTS: [f64; KEEPERS - 1] = [0.13, 0.07];
-const MEMBERS_PART: f64 = 0.8;
-/// Share of the quota that the others grant: the first one may be cut off from some members only.
-pub(crate) const BACKUP_PART: f64 = 0.5;
-/// Least and most milliseconds over which demand is smoothed, in between the time of a whole burst.
-pub(crate) const DEMAND_MS: (Millis, Millis) = (1000.0, 10_000.0);
-/// Milliseconds after its arrival in which a request may spend units granted under a ceiling; until then the
-/// keeper counts them against its depth. Waits for a word and for room fit in.
-pub(crate) const GRANT_MS: Millis = 500.0;
-/// Customers for each cell of a row in the sketches of debts.
-pub(crate) const FIRMS_A_CELL: usize = 8;
-/// Units lent that are no more than rounding.
-const NO_UNITS: f64 = 1e-6;
-
-/// Share of the quota that a keeper of this rank grants.
-pub(crate) fn share(rank: u8) -> f64 {
+/// Number of quota owners of a customer.
+pub(crate) const QUOTA_OWNERS: usize = 3;
+/// The first owner holds this multiple of the quota's fraction of a ceiling, within these bounds. What it
+/// grants beyond the quota is guaranteed to nobody.
+const FIRST_OWNER_HEADROOM: f64 = 1.05;
+const MIN_FIRST_OWNER_FRACTION: f64 = 0.3;
+const MAX_FIRST_OWNER_FRACTION: f64 = 0.62;
+/// Fractions of the rest held by the other owners, which take over while the first one is down. With
+/// `MEMBERS_FRACTION` they sum to one.
+const OTHER_OWNER_FRACTIONS: [f64; QUOTA_OWNERS - 1] = [0.13, 0.07];
+/// Fraction of the rest held by all members together, for the time without any owner.
+const MEMBERS_FRACTION: f64 = 0.8;
+/// Fraction of the quota that the other owners grant: the first one may be cut off from some members only.
+pub(crate) const BACKUP_OWNER_FRACTION: f64 = 0.5;
+/// Bounds of the time over which demand is smoothed; within them it is the time of a whole burst.
+pub(crate) const MIN_DEMAND_WINDOW_MS: Millis = 1000.0;
+pub(crate) const MAX_DEMAND_WINDOW_MS: Millis = 10_000.0;
+/// Time from its arrival in which a request may spend units granted under a ceiling; the quota owner counts
+/// them against the ceiling's depth until then. It covers the waits for a reply and for a server.
+pub(crate) const GRANT_LIFETIME_MS: Millis = 500.0;
+/// Customers per cell of a row in the deficit sketches.
+pub(crate) const CUSTOMERS_PER_CELL: usize = 8;
+/// Leased units up to this amount are rounding errors.
+const ROUNDING_UNITS: f64 = 1e-6;
+
+/// Fraction of the quota that an owner of this rank grants.
+pub(crate) fn quota_fraction(rank: u8) -> f64 {
     if rank == 0 {
         1.0
     } else {
-        BACKUP_PART
+        BACKUP_OWNER_FRACTION
     }
 }
 
-/// Share of the ceiling that the first keeper owns. Fixed by the plan: no silence moves it.
-fn first_part(plan: &Plan) -> f64 {
+/// Fraction of the ceiling held by the first owner. It depends on the plan alone and does not change when
+/// owners are silent. Without a ceiling the quotient may be NaN, which `max` and `min` replace by a bound.
+#[allow(clippy::manual_clamp)] // `clamp` would return NaN.
+fn first_owner_fraction(plan: &Plan) -> f64 {
     let quota = (plan.rate / plan.ceiling_rate).max(plan.burst / plan.ceiling_burst);
-    (quota * FIRST_ROOM).max(FIRST_PART.0).min(FIRST_PART.1)
+    (quota * FIRST_OWNER_HEADROOM).max(MIN_FIRST_OWNER_FRACTION).min(MAX_FIRST_OWNER_FRACTION)
 }
 
-/// Share of the ceiling that a keeper of this rank owns.
-pub(crate) fn part(plan: &Plan, rank: u8) -> f64 {
-    let first = first_part(plan);
+/// Fraction of the ceiling held by an owner of this rank.
+pub(crate) fn ceiling_fraction(plan: &Plan, rank: u8) -> f64 {
+    let first = first_owner_fraction(plan);
     if rank == 0 {
         first
     } else {
-        (1.0 - first) * OTHERS_PARTS[usize::from(rank) - 1]
+        (1.0 - first) * OTHER_OWNER_FRACTIONS[usize::from(rank) - 1]
     }
 }
 
-/// Rate and depth of a member's even part: of the quota, or under a ceiling of what its keepers leave to members.
-pub(crate) fn even(plan: &Plan, spread: u32) -> (f64, f64) {
+/// Rate and capacity of a member's equal share: of the quota, or under a ceiling of what the owners leave to
+/// members.
+pub(crate) fn equal_share(plan: &Plan, spread: u32) -> (f64, f64) {
     let spread = f64::from(spread);
     if plan.ceiling_rate > 0.0 {
-        let part = (1.0 - first_part(plan)) * MEMBERS_PART / spread;
-        (plan.ceiling_rate * part, plan.ceiling_burst * part)
+        let fraction = (1.0 - first_owner_fraction(plan)) * MEMBERS_FRACTION / spread;
+        (plan.ceiling_rate * fraction, plan.ceiling_burst * fraction)
     } else {
         (plan.rate / spread, plan.burst / spread)
     }
 }
 
-/// When a store that lacks units is full again.
+/// When a bucket that lacks units is full again.
 fn full_at(at: Millis, lacking: f64, rate: f64) -> Millis {
     match lacking > 0.0 {
         true if rate > 0.0 => at + 1000.0 * lacking / rate,
@@ -74,116 +83,123 @@
 }
 
 impl Customer {
-    /// When its even part is full again. A plan without a rate fills within an aim.
+    /// When the equal share is full again. Without a rate it fills within one target latency.
     pub(crate) fn full_at(&self, settings: &Settings) -> Millis {
         let plan = &settings.plans[usize::from(self.plan)];
-        let (rate, most) = even(plan, u32::from(self.spread));
+        let (rate, capacity) = equal_share(plan, u32::from(self.spread));
         match rate > 0.0 {
-            true => full_at(self.even.at, most - self.even.level, rate),
-            false => self.even.at + settings.longest_ms(),
+            true => full_at(self.equal_share.at, capacity - self.equal_share.level, rate),
+            false => self.equal_share.at + settings.longest_target_ms(),
         }
     }
 }
 
 impl Account {
-    /// Brings the stores and rates to `now`, as a keeper of this rank owns them.
-    pub(crate) fn refresh(&mut self, now: Millis, plan: &Plan, rank: u8, born: Millis) {
+    /// Brings buckets and rates to `now`, for an owner of this rank.
+    pub(crate) fn refresh(&mut self, now: Millis, plan: &Plan, rank: u8, fills_from: Millis) {
         let past_s = |from: Millis| (now - from).max(0.0) / 1000.0;
-        let (share, part) = (share(rank), part(plan, self.rank));
+        let (share, fraction) = (quota_fraction(rank), ceiling_fraction(plan, self.rank));
         self.store = (self.store + plan.rate * share * past_s(self.at)).min(plan.burst * share);
-        let fills = past_s(self.at.max(born + GRANT_MS));
-        self.ceiling =
-            (self.ceiling + plan.ceiling_rate * part * fills).min(plan.ceiling_burst * part - self.lent);
-        let fade = self.fade(now, plan);
-        (self.demand, self.let_in, self.at) = (self.demand * fade, self.let_in * fade, self.at.max(now));
+        let fill_s = past_s(self.at.max(fills_from + GRANT_LIFETIME_MS));
+        self.ceiling = (self.ceiling + plan.ceiling_rate * fraction * fill_s)
+            .min(plan.ceiling_burst * fraction - self.leased);
+        let decay = self.decay(now, plan);
+        (self.demand, self.admitted, self.at) =
+            (self.demand * decay, self.admitted * decay, self.at.max(now));
     }
 
-    fn fade(&self, now: Millis, plan: &Plan) -> f64 {
-        (-(now - self.at).max(0.0) / demand_ms(plan)).exp()
+    fn decay(&self, now: Millis, plan: &Plan) -> f64 {
+        (-(now - self.at).max(0.0) / demand_window_ms(plan)).exp()
     }
 
-    /// Demand as a multiple of the quota; of what was let in where a cap on attempts out is full.
-    pub(crate) fn over(&self, now: Millis, plan: &Plan) -> f32 {
-        let rate = |sum: f64| sum * self.fade(now, plan) * 1000.0 / demand_ms(plan);
+    /// Demand as a multiple of the quota, or of the admitted rate while the limit of open requests is reached.
+    pub(crate) fn demand_multiple(&self, now: Millis, plan: &Plan) -> f32 {
+        let rate = |sum: f64| sum * self.decay(now, plan) * 1000.0 / demand_window_ms(plan);
         let full = plan.open > 0 && self.open >= plan.open;
         let quota = if plan.rate > 0.0 { plan.rate } else { f64::INFINITY };
-        (rate(self.demand) / if full { rate(self.let_in).max(1e-3) } else { quota }) as f32
+        (rate(self.demand) / if full { rate(self.admitted).max(1e-3) } else { quota }) as f32
     }
 
-    /// When its store and its part of the ceiling are full again.
-    pub(crate) fn full_at(&self, plan: &Plan, born: Millis) -> (Millis, Millis) {
-        let (share, part) = (share(self.rank), part(plan, self.rank));
+    /// When the store and this owner's part of the ceiling are full again.
+    pub(crate) fn full_at(&self, plan: &Plan, fills_from: Millis) -> (Millis, Millis) {
+        let (share, fraction) = (quota_fraction(self.rank), ceiling_fraction(plan, self.rank));
         let store = full_at(self.at, plan.burst * share - self.store, plan.rate * share);
-        let lacking = plan.ceiling_burst * part - self.ceiling;
-        let ceiling = full_at(self.at.max(born + GRANT_MS), lacking, plan.ceiling_rate * part);
+        let lacking = plan.ceiling_burst * fraction - self.ceiling;
+        let ceiling =
+            full_at(self.at.max(fills_from + GRANT_LIFETIME_MS), lacking, plan.ceiling_rate * fraction);
         (if plan.rate > 0.0 { store } else { 0.0 }, if plan.ceiling_rate > 0.0 { ceiling } else { 0.0 })
     }
 
-    pub(crate) fn give_back(&mut self, units: f64) {
-        self.lent -= units;
-        if self.lent < NO_UNITS {
-            self.lent = 0.0;
+    pub(crate) fn release_lease(&mut self, units: f64) {
+        self.leased -= units;
+        if self.leased < ROUNDING_UNITS {
+            self.leased = 0.0;
         }
     }
 }
 
-fn demand_ms(plan: &Plan) -> Millis {
-    (1000.0 * plan.burst / plan.rate.max(1e-9)).clamp(DEMAND_MS.0, DEMAND_MS.1)
+fn demand_window_ms(plan: &Plan) -> Millis {
+    (1000.0 * plan.burst / plan.rate.max(1e-9)).clamp(MIN_DEMAND_WINDOW_MS, MAX_DEMAND_WINDOW_MS)
 }
 
-impl Firms {
-    pub(crate) fn forgot(&mut self, fate: Fate) {
-        match fate {
-            Fate::Full => self.forgotten_full += 1,
-            _ => self.forgotten_owing += 1,
+impl CustomerCounts {
+    pub(crate) fn count_eviction(&mut self, eviction: Evictability) {
+        match eviction {
+            Evictability::Lossless => self.evicted_full += 1,
+            _ => self.evicted_with_deficit += 1,
         }
     }
 
-    pub(crate) fn line(&self, held: usize, most: usize, what: &str) -> String {
+    pub(crate) fn log_line(&self, used: usize, capacity: usize, state: &str) -> String {
         format!(
-            "firms: {held} of {most} remembered: {what} (forgotten full {}, owing {}; strangers refused {}; decided \
-             without a record {})",
-            self.forgotten_full, self.forgotten_owing, self.strangers, self.unrecorded
+            "customers: {used} of {capacity} records in use: {state} (evicted without a deficit {}, with one {}; \
+             new customers refused {}; asks decided without a record {})",
+            self.evicted_full, self.evicted_with_deficit, self.new_refused, self.decided_without_record
         )
     }
 }
 
-/// Seconds until a moment, none if it is past.
-pub(crate) fn owed_s(until: Millis, now: Millis) -> f64 {
+/// Seconds until a time, 0 if it has passed.
+pub(crate) fn seconds_until(until: Millis, now: Millis) -> f64 {
     (until - now).max(0.0) / 1000.0
 }
 
 #[cfg(test)]
 mod tests {
-    use marldeal_firms::{Debts, Table};
+    use marldeal_firms::{DeficitSketch, Table};
 
     use super::*;
 
-    /// For any ceiling the parts sum to the whole, and the first keeper's covers the quota where that leaves the others any.
+    /// The parts of any ceiling sum to the whole, and the first owner's part covers the quota unless that would
+    /// leave the others nothing.
     #[test]
-    fn parts_of_a_ceiling_sum_to_the_whole() {
+    fn fractions_of_a_ceiling_sum_to_one() {
         for times in [1.0, 1.5, 1.8, 2.6, 10.0] {
             let (rate, burst) = (20.0, 30.0);
             let (ceiling_rate, ceiling_burst) = (rate * times, burst * times);
             let plan = Plan { rate, burst, open: 0, ceiling_rate, ceiling_burst, ceiling_slack: 4.0 };
-            let keepers: f64 = (0..KEEPERS as u8).map(|rank| part(&plan, rank)).sum();
-            let (member_rate, member_burst) = even(&plan, 40);
-            let sum = |whole: f64, member: f64| keepers + 40.0 * member / whole;
+            let owners: f64 = (0..QUOTA_OWNERS as u8).map(|rank| ceiling_fraction(&plan, rank)).sum();
+            let (member_rate, member_burst) = equal_share(&plan, 40);
+            let sum = |whole: f64, member: f64| owners + 40.0 * member / whole;
             assert!((sum(ceiling_rate, member_rate) - 1.0).abs() < 1e-9, "{times}");
             assert!((sum(ceiling_burst, member_burst) - 1.0).abs() < 1e-9, "{times}");
-            assert!(times < 1.8 || part(&plan, 0) * ceiling_rate >= rate, "{times}");
+            assert!(times < 1.8 || ceiling_fraction(&plan, 0) * ceiling_rate >= rate, "{times}");
         }
     }
 
-    /// All that grows with the number of customers, at sizes just under, at and just over a power of two.
+    /// Covers everything that grows with the number of customers, at sizes just below, at and just above powers
+    /// of two.
     #[test]
-    fn a_customer_takes_no_more_than_is_stated() {
-        for firms in [20_971, 65_536, 65_537, 100_000, 1_048_576, 1_048_577] {
-            let tables = Table::<CustomerId, Customer>::new(firms, 1).most_bytes()
-                + Table::<CustomerId, Account>::new(firms, 1).most_bytes();
-            let bytes = tables + 3 * Debts::new(firms / FIRMS_A_CELL, 1).bytes();
-            let each = bytes as f64 / firms as f64;
-            assert!(each <= Settings::BYTES_A_FIRM as f64, "{each} bytes each of {firms}");
+    fn a_customer_takes_at_most_the_stated_bytes() {
+        for customers in [20_971, 65_536, 65_537, 100_000, 1_048_576, 1_048_577] {
+            let tables = Table::<CustomerId, Customer>::new(customers, 1).max_bytes()
+                + Table::<CustomerId, Account>::new(customers, 1).max_bytes();
+            let bytes = tables + 3 * DeficitSketch::new(customers / CUSTOMERS_PER_CELL, 1).bytes();
+            let bytes_each = bytes as f64 / customers as f64;
+            assert!(
+                bytes_each <= Settings::BYTES_PER_CUSTOMER as f64,
+                "{bytes_each} bytes each for {customers}"
+            );
         }
     }
 }
