--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -90,6 +90,8 @@
 struct RequestRecord {
     id: Request,
     limiter: Limiter,
+    /// Number of the limiter's process that the client was connected to.
+    process: u32,
     effect: Effect,
     at: Millis,
     budget_ms: Millis,
@@ -109,14 +111,21 @@
     until: Millis,
 }
 
+/// The kill of a limiter's process.
+#[derive(Debug, Clone, Copy)]
+struct Kill {
+    limiter: Limiter,
+    process: u32,
+    at: Millis,
+}
+
 /// A history, indexed by request and by limiter.
 struct HistoryIndex<'a> {
     terms: Terms,
     events: &'a [Event],
     requests: BTreeMap<Request, RequestRecord>,
     stalls: Vec<Stall>,
-    /// When processes were killed, and of which limiter.
-    kills: Vec<(Millis, Limiter)>,
+    kills: Vec<Kill>,
     harness_lateness: Vec<(Millis, Millis)>,
     end: Millis,
 }
@@ -134,8 +143,10 @@
         };
         let mut request_of_attempt: HashMap<Attempt, Request> = HashMap::new();
         let mut stopped_since: HashMap<Limiter, Millis> = HashMap::new();
+        let mut running_process: HashMap<Limiter, u32> = HashMap::new();
         for event in &history.events {
             index.add(event, &mut request_of_attempt, &mut stopped_since);
+            index.add_process_event(event, &mut running_process);
         }
         let end = index.end;
         index.stalls.extend(stopped_since.into_iter().map(|(limiter, from)| Stall {
@@ -154,10 +165,11 @@
     ) {
         let at = event.at;
         match event.what {
-            What::Asked { request, limiter, effect, budget_ms, kept, .. } => {
+            What::Asked { request, limiter, effect, budget_ms, kept, process } => {
                 let asked = RequestRecord {
                     id: request,
                     limiter,
+                    process,
                     effect,
                     at,
                     budget_ms,
@@ -195,12 +207,22 @@
                     self.stalls.push(Stall { limiter, from, until: at });
                 }
             }
-            What::Killed { limiter } => self.kills.push((at, limiter)),
             What::HarnessLate { by_ms } => self.harness_lateness.push((at, by_ms)),
             _ => {}
         }
     }
 
+    fn add_process_event(&mut self, event: &Event, running_process: &mut HashMap<Limiter, u32>) {
+        match event.what {
+            What::Started { limiter, process } => drop(running_process.insert(limiter, process)),
+            What::Killed { limiter } => {
+                let process = running_process.get(&limiter).copied().unwrap_or_default();
+                self.kills.push(Kill { limiter, process, at: event.at });
+            }
+            _ => {}
+        }
+    }
+
     fn update(&mut self, request: Request, change: impl FnOnce(&mut RequestRecord)) {
         if let Some(asked) = self.requests.get_mut(&request) {
             change(asked);
@@ -220,9 +242,11 @@
         self.stalls.iter().filter(|p| p.limiter == limiter).map(within).sum()
     }
 
-    /// Whether a limiter was killed within a time.
-    fn killed(&self, limiter: Limiter, from: Millis, until: Millis) -> bool {
-        self.kills.iter().any(|(at, l)| *l == limiter && *at >= from && *at <= until)
+    /// Whether the process that the client of a request was connected to was killed by a time. It may have been killed
+    /// just before the request was written: the kernel accepts connections and bytes until the process is gone.
+    fn process_killed(&self, record: &RequestRecord, until: Millis) -> bool {
+        let of_process = |kill: &&Kill| kill.limiter == record.limiter && kill.process == record.process;
+        self.kills.iter().filter(of_process).any(|kill| kill.at <= until)
     }
 }
 
--- a/crates/soak/src/judge/answers.rs
+++ b/crates/soak/src/judge/answers.rs
@@ -35,10 +35,10 @@
         }
         return;
     }
-    // No answer is due to a client that disconnected, or whose limiter was killed.
+    // No answer is due to a client that disconnected, or whose limiter's process was killed.
     let due_until = deadline + MAX_LATENESS_MS + SLACK_MS;
     let paused = index.stalled_ms(record.limiter, record.at, due_until);
-    if record.client_left.is_some() || index.killed(record.limiter, record.at, due_until + paused) {
+    if record.client_left.is_some() || index.process_killed(record, due_until + paused) {
         return;
     }
     match record.unanswered {
--- a/crates/soak/src/judge/tests.rs
+++ b/crates/soak/src/judge/tests.rs
@@ -90,6 +90,33 @@
     assert_eq!(rules(vec![request, (2300.0, late)]), [Rule::Answer]);
 }
 
+/// A connection and its request may still reach a process whose kill is under way; a request to another process of the
+/// limiter is due an answer.
+#[test]
+fn a_kill_excuses_only_requests_to_the_killed_process() {
+    let request_to = |process| {
+        let effect = Effect::Safe;
+        What::Asked { request: 1, limiter: 0, effect, budget_ms: 1000.0, kept: false, process }
+    };
+    let history = |process, asked_at: Millis| {
+        let mut all = vec![
+            (0.0, What::Started { limiter: 0, process: 1 }),
+            (1.0, What::Ready { limiter: 0 }),
+            (100.0, What::Killed { limiter: 0 }),
+            (150.0, What::Started { limiter: 0, process: 2 }),
+            (160.0, What::Ready { limiter: 0 }),
+            (asked_at, request_to(process)),
+            (asked_at + 1.0, What::Unanswered { request: 1 }),
+        ];
+        all.sort_by(|a, b| a.0.total_cmp(&b.0));
+        rules(all)
+    };
+    assert_eq!(history(1, 102.0), [], "written 2 ms after the kill");
+    assert_eq!(history(1, 98.0), [], "written before the kill");
+    assert_eq!(history(2, 170.0), [Rule::Answer], "written to the next process");
+    assert_eq!(history(2, 98.0), [Rule::Answer], "the killed process was not the one it was written to");
+}
+
 #[test]
 fn attempts_after_a_disconnect_or_the_answer_are_found() {
     let request = (100.0, asked(1, Effect::Safe, true));
