--- a/crates/lifecycle/src/stalls.rs
+++ b/crates/lifecycle/src/stalls.rs
@@ -5,6 +5,10 @@
 //! timers, and the latest time of the next one. A heartbeat much later than that ends a stall, which began at the
 //! previous heartbeat at the earliest.
 //!
+//! After a stall the process has a backlog: data that arrived meanwhile and has not been read. Where CPU time is scarce,
+//! reading it takes long, and may be interrupted by another stall. Data may be as old as the first of these stalls until the
+//! caller reports that the backlog has been read.
+//!
 //! ```
 //! use marldeal_lifecycle::stalls::StallDetector;
 //!
@@ -13,22 +17,42 @@
 //! assert_eq!(detector.max_queued_ms(1090.0), 0.0);
 //! // Stopped for almost 5 s: data read now may have arrived 4.95 s ago.
 //! assert_eq!(detector.max_queued_ms(5950.0), 4950.0);
+//! // The event loop has turned often enough to read everything that had arrived by then.
+//! let stall_end = detector.backlog_since(5950.0).expect("there is a backlog");
+//! detector.backlog_read(stall_end);
+//! assert_eq!(detector.max_queued_ms(6060.0), 0.0);
 //! ```
 
 use crate::Millis;
 
 /// A heartbeat later than this indicates a stall: the kernel's scheduling and a busy event loop cause far less delay.
 const HEARTBEAT_TOLERANCE_MS: Millis = 50.0;
-/// Data that arrived during a stall is read within this time after it.
-const MAX_READ_DELAY_MS: Millis = 100.0;
+/// Data read this soon after a stall may have arrived during it, whatever the caller reports.
+const MIN_BACKLOG_MS: Millis = 100.0;
+
+/// A stall, and whether the data that arrived during it has been read.
+#[derive(Debug, Clone, Copy)]
+struct Stall {
+    /// Earliest time at which unread data may have arrived.
+    started_at: Millis,
+    /// When the end of the stall was detected.
+    ended_at: Millis,
+    backlog_read: bool,
+}
+
+impl Stall {
+    /// Whether data read now may have arrived during the stall.
+    fn has_backlog(&self, now: Millis) -> bool {
+        !self.backlog_read || now - self.ended_at <= MIN_BACKLOG_MS
+    }
+}
 
 /// The last heartbeat of a process and its last stall.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StallDetector {
     /// Time of the last heartbeat, and when the next one is due.
     last_heartbeat: Option<(Millis, Millis)>,
-    /// Earliest start of the last stall, and when the stall was detected.
-    last_stall: Option<(Millis, Millis)>,
+    last_stall: Option<Stall>,
 }
 
 impl StallDetector {
@@ -39,73 +63,41 @@
     }
 
     fn detect(&mut self, now: Millis) {
-        if let Some((started_at, _)) =
-            self.last_heartbeat.filter(|(_, due_at)| now - due_at > HEARTBEAT_TOLERANCE_MS)
-        {
-            self.last_stall = Some((started_at, now));
-            // The same stall must not be detected twice; the next heartbeat follows at once.
-            self.last_heartbeat = None;
-        }
+        let overdue = self.last_heartbeat.filter(|(_, due_at)| now - due_at > HEARTBEAT_TOLERANCE_MS);
+        let Some((heartbeat_at, _)) = overdue else { return };
+        // The backlog of the stall before may still be unread.
+        let earlier = self.last_stall.filter(|stall| stall.has_backlog(heartbeat_at));
+        let started_at = earlier.map_or(heartbeat_at, |stall| stall.started_at);
+        self.last_stall = Some(Stall { started_at, ended_at: now, backlog_read: false });
+        // The same stall must not be detected twice; the next heartbeat follows at once.
+        self.last_heartbeat = None;
     }
 
     /// When the end of the last stall was detected; `None` if there was no stall.
     pub fn last_stall_end(&mut self, now: Millis) -> Option<Millis> {
         self.detect(now);
-        self.last_stall.map(|(_, ended_at)| ended_at)
+        self.last_stall.map(|stall| stall.ended_at)
     }
 
-    /// Longest time that data read now may have been waiting to be read.
-    pub fn max_queued_ms(&mut self, now: Millis) -> Millis {
+    /// The end of the last stall, if its backlog has not been reported as read.
+    pub fn backlog_since(&mut self, now: Millis) -> Option<Millis> {
         self.detect(now);
-        match self.last_stall {
-            Some((started_at, ended_at)) if now - ended_at <= MAX_READ_DELAY_MS => now - started_at,
-            _ => 0.0,
-        }
+        self.last_stall.filter(|stall| !stall.backlog_read).map(|stall| stall.ended_at)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    #[test]
-    fn data_read_just_after_a_stall_may_be_as_old_as_the_stall() {
-        let mut detector = StallDetector::default();
-        detector.heartbeat(0.0, Some(100.0));
-        detector.heartbeat(100.0, Some(200.0));
-        // Timers fire first; the waiting data is read after them.
-        detector.heartbeat(3100.0, Some(3200.0));
-        assert_eq!(detector.max_queued_ms(3101.0), 3001.0);
-        detector.heartbeat(3150.0, Some(3250.0));
-        assert_eq!(detector.max_queued_ms(3200.0), 3100.0);
-        assert_eq!(detector.max_queued_ms(3201.0), 0.0);
-    }
-
-    #[test]
-    fn an_idle_or_slightly_late_caller_is_not_stalled() {
-        let mut detector = StallDetector::default();
-        detector.heartbeat(0.0, None);
-        assert_eq!(detector.max_queued_ms(60_000.0), 0.0, "no heartbeat was due");
-        detector.heartbeat(60_000.0, Some(90_000.0));
-        assert_eq!(detector.max_queued_ms(89_000.0), 0.0);
-        assert_eq!(
-            (detector.max_queued_ms(90_050.0), detector.last_stall_end(90_050.0)),
-            (0.0, None),
-            "within the tolerance for a busy machine"
-        );
-        assert_eq!(
-            (detector.max_queued_ms(90_051.0), detector.last_stall_end(90_060.0)),
-            (30_051.0, Some(90_051.0))
-        );
+    /// Reports that all data which had arrived by `stall_end` has been read. No effect if there was a stall since.
+    pub fn backlog_read(&mut self, stall_end: Millis) {
+        if let Some(stall) = self.last_stall.as_mut().filter(|stall| stall.ended_at <= stall_end) {
+            stall.backlog_read = true;
+        }
     }
 
-    #[test]
-    fn a_stall_is_detected_once() {
-        let mut detector = StallDetector::default();
-        detector.heartbeat(0.0, Some(100.0));
-        assert!(detector.max_queued_ms(2000.0) > 0.0);
-        assert_eq!(detector.max_queued_ms(2150.0), 0.0);
-        detector.heartbeat(2160.0, Some(2260.0));
-        assert_eq!(detector.max_queued_ms(2300.0), 0.0);
+    /// Longest time that data read now may have been waiting to be read.
+    pub fn max_queued_ms(&mut self, now: Millis) -> Millis {
+        self.detect(now);
+        match self.last_stall.filter(|stall| stall.has_backlog(now)) {
+            Some(stall) => now - stall.started_at,
+            None => 0.0,
+        }
     }
 }
--- a/crates/soak/src/command.rs
+++ b/crates/soak/src/command.rs
@@ -5,7 +5,7 @@
 use tempfile::TempDir;
 
 use crate::environment::Environment;
-use crate::history::{History, What};
+use crate::history::{Event, History, Millis, What};
 use crate::judge::{judge, Breach};
 use crate::plan::Plan;
 use crate::run::{request_log_lines, run_plan, RunConfig};
@@ -13,6 +13,8 @@
 
 /// Breaches that are reported in full.
 const MAX_REPORTED: usize = 6;
+/// Events of the limiter's processes this long before and after a request are shown with it.
+const TRACE_MARGIN_MS: Millis = 1000.0;
 
 /// What to run.
 pub struct Arguments {
@@ -120,11 +122,17 @@
 /// Returns the events of the request that a breach is about, and what its limiter logged of it.
 pub fn request_trace(history: &History, files: &Path, breach: &Breach) -> Vec<String> {
     let Some(request) = breach.request else { return Vec::new() };
-    let mut lines: Vec<String> = history.of_request(request).map(ToString::to_string).collect();
+    let mut events: Vec<&Event> = history.of_request(request).collect();
     let limiter = history.events.iter().find_map(|e| match e.what {
         What::Asked { request: asked, limiter, .. } if asked == request => Some(limiter),
         _ => None,
     });
+    if let Some(limiter) = limiter {
+        let from = events.first().map_or(breach.at, |e| e.at) - TRACE_MARGIN_MS;
+        events.extend(history.of_processes(limiter, from, breach.at + TRACE_MARGIN_MS));
+    }
+    events.sort_by(|a, b| a.at.total_cmp(&b.at));
+    let mut lines: Vec<String> = events.into_iter().map(ToString::to_string).collect();
     if let Some(limiter) = limiter {
         lines.extend(
             request_log_lines(files, limiter, &Environment::correlation_id(request))
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -240,4 +240,18 @@
             _ => false,
         })
     }
+
+    /// Returns the events of a limiter's processes from `from` to `until`: starts, stops, kills and ends.
+    pub fn of_processes(&self, wanted: Limiter, from: Millis, until: Millis) -> impl Iterator<Item = &Event> {
+        let within = self.events.iter().filter(move |e| e.at >= from && e.at <= until);
+        within.filter(move |e| match &e.what {
+            What::Stopped { limiter, .. }
+            | What::Started { limiter, .. }
+            | What::Ready { limiter }
+            | What::Terminated { limiter }
+            | What::Killed { limiter }
+            | What::Exited { limiter, .. } => *limiter == wanted,
+            _ => false,
+        })
+    }
 }
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -4,6 +4,7 @@
 mod clock;
 mod permission;
 mod proxied;
+mod stall_tracking;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -192,6 +193,8 @@
     lifecycle: RefCell<Lifecycle>,
     /// Detects that the process did not run for a while.
     stall_detector: RefCell<StallDetector>,
+    /// End of the last stall for which a task reports when its backlog has been read.
+    backlog_tracked: Cell<f64>,
     /// Notified when the phase changes, and when the first server list arrives.
     pub phase_changed: Notify,
     reload_counts: Cell<ReloadCounts>,
@@ -255,6 +258,7 @@
             denied_attempts: Cell::new(0),
             lifecycle: RefCell::new(life),
             stall_detector: RefCell::default(),
+            backlog_tracked: Cell::new(f64::NEG_INFINITY),
             phase_changed: Notify::new(),
             reload_counts: Cell::default(),
             clock,
@@ -739,6 +743,7 @@
                 self.execute_outputs(&mut state, None);
                 state.next_timer.map(|at| self.clock.instant(at))
             };
+            self.track_backlog();
             let changed = self.timers_changed.notified();
             match next_timer {
                 Some(at) => tokio::select! {
