--- a/marldeal/src/upstream/discovery.rs
+++ b/marldeal/src/upstream/discovery.rs
@@ -19,7 +19,7 @@
 use crate::socket::SharedSocket;
 use crate::upstream::framing::{WatchDecoder, WatchMessage};
 use crate::upstream::registry_backoff::RegistryBackoff;
-use crate::upstream::watch_controller::{CallId, Millis, Step, WatchController, WatchSource};
+use crate::upstream::watch_controller::{CallId, Millis, StartReason, Step, WatchController, WatchSource};
 
 /// A source of the list and the last version known from it. Versions of different sources are not comparable.
 struct Source {
@@ -41,22 +41,21 @@
     }
 }
 
-/// How a source is watched, and the wait before the first call.
+/// How a source is watched.
 fn watch_controller(driver: &Driver, source: &Source) -> WatchController {
     let settings = &driver.config.settings;
-    if !settings.must_subscribe {
-        return WatchController::new(WatchSource::agent(driver.config.drain_grace_ms), 0.0, 0.0);
-    }
-    let seed = driver.config.seed ^ u64::from(source.number).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let mut backoff = RegistryBackoff::new(settings.limiters, seed);
-    // The last known list is used until this limiter's turn comes. Without a known list there is no reason to
-    // wait. A new address is called by all limiters soon.
-    let wait = match (source.version, source.number) {
-        (Some(_), 0) => backoff.initial_wait(),
-        (None, 0) => Duration::ZERO,
-        _ => backoff.urgent_wait(),
+    let reason = match (source.version, source.number) {
+        (Some(_), 0) => StartReason::KnownList,
+        (None, 0) => StartReason::NoList,
+        _ => StartReason::NewAddress,
+    };
+    let kind = if settings.must_subscribe {
+        let seed = driver.config.seed ^ u64::from(source.number).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        WatchSource::Registry(RegistryBackoff::new(settings.limiters, seed))
+    } else {
+        WatchSource::agent(driver.config.drain_grace_ms)
     };
-    WatchController::new(WatchSource::Registry(backoff), 0.0, wait.as_secs_f64() * 1000.0)
+    WatchController::new(kind, 0.0, reason)
 }
 
 /// Aborts a connection's task when dropped.
--- a/marldeal/src/upstream/registry_backoff.rs
+++ b/marldeal/src/upstream/registry_backoff.rs
@@ -1,6 +1,7 @@
 //! Waits between calls to the registry that a whole tier shares for its list of servers. When all limiters
 //! start or lose their watches at once, the waits keep the registry from being busy with calls whose callers
-//! have given up. No I/O and no clock.
+//! have given up. `watch_controller` limits the waits to what lets the limiter be notified in time. No I/O and no
+//! clock.
 
 use std::time::Duration;
 
@@ -59,6 +60,22 @@
         let base_ms = (self.spread_ms() * 2f64.powi(doublings)).min(max_ms);
         wait(base_ms * (0.5 + self.rng.f64()))
     }
+
+    /// A wait in milliseconds, at most `max_ms`. One that is longer is drawn anew between half of that and all
+    /// of it, so that limiters whose waits are cut do not call together.
+    pub fn limited_ms(&mut self, wait: Duration, max_ms: f64) -> f64 {
+        let wait_ms = wait.as_secs_f64() * 1000.0;
+        if wait_ms <= max_ms {
+            return wait_ms;
+        }
+        max_ms * (0.5 + 0.5 * self.rng.f64())
+    }
+
+    /// The time within which a registry that all limiters of the tier call twice has answered, if it answers in
+    /// the order of the calls.
+    pub fn queue_ms(&self) -> f64 {
+        2.0 * self.spread_ms()
+    }
 }
 
 fn wait(ms: f64) -> Duration {
--- a/marldeal/src/upstream/watch_controller.rs
+++ b/marldeal/src/upstream/watch_controller.rs
@@ -24,10 +24,26 @@
 /// The interval between calls to an agent, as a fraction of the drain grace, and its bounds in milliseconds.
 const CALL_INTERVAL_FRACTION: f64 = 0.25;
 const CALL_INTERVAL_BOUNDS_MS: (Millis, Millis) = (25.0, 250.0);
-/// How long a call may take to be answered. The limiter is expected to know a change 6 s after the source could
-/// be reached. A second call to a shared registry would only lengthen its queue.
+/// How long a call to an agent may take to be answered.
 const AGENT_ANSWER_TIMEOUT_MS: Millis = 5000.0;
-const REGISTRY_ANSWER_TIMEOUT_MS: Millis = 3000.0;
+/// The same for a shared registry, at least: a call that has its place in the registry's queue is not given up.
+/// One that the registry never received has others beside it.
+const MIN_REGISTRY_ANSWER_TIMEOUT_MS: Millis = 5000.0;
+/// Calls to a registry that may be pending at once, and how long after one that is not answered the next begins.
+const MAX_REGISTRY_CALLS: usize = 3;
+const REGISTRY_CALL_INTERVAL_MS: Millis = 3000.0;
+/// Longest waits before a call to a registry. The limiter is expected to know a change 6 s after the registry had
+/// it and could be reached, even if three calls in a row fail: one of these waits, or the silence time-out or the
+/// interval above, plus three retry waits and four answers is less.
+const MAX_START_WAIT_MS: Millis = 3000.0;
+const MAX_WAIT_AFTER_LIST_MS: Millis = 2000.0;
+const MAX_RETRY_WAIT_MS: Millis = 650.0;
+/// After a reload names another address, the time is 4 s.
+const MAX_NEW_ADDRESS_WAIT_MS: Millis = 1500.0;
+/// Four of these waits, with answers, are less than 6 s too. They are used after this many short ones while no
+/// call is pending.
+const MAX_LATER_RETRY_WAIT_MS: Millis = 1200.0;
+const SHORT_RETRY_WAITS: u32 = 3;
 
 /// Which kind of source is watched.
 #[derive(Debug)]
@@ -38,7 +54,7 @@
         /// Milliseconds from one call to the next.
         interval_ms: Millis,
     },
-    /// A registry that the tier shares. There is one call at a time, with waits in between.
+    /// A registry that the tier shares. Its calls are spread over time.
     Registry(RegistryBackoff),
 }
 
@@ -51,15 +67,58 @@
         }
     }
 
+    /// The wait before the first call.
+    fn first_wait_ms(&mut self, reason: StartReason) -> Millis {
+        let WatchSource::Registry(backoff) = self else { return 0.0 };
+        match reason {
+            StartReason::NoList => 0.0,
+            StartReason::KnownList => {
+                let wait = backoff.initial_wait();
+                backoff.limited_ms(wait, MAX_START_WAIT_MS)
+            }
+            StartReason::NewAddress => {
+                let wait = backoff.urgent_wait();
+                backoff.limited_ms(wait, MAX_NEW_ADDRESS_WAIT_MS)
+            }
+        }
+    }
+
     /// How long a call may take to be answered.
     fn answer_timeout_ms(&self) -> Millis {
         match self {
             WatchSource::Agent { .. } => AGENT_ANSWER_TIMEOUT_MS,
-            WatchSource::Registry(_) => REGISTRY_ANSWER_TIMEOUT_MS,
+            WatchSource::Registry(backoff) => backoff.queue_ms().max(MIN_REGISTRY_ANSWER_TIMEOUT_MS),
+        }
+    }
+
+    /// Milliseconds from one call to the next while none is answered.
+    fn call_interval_ms(&self) -> Millis {
+        match self {
+            WatchSource::Agent { interval_ms } => *interval_ms,
+            WatchSource::Registry(_) => REGISTRY_CALL_INTERVAL_MS,
+        }
+    }
+
+    /// Calls that may be pending at once.
+    fn max_pending_calls(&self) -> usize {
+        match self {
+            WatchSource::Agent { .. } => MAX_PENDING_CALLS,
+            WatchSource::Registry(_) => MAX_REGISTRY_CALLS,
         }
     }
 }
 
+/// Why a source is watched from now on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum StartReason {
+    /// The process has started without a list.
+    NoList,
+    /// The process has started with a known list, which is used until it is this limiter's turn to call.
+    KnownList,
+    /// A reload has named this address. It is called by all limiters soon.
+    NewAddress,
+}
+
 /// An action for the caller to take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
@@ -79,17 +138,21 @@
     watch: Option<(CallId, Millis, bool)>,
     /// When the next call is due, or nothing while there is a watch.
     next_call: Option<Millis>,
+    /// Calls and watches without a list that have failed since the last watch that brought one.
+    failures: u32,
     last_call: CallId,
 }
 
 impl WatchController {
-    /// The state before the first call, which is due after `wait_ms`.
-    pub fn new(source: WatchSource, now: Millis, wait_ms: Millis) -> WatchController {
+    /// The state before the first call.
+    pub fn new(mut source: WatchSource, now: Millis, reason: StartReason) -> WatchController {
+        let wait_ms = source.first_wait_ms(reason);
         WatchController {
             source,
             calls: VecDeque::new(),
             watch: None,
             next_call: Some(now + wait_ms),
+            failures: 0,
             last_call: 0,
         }
     }
@@ -113,23 +176,17 @@
             let late = now >= began + self.source.answer_timeout_ms();
             if late || self.watch.is_some() {
                 self.calls.pop_front();
-                if late && self.watch.is_none() && matches!(self.source, WatchSource::Registry(_)) {
-                    self.schedule_call(now, false, false);
-                }
                 return Some(Step::Close(call, "not answered in time"));
             }
         }
-        if self.calls.len() > MAX_PENDING_CALLS {
+        if self.calls.len() > self.source.max_pending_calls() {
             let (call, _) = self.calls.remove(1)?;
             return Some(Step::Close(call, "not answered in time"));
         }
         self.next_call.filter(|at| now >= *at)?;
         self.last_call += 1;
         self.calls.push_back((self.last_call, now));
-        self.next_call = match self.source {
-            WatchSource::Agent { interval_ms } => Some(now + interval_ms),
-            WatchSource::Registry(_) => None,
-        };
+        self.next_call = Some(now + self.source.call_interval_ms());
         Some(Step::Begin(self.last_call))
     }
 
@@ -149,6 +206,9 @@
     pub fn message_received(&mut self, now: Millis, has_list: bool) {
         if let Some((_, last_message, list_received)) = &mut self.watch {
             (*last_message, *list_received) = (now, *list_received | has_list);
+            if has_list {
+                self.failures = 0;
+            }
         }
     }
 
@@ -159,15 +219,22 @@
         }
         let before = self.calls.len();
         self.calls.retain(|(c, _)| *c != call);
-        // For an agent, the next call is scheduled already.
-        if self.calls.len() < before
-            && self.watch.is_none()
-            && matches!(self.source, WatchSource::Registry(_))
-        {
-            self.schedule_call(now, false, false);
+        if self.calls.len() < before && self.watch.is_none() {
+            self.call_failed(now);
         }
     }
 
+    /// A call has ended without an answer. For an agent, the next call is scheduled already.
+    fn call_failed(&mut self, now: Millis) {
+        let WatchSource::Registry(backoff) = &mut self.source else { return };
+        self.failures += 1;
+        let short = self.failures <= SHORT_RETRY_WAITS || !self.calls.is_empty();
+        let max_wait_ms = if short { MAX_RETRY_WAIT_MS } else { MAX_LATER_RETRY_WAIT_MS };
+        let wait = backoff.next_wait(false);
+        let retry_at = now + backoff.limited_ms(wait, max_wait_ms);
+        self.next_call = Some(self.next_call.map_or(retry_at, |at| at.min(retry_at)));
+    }
+
     /// The list is wanted again from the start. Returns the calls and the watch to close: pending calls asked
     /// for changes to the old list.
     pub fn restart(&mut self, now: Millis) -> Vec<CallId> {
@@ -181,10 +248,6 @@
     /// brought a list.
     fn watch_lost(&mut self, now: Millis, silent: bool) {
         let has_list = self.watch.take().is_some_and(|(.., has_list)| has_list);
-        self.schedule_call(now, has_list, silent);
-    }
-
-    fn schedule_call(&mut self, now: Millis, has_list: bool, silent: bool) {
         self.next_call = Some(match &mut self.source {
             // An agent that accepts and closes connections is not called without a pause.
             WatchSource::Agent { interval_ms } => {
@@ -192,8 +255,12 @@
                 last.map_or(now + if silent { 0.0 } else { *interval_ms / 5.0 }, |began| began + *interval_ms)
                     .max(now)
             }
-            WatchSource::Registry(backoff) if silent => now + backoff.urgent_wait().as_secs_f64() * 1000.0,
-            WatchSource::Registry(backoff) => now + backoff.next_wait(has_list).as_secs_f64() * 1000.0,
+            WatchSource::Registry(backoff) => {
+                let wait = if silent { backoff.urgent_wait() } else { backoff.next_wait(has_list) };
+                let current = has_list && !silent;
+                let max_wait_ms = if current { MAX_WAIT_AFTER_LIST_MS } else { MAX_RETRY_WAIT_MS };
+                now + backoff.limited_ms(wait, max_wait_ms)
+            }
         });
     }
 }
@@ -206,7 +273,7 @@
     /// Simulates a source that is unreachable for a while and loses the calls of that time, as a host behind a
     /// network partition does: they are never answered. Returns when the limiter has a watch again.
     fn reconnected_at(source: WatchSource, outage: (Millis, Millis), answer_ms: Millis) -> Millis {
-        let mut controller = WatchController::new(source, 0.0, 0.0);
+        let mut controller = WatchController::new(source, 0.0, StartReason::NoList);
         let mut answers: Vec<(Millis, CallId)> = Vec::new();
         let mut now = 0.0;
         while now < 60_000.0 {
@@ -311,8 +378,8 @@
                 true => WatchSource::Registry(RegistryBackoff::new(5, 7)),
                 false => WatchSource::agent(1000.0),
             };
-            let max_open = if registry { 1 } else { MAX_PENDING_CALLS };
-            let mut controller = WatchController::new(source, 0.0, 0.0);
+            let max_open = if registry { MAX_REGISTRY_CALLS } else { MAX_PENDING_CALLS };
+            let mut controller = WatchController::new(source, 0.0, StartReason::NoList);
             let (mut now, mut open, mut watch): (f64, Vec<CallId>, Option<(CallId, f64)>) = (0.0, Vec::new(), None);
             for event in events {
                 let until = now + if let Event::Wait(ms) = event { ms } else { 0.0 };
@@ -329,7 +396,7 @@
                     prop_assert!(open.len() <= max_open);
                     prop_assert!(watch.is_none() || open.is_empty());
                     prop_assert!(watch.is_none_or(|w| now < w.1 + WATCH_SILENCE_TIMEOUT_MS));
-                    let max_wait_ms = if registry { 6000.0 } else { 250.0 };
+                    let max_wait_ms = if registry { REGISTRY_CALL_INTERVAL_MS } else { 250.0 };
                     prop_assert!(controller.next_due() > now && (watch.is_some() || controller.next_due() <= now + max_wait_ms));
                     if controller.next_due() > until { break }
                     now = controller.next_due();
