--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -60,6 +60,7 @@
     Action, Condition, CustomerCounts, Event, Limiter, Load, Outcome, Request, RequestId, ServerEntry,
     ServerId, Settings,
 };
+use marldeal_snapshot::moments::{MonotonicTime, WallTime};
 use marldeal_snapshot::{Assessment, Snapshot, SnapshotKind};
 use timers::Timers;
 
@@ -400,9 +401,22 @@
         self.limiter.avoided_servers(now)
     }
 
-    /// Returns the state at `now` for a successor process. `kind` says what this process does from here on.
-    pub fn snapshot(&self, now: Millis, kind: SnapshotKind) -> Snapshot {
-        Snapshot { kind, written_ms: now, next_request: self.next_id, state: self.limiter.export_state(now) }
+    /// Returns the state at `now` for a successor process. `written_at` and `wall_time` are the same moment on the
+    /// machine's clocks. `kind` says what this process does from here on.
+    pub fn snapshot(
+        &self,
+        now: Millis,
+        written_at: MonotonicTime,
+        wall_time: WallTime,
+        kind: SnapshotKind,
+    ) -> Snapshot {
+        Snapshot {
+            kind,
+            wall_time,
+            next_request: self.next_id,
+            state: self.limiter.export_state(now),
+            written_at: Some(written_at),
+        }
     }
 
     /// Restores state from the snapshot of another process. To be called before the first request only, because the
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,12 +1,14 @@
 //! Encodes a limiter's state for its successor as versioned bytes of bounded size, and decides by its age how much of
 //! it the successor may use.
 //!
-//! The encoding names its version, the settings it was written under and the time of writing. Bytes that are truncated,
+//! The encoding names its version, the settings it was written under and the time of writing. The age is measured on the
+//! monotonic clock that both processes share; a wall clock may be stepped between them. Bytes that are truncated,
 //! corrupt, too large, of another version or of other settings are rejected as a whole, with the reason. An intact
 //! snapshot is used according to its [`SnapshotKind`] and its age. This crate reads no clock, opens no socket and does
 //! not call the decision module: bytes and times are arguments.
 //!
 //! ```
+//! use marldeal_snapshot::moments::{MonotonicTime, WallTime};
 //! use marldeal_snapshot::{assess, Assessment, ReadError, Snapshot, SnapshotKind};
 //! # use fawnhill::{Limiter, Settings};
 //! # let settings = Settings {
@@ -17,20 +19,29 @@
 //! # };
 //! let limiter = Limiter::new(settings.clone(), 42, 0.0)?;
 //! let state = limiter.export_state(500.0);
-//! let snapshot = Snapshot { kind: SnapshotKind::Final, written_ms: 500.0, next_request: 7, state };
+//! let snapshot = Snapshot {
+//!     kind: SnapshotKind::Final,
+//!     wall_time: WallTime::from_unix_millis(500.0),
+//!     next_request: 7,
+//!     state,
+//!     written_at: Some(MonotonicTime::from_millis(20.0)),
+//! };
 //! let bytes = snapshot.to_bytes(&settings);
 //! let read = Snapshot::from_bytes(&bytes, &settings).expect("bytes just encoded");
-//! assert!(matches!(assess(read, 510.0), Assessment::SameLimiter { .. }));
+//! assert!(matches!(assess(read, MonotonicTime::from_millis(30.0)), Assessment::SameLimiter { .. }));
 //! assert_eq!(Snapshot::from_bytes(&bytes[..40], &settings), Err(ReadError::Truncated));
 //! # Ok::<(), String>(())
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod moments;
+
 use std::fmt;
 
 use fawnhill::limiter_state::LimiterState;
 use fawnhill::{Millis, RequestId, Settings};
+use moments::{MonotonicTime, WallTime};
 use serde::{Deserialize, Serialize};
 
 /// The first bytes of each snapshot.
@@ -64,12 +75,16 @@
 pub struct Snapshot {
     /// Whether the writer went on afterwards.
     pub kind: SnapshotKind,
-    /// Time of writing, in milliseconds of Unix time.
-    pub written_ms: Millis,
+    /// Time of writing by the writer's wall clock, for readers of releases that measure the age by it.
+    pub wall_time: WallTime,
     /// All request IDs that the writer has assigned are below this.
     pub next_request: RequestId,
     /// The state.
     pub state: LimiterState,
+    /// Time of writing; none from a release that did not write it. Encoded behind the other fields, where older
+    /// readers ignore it.
+    #[serde(skip)]
+    pub written_at: Option<MonotonicTime>,
 }
 
 /// Why bytes were rejected as a snapshot.
@@ -108,7 +123,10 @@
         let mut reduced = self.clone();
         loop {
             // Encoding these types does not fail. If it did, the body would be empty, and a reader would reject it.
-            let body = postcard::to_stdvec(&reduced).unwrap_or_default();
+            let mut body = postcard::to_stdvec(&reduced).unwrap_or_default();
+            if let Some(written_at) = self.written_at {
+                body.extend(postcard::to_stdvec(&written_at).unwrap_or_default());
+            }
             if HEADER_LEN + body.len() <= MAX_BYTES {
                 let mut bytes = Vec::with_capacity(HEADER_LEN + body.len());
                 bytes.extend_from_slice(&MAGIC);
@@ -156,15 +174,26 @@
         if crc32fast::hash(body) != u32_at(14) {
             return Err(ReadError::Corrupt("the checksum does not match".to_string()));
         }
-        let read: Snapshot = postcard::from_bytes(body).map_err(|e| ReadError::Corrupt(e.to_string()))?;
+        let read = decode(body).map_err(|e| ReadError::Corrupt(e.to_string()))?;
         read.state.validate(settings).map_err(ReadError::Corrupt)?;
-        if !read.written_ms.is_finite() {
+        let times_are_finite =
+            read.wall_time.unix_millis().is_finite() && read.written_at.is_none_or(MonotonicTime::is_finite);
+        if !times_are_finite {
             return Err(ReadError::Corrupt("the time of writing is not a finite number".to_string()));
         }
         Ok(read)
     }
 }
 
+/// Decodes the body. A release that did not write the monotonic time ends before it.
+fn decode(body: &[u8]) -> postcard::Result<Snapshot> {
+    let (mut read, rest) = postcard::take_from_bytes::<Snapshot>(body)?;
+    if !rest.is_empty() {
+        read.written_at = Some(postcard::from_bytes(rest)?);
+    }
+    Ok(read)
+}
+
 /// A checksum of the settings: indexes of plans and classes are valid only under the settings they were written with.
 fn fingerprint(settings: &Settings) -> u32 {
     crc32fast::hash(format!("{settings:?}").as_bytes())
@@ -195,10 +224,10 @@
 /// Number of request IDs skipped after a final snapshot, because the writer may still assign some of them.
 const REQUEST_ID_GAP: RequestId = 1 << 20;
 
-/// Decides how a snapshot is used at `now` (Unix time in milliseconds). A `now` before the time of writing counts as
-/// age 0.
-pub fn assess(snapshot: Snapshot, now: Millis) -> Assessment {
-    let age_ms = (now - snapshot.written_ms).max(0.0);
+/// Decides how a snapshot is used at `now`. A `now` before the time of writing counts as age 0, and so does a snapshot
+/// without a monotonic time: its writer sends it over a connection as soon as it is written.
+pub fn assess(snapshot: Snapshot, now: MonotonicTime) -> Assessment {
+    let age_ms = snapshot.written_at.map_or(0.0, |written_at| now.since(written_at));
     let mut state = snapshot.state;
     match snapshot.kind {
         _ if age_ms > MAX_AGE_MS => Assessment::Expired { age_ms },
--- a/crates/snapshot/tests/snapshot.rs
+++ b/crates/snapshot/tests/snapshot.rs
@@ -2,6 +2,7 @@
 
 use fawnhill::{Class, Condition, Effect, KeyGroup, Outcome, Plan, Request, ServerEntry, Settings};
 use marldeal_engine::{Answer, Engine, Input, Output};
+use marldeal_snapshot::moments::{MonotonicTime, WallTime};
 use marldeal_snapshot::{assess, Assessment, ReadError, Snapshot, SnapshotKind, MAX_AGE_MS, MAX_BYTES};
 use proptest::prelude::*;
 
@@ -50,6 +51,15 @@
     engine
 }
 
+/// The machine's monotonic clock, which counts from its start, at a time of the engines' clock.
+fn at(now: f64) -> MonotonicTime {
+    MonotonicTime::from_millis(now - START + 5000.0)
+}
+
+fn snapshot_of(engine: &Engine, now: f64, kind: SnapshotKind) -> Snapshot {
+    engine.snapshot(now, at(now), WallTime::from_unix_millis(now), kind)
+}
+
 /// Sends a request of one unit for a customer; returns whether it was admitted.
 fn admits(engine: &mut Engine, now: f64, name: u32, customer: u64) -> bool {
     let request =
@@ -86,10 +96,10 @@
 fn successor_grants_no_second_burst() {
     let (old, now, admitted) = engine_with_used_quota();
     assert_eq!(admitted, 8, "one burst");
-    let bytes = old.snapshot(now, SnapshotKind::Final).to_bytes(&settings());
+    let bytes = snapshot_of(&old, now, SnapshotKind::Final).to_bytes(&settings());
     let mut new = engine(2, now + 20.0);
     let read = Snapshot::from_bytes(&bytes, &settings()).expect("intact snapshot");
-    new.restore(now + 30.0, assess(read, now + 30.0));
+    new.restore(now + 30.0, assess(read, at(now + 30.0)));
     assert!(new.is_ready(now + 30.0), "the successor takes over the filled ceilings");
     assert!((0..20).all(|n| !admits(&mut new, now + 31.0, n, 7)), "the quota is used up");
     assert!(admits(&mut new, now + 32.0, 100, 8), "another customer has its own quota");
@@ -116,10 +126,10 @@
 #[test]
 fn hints_do_not_fill_ceilings() {
     let (old, now, _) = engine_with_used_quota();
-    let bytes = old.snapshot(now, SnapshotKind::Running).to_bytes(&settings());
+    let bytes = snapshot_of(&old, now, SnapshotKind::Running).to_bytes(&settings());
     let mut new = engine(2, now + 500.0);
     let read = Snapshot::from_bytes(&bytes, &settings()).expect("intact snapshot");
-    let assessment = assess(read, now + 500.0);
+    let assessment = assess(read, at(now + 500.0));
     assert!(matches!(assessment, Assessment::Hints { .. }));
     new.restore(now + 500.0, assessment);
     assert!(!new.is_ready(now + 500.0));
@@ -129,11 +139,11 @@
 #[test]
 fn snapshot_is_discounted_by_age_and_finally_unused() {
     let (old, now, _) = engine_with_used_quota();
-    let mut snapshot = old.snapshot(now, SnapshotKind::Running);
+    let mut snapshot = snapshot_of(&old, now, SnapshotKind::Running);
     for (_, s) in &mut snapshot.state.servers {
         (s.errors, s.silences, s.ejected) = (0.4, 3, (5000.0, 8000.0));
     }
-    let assess_at = |age: f64| assess(snapshot.clone(), now + age);
+    let assess_at = |age: f64| assess(snapshot.clone(), at(now + age));
     let errors = |assessment: Assessment| match assessment {
         Assessment::Hints { state } => state.servers[0].1.errors,
         _ => f64::NAN,
@@ -143,16 +153,54 @@
     let Assessment::Hints { state } = assess_at(20_000.0) else { panic!("hints") };
     assert_eq!((state.servers[0].1.silences, state.servers[0].1.ejected.0), (0, 0.0));
     assert_eq!(assess_at(MAX_AGE_MS + 1.0), Assessment::Expired { age_ms: MAX_AGE_MS + 1.0 });
-    // A clock that was set back counts as age 0.
+    // A time of writing that is yet to come counts as age 0.
     assert!((errors(assess_at(-5000.0)) - 0.4).abs() < 1e-9);
     let late = Snapshot { kind: SnapshotKind::Final, ..snapshot };
-    assert!(matches!(assess(late, now + 6000.0), Assessment::Hints { .. }), "the reader stalled");
+    assert!(matches!(assess(late, at(now + 6000.0)), Assessment::Hints { .. }), "the reader stalled");
+}
+
+/// The wall clock is stepped between writer and reader, by an hour or by seconds. Guards against an age that is computed
+/// from it: the snapshot would be ignored, or a quota refilled for time that has not passed.
+#[test]
+fn a_stepped_wall_clock_does_not_age_a_snapshot() {
+    let (old, now, _) = engine_with_used_quota();
+    for stepped_ms in [-3_600_000.0, -3000.0, 3000.0, 3_600_000.0] {
+        let written = snapshot_of(&old, now, SnapshotKind::Final).to_bytes(&settings());
+        let read = Snapshot::from_bytes(&written, &settings()).expect("intact snapshot");
+        // The reader's engine counts from its own wall clock.
+        let now_of_reader = now + stepped_ms + 10.0;
+        let mut new = engine(2, now_of_reader);
+        new.restore(now_of_reader, assess(read, at(now + 10.0)));
+        let admitted = (0..20).filter(|n| admits(&mut new, now_of_reader + 1.0, *n, 7)).count();
+        assert_eq!(admitted, 0, "stepped by {stepped_ms} ms: the quota is used up");
+    }
+}
+
+/// Snapshots of the release before the monotonic time was written are read, and it reads those of this one: fields are
+/// encoded by position, and what it does not know stands behind the others.
+#[test]
+fn snapshots_are_readable_across_releases() {
+    let (old, now, _) = engine_with_used_quota();
+    let snapshot = snapshot_of(&old, now, SnapshotKind::Final);
+    let before = Snapshot { written_at: None, ..snapshot.clone() };
+    let (bytes, bytes_before) = (snapshot.to_bytes(&settings()), before.to_bytes(&settings()));
+    assert_eq!(Snapshot::from_bytes(&bytes, &settings()), Ok(snapshot));
+    assert_eq!(Snapshot::from_bytes(&bytes_before, &settings()), Ok(before.clone()));
+    let header_bytes = 18;
+    assert!(bytes[header_bytes..].starts_with(&bytes_before[header_bytes..]), "the known fields come first");
+    assert_eq!(bytes.len(), bytes_before.len() + 8, "the monotonic time alone is added");
+    // The earlier release decodes the body so.
+    assert_eq!(postcard::from_bytes::<Snapshot>(&bytes[header_bytes..]).as_ref(), Ok(&before));
+    assert!(
+        matches!(assess(before, at(now + 90_000.0)), Assessment::SameLimiter { .. }),
+        "handed over at once"
+    );
 }
 
 #[test]
 fn invalid_bytes_are_rejected_with_the_reason() {
     let (old, now, _) = engine_with_used_quota();
-    let good = old.snapshot(now, SnapshotKind::Final).to_bytes(&settings());
+    let good = snapshot_of(&old, now, SnapshotKind::Final).to_bytes(&settings());
     let read = |bytes: &[u8]| Snapshot::from_bytes(bytes, &settings());
     assert!(read(&good).is_ok());
     assert_eq!(read(&[]), Err(ReadError::NotASnapshot));
@@ -167,7 +215,7 @@
     other_settings.plans[0].rate = 3.0;
     assert_eq!(Snapshot::from_bytes(&good, &other_settings), Err(ReadError::Settings));
     // A record that is invalid under these settings, with a correct checksum.
-    let mut invalid = old.snapshot(now, SnapshotKind::Final);
+    let mut invalid = snapshot_of(&old, now, SnapshotKind::Final);
     invalid.state.accounts[0].1.plan = 9;
     assert!(matches!(read(&invalid.to_bytes(&settings())), Err(ReadError::Corrupt(_))));
 }
@@ -176,7 +224,7 @@
 #[test]
 fn encoded_size_is_bounded() {
     let (old, now, _) = engine_with_used_quota();
-    let mut snapshot = old.snapshot(now, SnapshotKind::Final);
+    let mut snapshot = snapshot_of(&old, now, SnapshotKind::Final);
     let (customer, account) = (snapshot.state.customers[0], snapshot.state.accounts[0]);
     snapshot.state.customers = (0..100_000).map(|n| (n, customer.1)).collect();
     snapshot.state.accounts = (0..100_000).map(|n| (n, account.1)).collect();
@@ -189,7 +237,7 @@
     /// A change of any one byte is detected, and no input makes the reader panic.
     #[test]
     fn any_corrupt_byte_is_detected(at in any::<prop::sample::Index>(), flip in 1u8..=255, noise in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut bytes = engine(1, START).snapshot(START + 100.0, SnapshotKind::Final).to_bytes(&settings());
+        let mut bytes = snapshot_of(&engine(1, START), START + 100.0, SnapshotKind::Final).to_bytes(&settings());
         let at = at.index(bytes.len());
         bytes[at] ^= flip;
         prop_assert!(Snapshot::from_bytes(&bytes, &settings()).is_err());
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -373,7 +373,9 @@
 
     /// The present state, encoded.
     pub fn snapshot(&self, kind: SnapshotKind) -> Vec<u8> {
-        self.state.borrow().engine.snapshot(self.now(), kind).to_bytes(&self.config.settings)
+        let (written_at, wall_time) = (self.clock.monotonic_time(), self.clock.wall_time());
+        let snapshot = self.state.borrow().engine.snapshot(self.now(), written_at, wall_time, kind);
+        snapshot.to_bytes(&self.config.settings)
     }
 
     /// Restores the state that another process of this limiter has sent. Returns a description of the result for
@@ -384,7 +386,7 @@
             Err(why) => return format!("{why}; starting without the predecessor's state"),
         };
         let now = self.now();
-        let assessment = marldeal_snapshot::assess(snapshot, now);
+        let assessment = marldeal_snapshot::assess(snapshot, self.clock.monotonic_time());
         let result = match &assessment {
             Assessment::SameLimiter { state, .. } => format!(
                 "goes on as the same limiter with {} servers, {} customers, {} accounts",
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -33,7 +33,7 @@
 }
 
 /// The preloaded library that makes system calls fail, compiled once per test binary.
-fn shim() -> &'static Shim {
+pub fn shim() -> &'static Shim {
     static SHIM: OnceLock<Shim> = OnceLock::new();
     SHIM.get_or_init(|| Shim::build().expect("the shim compiles"))
 }
@@ -110,6 +110,9 @@
         let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix('='));
         line.and_then(|n| n.parse().ok()).unwrap_or_else(|| panic!("stats has no {name}: {text}"))
     }
+    pub fn id(&self) -> u32 {
+        self.child.id()
+    }
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", name, &pid]).status().expect("kill").success());
--- a/marldeal/tests/upgrade.rs
+++ b/marldeal/tests/upgrade.rs
@@ -18,7 +18,8 @@
 use marldeal_standin::discovery::{update_line, Discovery};
 use marldeal_standin::TIMEOUT;
 use stubs::{
-    config, exchange, get, post, read_answer, server_with_held_requests, wait_for, write_ok, Process, Stub,
+    config, exchange, get, post, read_answer, server_with_held_requests, shim, wait_for, write_ok,
+    FailingCalls, Process, Stub,
 };
 
 /// What outlives the processes: the listening socket, the directory for the upgrade socket, and the discovery
@@ -53,12 +54,20 @@
 
     /// Starts another process on the same listening socket.
     fn start(&self) -> Process {
+        self.start_with_wall_clock(0)
+    }
+
+    /// The same, with a wall clock that is ahead by this many milliseconds. The monotonic clock is exact.
+    fn start_with_wall_clock(&self, ahead_ms: i64) -> Process {
+        let calls = FailingCalls { wall_clock_ms: ahead_ms, ..FailingCalls::default() };
+        let variables = if ahead_ms == 0 { Vec::new() } else { shim().environment(&calls) };
         let fd = OwnedFd::from(self.listener.try_clone().expect("a descriptor"));
         let mut command = Command::new(env!("CARGO_BIN_EXE_marldeal"));
         for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY"] {
             command.env_remove(name);
         }
         command
+            .envs(variables)
             .env("ROUTER_CONFIG", self.dir.join("config.json"))
             .env("TMPDIR", &self.dir)
             .env("ROUTER_MGMT", "127.0.0.1:0")
@@ -239,6 +248,31 @@
     assert!(admitted <= max_admitted(began), "{admitted}");
 }
 
+/// The wall clock is stepped between the starts of the two processes. Guards against a snapshot whose age is
+/// computed from wall-clock times: the new process would start without the accounts, or refill the quota for
+/// time that has not passed.
+#[test]
+fn quota_is_kept_when_the_wall_clock_is_stepped_between_the_processes() {
+    for ahead_ms in [3000, 3_600_000, -3000, -3_600_000] {
+        let server = ok_server();
+        let environment = Environment::new(&[("s-1", &server, "active")]).alter(quota);
+        let mut kept = environment.connect();
+        let mut old = environment.start();
+        wait_until_serving(&old);
+        let began = Instant::now();
+        let mut admitted = send_ten(&mut kept);
+        let new = environment.start_with_wall_clock(ahead_ms);
+        new.wait_log("warming up beside a predecessor");
+        wait_until_serving(&new);
+        old.signal("TERM");
+        new.wait_log("goes on as the same limiter");
+        assert_eq!(old.exit_code(), Some(0));
+        admitted += send_ten(&mut kept);
+        let allowed = max_admitted(began);
+        assert!(admitted <= allowed, "clock ahead by {ahead_ms} ms: {admitted} admitted, {allowed} allowed");
+    }
+}
+
 /// The new process is killed while it warms up: the old one serves on, and the next upgrade succeeds.
 #[test]
 fn killed_successor_does_not_disturb_service() {
