--- a/crates/soak/shim/failing_calls.c
+++ b/crates/soak/shim/failing_calls.c
@@ -8,6 +8,8 @@
  *   SHIM_ACCEPT                         accept fails with ECONNABORTED, ENFILE, ENOBUFS and EMFILE in turn
  *   SHIM_CONNECT                        connect fails with EADDRNOTAVAIL, ENETUNREACH and ENOBUFS in turn
  *   SHIM_BROKEN                         a read fails with ETIMEDOUT or EHOSTUNREACH, once in a connection
+ * SHIM_SLOW_US                           each read, write and accept of a TCP socket takes this many microseconds longer
+ * SHIM_DEFER_ACCEPT_S                    listeners complete a handshake only with the client's first bytes (TCP_DEFER_ACCEPT)
  * SHIM_SOCKET_FAILS and SHIM_BIND_FAILS  number of first calls that fail (ENFILE, ENOBUFS)
  * SHIM_OPEN_PATH, SHIM_OPEN_WHILE        opening the first path fails (ENFILE) while the second file exists
  * SHIM_CLOCK_STEP_MS                     offset of the wall clock; the monotonic clock is exact
@@ -22,6 +24,8 @@
 #include <stdint.h>
 #include <stdlib.h>
 #include <string.h>
+#include <netinet/in.h>
+#include <netinet/tcp.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
 #include <sys/uio.h>
@@ -35,7 +39,7 @@
     return text ? atol(text) : 0;
 }
 
-static long short_read, short_write, interrupted, accept_fails, connect_fails, broken, clock_step_ms;
+static long short_read, short_write, interrupted, accept_fails, connect_fails, broken, slow_us, defer_accept_s, clock_step_ms;
 static atomic_long socket_fails, bind_fails;
 static const char *open_path, *open_while;
 static _Atomic uint64_t state;
@@ -49,6 +53,8 @@
     accept_fails = variable("SHIM_ACCEPT");
     connect_fails = variable("SHIM_CONNECT");
     broken = variable("SHIM_BROKEN");
+    defer_accept_s = variable("SHIM_DEFER_ACCEPT_S");
+    slow_us = variable("SHIM_SLOW_US");
     clock_step_ms = variable("SHIM_CLOCK_STEP_MS");
     socket_fails = variable("SHIM_SOCKET_FAILS");
     bind_fails = variable("SHIM_BIND_FAILS");
@@ -77,6 +83,10 @@
     return getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &family, &size) == 0 && family == AF_INET;
 }
 
+static void delay(void) {
+    if (slow_us > 0) usleep((useconds_t)slow_us);
+}
+
 static int fail(int number) {
     errno = number;
     return -1;
@@ -94,6 +104,7 @@
 ssize_t recv(int fd, void *to, size_t length, int flags) {
     REAL(recv);
     if ((flags & MSG_PEEK) || !is_tcp(fd)) return real(fd, to, length, flags);
+    delay();
     if (chance(interrupted)) return fail(EINTR);
     if (fd < MOST_DESCRIPTORS && chance(broken) && !atomic_exchange(&broke[fd], 1)) {
         return fail(draw() & 1 ? ETIMEDOUT : EHOSTUNREACH);
@@ -104,6 +115,7 @@
 ssize_t send(int fd, const void *from, size_t length, int flags) {
     REAL(send);
     if (!is_tcp(fd)) return real(fd, from, length, flags);
+    delay();
     if (chance(interrupted)) return fail(EINTR);
     return real(fd, from, fewer(length, short_write), flags);
 }
@@ -111,6 +123,7 @@
 ssize_t writev(int fd, const struct iovec *from, int count) {
     REAL(writev);
     if (!is_tcp(fd)) return real(fd, from, count);
+    delay();
     if (chance(interrupted)) return fail(EINTR);
     if (count > 0 && from[0].iov_len > 0 && chance(short_write)) {
         struct iovec first = {from[0].iov_base, fewer(from[0].iov_len, 1000)};
@@ -119,9 +132,19 @@
     return real(fd, from, count);
 }
 
+int listen(int fd, int backlog) {
+    REAL(listen);
+    if (is_tcp(fd) && defer_accept_s > 0) {
+        int seconds = (int)defer_accept_s;
+        setsockopt(fd, IPPROTO_TCP, TCP_DEFER_ACCEPT, &seconds, sizeof seconds);
+    }
+    return real(fd, backlog);
+}
+
 int accept4(int fd, struct sockaddr *from, socklen_t *size, int flags) {
     static const int kinds[] = {ECONNABORTED, ENFILE, ENOBUFS, EMFILE};
     REAL(accept4);
+    delay();
     if (chance(interrupted)) return fail(EINTR);
     if (chance(accept_fails)) return fail(kinds[atomic_fetch_add(&turn, 1) % 4]);
     int made = real(fd, from, size, flags);
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -24,6 +24,10 @@
     pub connects: u32,
     /// Reads fail with ETIMEDOUT or EHOSTUNREACH.
     pub broken: u32,
+    /// Microseconds by which each read, write and accept of a TCP socket takes longer.
+    pub slow_us: u32,
+    /// Listeners complete a handshake only when the client's first bytes arrive, or after this many seconds.
+    pub defer_accept_s: u32,
     /// Number of first calls of `socket` for IPv4 that fail.
     pub first_sockets: u32,
     /// Number of first calls of `bind` that fail.
@@ -43,6 +47,8 @@
             ("SHIM_ACCEPT", i64::from(self.accepts)),
             ("SHIM_CONNECT", i64::from(self.connects)),
             ("SHIM_BROKEN", i64::from(self.broken)),
+            ("SHIM_SLOW_US", i64::from(self.slow_us)),
+            ("SHIM_DEFER_ACCEPT_S", i64::from(self.defer_accept_s)),
             ("SHIM_SOCKET_FAILS", i64::from(self.first_sockets)),
             ("SHIM_BIND_FAILS", i64::from(self.first_binds)),
             ("SHIM_CLOCK_STEP_MS", self.wall_clock_ms),
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -2,12 +2,14 @@
 #![allow(dead_code, unused_imports)]
 
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, OnceLock};
 
+use command_fds::{CommandFdExt, FdMapping};
 pub use marldeal_soak::shim::{FailingCalls, Shim};
 pub use marldeal_standin::discovery::{update_line, Discovery};
 pub use marldeal_standin::message::{exchange, read_answer, write_ok, Message};
@@ -23,6 +25,9 @@
 "Bounds":{"MostTries":3,"DialTimeoutMs":250,"Cancelling":true,"MayTell":true},
 "Obligations":{"StartCapacity":0.2,"ColdMs":9000,"FallMultiple":3,"TipAfterMs":2000},"Domain":{"MailPerS":60}}}"#;
 
+/// The descriptor at which a process inherits a listener.
+const INHERITED_DESCRIPTOR: i32 = 3;
+
 /// A running limiter process with a stub discovery agent. Dropping it kills the process and removes its files.
 pub struct Limiter {
     pub addr: SocketAddr,
@@ -210,13 +215,33 @@
         calls: &FailingCalls,
     ) -> Limiter {
         let environment = shim().environment(calls);
-        Limiter::with_environment(servers, alter, 1024, None, &|_| environment.clone())
+        Limiter::with_command(servers, alter, 1024, None, &|command, _| {
+            command.envs(environment.clone());
+        })
+    }
+
+    /// Starts on a listener that the caller holds open as well, with failing system calls.
+    pub fn on_shared_listener(
+        servers: &[(&str, &Stub, &str)],
+        listener: &TcpListener,
+        calls: &FailingCalls,
+    ) -> Limiter {
+        let environment = shim().environment(calls);
+        // The upgrade socket of each process is in a directory of its own, so that none finds a predecessor.
+        let directory = tempfile::tempdir().expect("a directory");
+        Limiter::with_command(servers, |c| c, 1024, None, &|command, _| {
+            let descriptor = OwnedFd::from(listener.try_clone().expect("a descriptor"));
+            let mapping = FdMapping { parent_fd: descriptor, child_fd: INHERITED_DESCRIPTOR };
+            command.fd_mappings(vec![mapping]).expect("one descriptor");
+            command.envs(environment.clone()).env("TMPDIR", directory.path());
+            command.env("ROUTER_ACCEPT_FD", INHERITED_DESCRIPTOR.to_string());
+        })
     }
 
     /// Starts with a configuration file that cannot be opened while the file `while_exists` exists.
     pub fn with_failing_config_open(servers: &[(&str, &Stub, &str)], while_exists: &Path) -> Limiter {
-        Limiter::with_environment(servers, |c| c, 1024, None, &|config| {
-            shim().failing_open(config, while_exists)
+        Limiter::with_command(servers, |c| c, 1024, None, &|command, config| {
+            command.envs(shim().failing_open(config, while_exists));
         })
     }
 
@@ -254,16 +279,17 @@
         descriptors: u32,
         extensions: Option<String>,
     ) -> Limiter {
-        Limiter::with_environment(servers, alter, descriptors, extensions, &|_| Vec::new())
+        Limiter::with_command(servers, alter, descriptors, extensions, &|_, _| {})
     }
 
-    /// Like `new`, with further environment variables, which may depend on the path of the configuration.
-    fn with_environment(
+    /// Like `new`, with further environment variables or descriptors, which may depend on the path of the
+    /// configuration.
+    fn with_command(
         servers: &[(&str, &Stub, &str)],
         alter: impl Fn(String) -> String,
         descriptors: u32,
         extensions: Option<String>,
-        variables: &dyn Fn(&Path) -> Vec<(String, String)>,
+        prepare: &dyn Fn(&mut Command, &Path),
     ) -> Limiter {
         let entries: Vec<_> = servers.iter().map(|(id, stub, state)| (*id, stub.addr, *state)).collect();
         let discovery = Discovery::new(update_line(1, true, &entries));
@@ -275,7 +301,7 @@
         if let Some(path) = &extensions {
             command.arg("--extensions").arg(path);
         }
-        command.envs(variables(&config));
+        prepare(&mut command, &config);
         let process = Process::start(command.env("ROUTER_DISCOVERY", discovery_variable));
         process.wait_log("serves on ");
         let addr = process.logged_addr("serves on ");
