--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -26,6 +26,7 @@
 #![warn(missing_docs)]
 
 pub mod eviction;
+pub mod final_drain;
 pub mod stalls;
 
 use std::fmt;
--- a/marldeal/src/front/answer.rs
+++ b/marldeal/src/front/answer.rs
@@ -54,7 +54,7 @@
         return text_response(status, "");
     }
     let (head, body) = request.into_parts();
-    if client.late {
+    if client.late.get() {
         // The client reads the answer only after it has sent everything.
         let _ = timeout(LATE_REQUEST_TIMEOUT, discard(body)).await;
         if let Some(class) = head::named_class(&driver.config, &client.layout, &head) {
--- a/marldeal/src/front/clients.rs
+++ b/marldeal/src/front/clients.rs
@@ -10,6 +10,7 @@
 
 use bytes::Bytes;
 use marldeal_lifecycle::eviction::{self, Activity, Candidate};
+use marldeal_lifecycle::final_drain::{Facts, FinalDrain, Step};
 use marldeal_lifecycle::{Command, Lifecycle, Phase};
 use marldeal_permit::CloseReason;
 use tokio::net::{TcpListener, TcpStream};
@@ -31,8 +32,9 @@
 const PARTIAL_REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
 /// A connection that stays idle after an answer is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often these timeouts are checked.
+/// How often these timeouts are checked, and how often while idle connections are closed at once.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+const CLOSING_SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 /// Connections beyond the limit that may be open until one has been evicted for each.
 const MAX_PENDING_EVICTIONS: usize = 8;
 /// After a failure for lack of file descriptors, accepting is retried after this delay; an idle connection is
@@ -43,11 +45,6 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Connections that may be open at a time to be refused while this process stops.
 const MAX_LATE_CONNECTIONS: usize = 64;
-/// Before it exits, the process refuses new requests for this long: clients whose request crossed the close of
-/// their connection try again on a new one. Then it blocks new connections, and waits for those accepted by then
-/// until `FINAL_DRAIN_MAX` at most.
-const FINAL_DRAIN_MIN: Duration = Duration::from_millis(100);
-const FINAL_DRAIN_MAX: Duration = Duration::from_millis(700);
 
 /// The open client connections, by number.
 #[derive(Default)]
@@ -62,9 +59,10 @@
     /// Closes connections that have sent nothing, or only part of a request, for too long. A few passes a second
     /// cost less than a timer for each request.
     async fn sweep(&self, driver: &Driver) {
+        let mut closes = false;
         loop {
-            tokio::time::sleep(SWEEP_INTERVAL).await;
-            let closes = driver.with_lifecycle(Lifecycle::closes_idle);
+            tokio::time::sleep(if closes { CLOSING_SWEEP_INTERVAL } else { SWEEP_INTERVAL }).await;
+            closes = driver.with_lifecycle(Lifecycle::closes_idle);
             let idle = if closes { Duration::ZERO } else { IDLE_TIMEOUT };
             for client in self.connections.borrow().values().filter(|c| !c.request_open.get()) {
                 if client.answering.get() {
@@ -74,11 +72,10 @@
                     }
                     continue;
                 }
-                // A partial request is waited for even then: its client may be about to complete it.
-                let timeout = if client.late { LATE_REQUEST_TIMEOUT } else { PARTIAL_REQUEST_TIMEOUT };
+                // A partial request, or the first one, is waited for even then: its client may be about to send it.
+                let timeout = if client.late.get() { LATE_REQUEST_TIMEOUT } else { PARTIAL_REQUEST_TIMEOUT };
                 let timed_out = client.partial_request_since.get().is_some_and(|at| at.elapsed() > timeout);
-                let no_partial_request =
-                    client.partial_request_since.get().is_none() || !client.bytes_seen.get();
+                let no_partial_request = client.partial_request_since.get().is_none();
                 if timed_out {
                     client.request_close(CloseReason::Stalled);
                 } else if no_partial_request && client.last_active.get().elapsed() >= idle {
@@ -97,19 +94,38 @@
             .for_each(|c| c.hand_over.notify_one());
     }
 
+    /// Closes idle connections, and others after the answer that they wait for. Connections on which a request has
+    /// begun are closed after its answer. If the process ends, those that have sent nothing are refused from now on.
+    fn close_gracefully(&self, ends: bool) {
+        for client in self.connections.borrow().values() {
+            if client.partial_request_since.get().is_none() {
+                client.close_gracefully.notify_one();
+            }
+            if ends && client.awaits_first_request() {
+                client.late.set(true);
+            }
+        }
+    }
+
     /// Whether an answer is outstanding, or a connection that has been answered is still open. Connections that
-    /// have not sent a whole request are not waited for: misbehaving clients keep opening new ones, and would
-    /// delay the exit for ever.
+    /// have not sent a whole request, and those that are refused, are not waited for: clients keep opening new
+    /// ones, and would delay the exit for ever.
     fn has_active_connections(&self) -> bool {
         self.connections
             .borrow()
             .values()
-            .any(|c| c.answering.get() || c.partial_request_since.get().is_none())
+            .any(|c| !c.late.get() && (c.answering.get() || c.partial_request_since.get().is_none()))
     }
 
-    /// The number of open connections that came after the process began to refuse new ones.
+    /// The number of open connections whose requests are refused.
     fn late_count(&self) -> usize {
-        self.connections.borrow().values().filter(|c| c.late).count()
+        self.connections.borrow().values().filter(|c| c.late.get()).count()
+    }
+
+    /// The number of connections whose client waits to be refused, or may be about to complete a request.
+    fn unfinished_count(&self) -> usize {
+        let unfinished = |c: &&Rc<Client>| c.late.get() || c.partial_request_since.get().is_some();
+        self.connections.borrow().values().filter(unfinished).count()
     }
 
     /// Closes the least valuable connection. Guards against crowds of clients that hold connections, or send
@@ -161,8 +177,10 @@
     // connection may be that old.
     let mut queued_since = Some(Instant::now());
     tokio::pin!(stop);
-    let (mut stopped, mut closing) = (false, false);
-    let (mut rejection_logged, mut drain_started, mut queue_blocked) = (false, None, false);
+    let mut stopped = false;
+    // Whether idle connections are closed, and if so, whether the process ends.
+    let mut closing: Option<bool> = None;
+    let (mut rejection_logged, mut drain) = (false, FinalDrain::default());
     loop {
         let (phase, accepts) = (driver.phase(), driver.with_lifecycle(Lifecycle::accepts_connections));
         let rejects = driver.with_lifecycle(Lifecycle::rejects_connections);
@@ -188,27 +206,41 @@
         if phase == Phase::HandingOver && clients.successor.is_accepting() {
             clients.hand_over();
         }
-        if closes && !closing {
-            clients.connections.borrow().values().for_each(|c| c.close_gracefully.notify_one());
+        let ends = matches!(phase, Phase::Stopping | Phase::HandingOver);
+        if closes && closing != Some(ends) {
+            clients.close_gracefully(ends);
         }
-        closing = closes;
-        if driver.with_lifecycle(|life, now| {
-            life.may_exit(now, clients.has_active_connections(), !clients.connections.borrow().is_empty())
-        }) {
-            let since = drain_started.get_or_insert_with(Instant::now).elapsed();
-            let Some(drain_listener) = &listener else { return };
-            if since >= FINAL_DRAIN_MIN {
-                if handover.own_listener && !std::mem::replace(&mut queue_blocked, true) {
-                    accept_queue::block_new_connections(drain_listener);
-                }
-                for stream in accept_queue::take_queued(drain_listener) {
-                    connection_id += 1;
-                    open_connection(driver, &clients, connection_id, stream, PriorState::default());
-                }
-                if clients.late_count() == 0 || since >= FINAL_DRAIN_MAX {
-                    return;
-                }
+        closing = closes.then_some(ends);
+        let blocked_listener = listener.as_ref().filter(|_| drain.blocks_connections());
+        let taken = blocked_listener.map(accept_queue::take_queued);
+        let queue_empty = taken.as_ref().is_some_and(|taken| taken.queue_empty);
+        for stream in taken.into_iter().flat_map(|taken| taken.streams) {
+            connection_id += 1;
+            open_connection(driver, &clients, connection_id, stream, PriorState::default());
+        }
+        let facts = driver.with_lifecycle(|life, now| Facts {
+            may_exit: life.may_exit(
+                now,
+                clients.has_active_connections(),
+                !clients.connections.borrow().is_empty(),
+            ),
+            remaining_ms: life.remaining_ms(now),
+            listener_open: listener.is_some(),
+            listener_shared: !handover.own_listener,
+            queue_empty,
+            unfinished_clients: clients.unfinished_count(),
+        });
+        match drain.next_step(driver.now(), &facts) {
+            Step::Exit => return,
+            Step::BlockNewConnections => {
+                listener.iter().for_each(accept_queue::block_new_connections);
+                continue;
+            }
+            Step::CloseListener => {
+                listener = None;
+                continue;
             }
+            Step::Continue => {}
         }
         if !can_accept {
             queued_since.get_or_insert_with(Instant::now);
--- a/marldeal/src/front/connection.rs
+++ b/marldeal/src/front/connection.rs
@@ -64,8 +64,9 @@
     /// The process that takes over this connection, and the signal to check for it.
     pub(super) successor: Rc<SuccessorHandle>,
     pub(super) hand_over: Notify,
-    /// Opened while this process stops: its requests are refused.
-    pub(super) late: bool,
+    /// Its requests are refused: it was opened while this process stops, or had sent nothing when that no longer
+    /// accepted requests.
+    pub(super) late: Cell<bool>,
     /// Selected for eviction.
     pub(super) evicting: Cell<bool>,
     /// Closes the connection between requests.
@@ -96,7 +97,7 @@
             response_consumed: Cell::new(true),
             successor,
             hand_over: Notify::new(),
-            late,
+            late: Cell::new(late),
             evicting: Cell::new(false),
             close_gracefully: Notify::new(),
             close_now: Notify::new(),
@@ -142,6 +143,11 @@
         keep_reason.is_none()
     }
 
+    /// Whether nothing has arrived since the connection was opened.
+    pub(super) fn awaits_first_request(&self) -> bool {
+        self.partial_request_since.get().is_some() && !self.bytes_seen.get()
+    }
+
     /// Asks the connection to close for the given reason.
     pub(super) fn request_close(&self, why: CloseReason) {
         self.close_reason.set(why);
