--- a/crates/soak/shim/failing_calls.c
+++ b/crates/soak/shim/failing_calls.c
@@ -10,6 +10,7 @@
  *   SHIM_BROKEN                         a read fails with ETIMEDOUT or EHOSTUNREACH, once in a connection
  * SHIM_SLOW_US                           each read, write and accept of a TCP socket takes this many microseconds longer
  * SHIM_DEFER_ACCEPT_S                    listeners complete a handshake only with the client's first bytes (TCP_DEFER_ACCEPT)
+ * SHIM_SHORT_SPELL_MS                    reads and writes are short only in every second spell of this many milliseconds
  * SHIM_SOCKET_FAILS and SHIM_BIND_FAILS  number of first calls that fail (ENFILE, ENOBUFS)
  * SHIM_OPEN_PATH, SHIM_OPEN_WHILE        opening the first path fails (ENFILE) while the second file exists
  * SHIM_CLOCK_STEP_MS                     offset of the wall clock; the monotonic clock is exact
@@ -39,7 +40,7 @@
     return text ? atol(text) : 0;
 }
 
-static long short_read, short_write, interrupted, accept_fails, connect_fails, broken, slow_us, defer_accept_s, clock_step_ms;
+static long short_read, short_write, interrupted, accept_fails, connect_fails, broken, short_spell_ms, slow_us, defer_accept_s, clock_step_ms;
 static atomic_long socket_fails, bind_fails;
 static const char *open_path, *open_while;
 static _Atomic uint64_t state;
@@ -53,6 +54,7 @@
     accept_fails = variable("SHIM_ACCEPT");
     connect_fails = variable("SHIM_CONNECT");
     broken = variable("SHIM_BROKEN");
+    short_spell_ms = variable("SHIM_SHORT_SPELL_MS");
     defer_accept_s = variable("SHIM_DEFER_ACCEPT_S");
     slow_us = variable("SHIM_SLOW_US");
     clock_step_ms = variable("SHIM_CLOCK_STEP_MS");
@@ -97,8 +99,17 @@
     static __typeof__(name) *real; \
     if (!real) real = (__typeof__(name) *)dlsym(RTLD_NEXT, #name)
 
+static int is_short(long thousandths) {
+    if (short_spell_ms > 0) {
+        struct timespec at;
+        clock_gettime(CLOCK_MONOTONIC, &at);
+        if ((at.tv_sec * 1000 + at.tv_nsec / 1000000) / short_spell_ms % 2 != 0) return 0;
+    }
+    return chance(thousandths);
+}
+
 static size_t fewer(size_t length, long thousandths) {
-    return length > 1 && chance(thousandths) ? 1 + draw() % (length - 1 > 64 ? 64 : length - 1) : length;
+    return length > 1 && is_short(thousandths) ? 1 + draw() % (length - 1 > 64 ? 64 : length - 1) : length;
 }
 
 ssize_t recv(int fd, void *to, size_t length, int flags) {
@@ -125,7 +136,7 @@
     if (!is_tcp(fd)) return real(fd, from, count);
     delay();
     if (chance(interrupted)) return fail(EINTR);
-    if (count > 0 && from[0].iov_len > 0 && chance(short_write)) {
+    if (count > 0 && from[0].iov_len > 0 && is_short(short_write)) {
         struct iovec first = {from[0].iov_base, fewer(from[0].iov_len, 1000)};
         return real(fd, &first, 1);
     }
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -16,6 +16,8 @@
     pub short_reads: u32,
     /// Writes to TCP sockets take fewer bytes than fit.
     pub short_writes: u32,
+    /// Reads and writes are short only in every second spell of this many milliseconds, unless it is 0.
+    pub short_spell_ms: u32,
     /// Reads, writes, accepts and waits fail with EINTR.
     pub interrupted: u32,
     /// Accepts fail with ECONNABORTED, ENFILE, ENOBUFS or EMFILE.
@@ -43,6 +45,7 @@
         let named = [
             ("SHIM_SHORT_READ", i64::from(self.short_reads)),
             ("SHIM_SHORT_WRITE", i64::from(self.short_writes)),
+            ("SHIM_SHORT_SPELL_MS", i64::from(self.short_spell_ms)),
             ("SHIM_EINTR", i64::from(self.interrupted)),
             ("SHIM_ACCEPT", i64::from(self.accepts)),
             ("SHIM_CONNECT", i64::from(self.connects)),
--- a/marldeal/src/front/external.rs
+++ b/marldeal/src/front/external.rs
@@ -34,7 +34,7 @@
 use crate::front::proxy_messages;
 use crate::settings::config::Config;
 use crate::settings::extensions::ExternalProcessor;
-use crate::socket::{IoObserver, ObservedStream};
+use crate::socket::{DrainingStream, IoObserver, ObservedStream};
 
 /// A proxy is asked for more time after it has waited this long: well before Envoy's default timeout of 200 ms.
 const TIMEOUT_EXTENSION_DELAY: Duration = Duration::from_millis(50);
@@ -475,7 +475,7 @@
     type ConnectInfo = TcpConnectInfo;
 
     fn connect_info(&self) -> TcpConnectInfo {
-        self.stream.connect_info()
+        self.stream.0.connect_info()
     }
 }
 
@@ -492,7 +492,7 @@
                         full_logged = false;
                         let _ = stream.set_nodelay(true);
                         let preface_timeout = Some(Box::pin(tokio::time::sleep(PREFACE_TIMEOUT)));
-                        yield Ok(ObservedStream { stream, observer: Proxy { bytes_seen: 0, preface_timeout, _permit: permit }, prefix: bytes::Bytes::new() });
+                        yield Ok(ObservedStream { stream: DrainingStream(stream), observer: Proxy { bytes_seen: 0, preface_timeout, _permit: permit }, prefix: bytes::Bytes::new() });
                     }
                     Err(_) => {
                         if !std::mem::replace(&mut full_logged, true) {
--- a/marldeal/src/management/mod.rs
+++ b/marldeal/src/management/mod.rs
@@ -12,6 +12,7 @@
 use tokio::time::timeout;
 
 use crate::driver::Driver;
+use crate::socket::DrainingStream;
 use line::{Call, Parsed, MAX_LINE_BYTES};
 use tracing::info;
 
@@ -61,7 +62,8 @@
 
 /// Handles one call. Errors are ignored by the caller of this function: they mean that the operator has
 /// disconnected.
-async fn handle_connection(driver: &Driver, mut stream: TcpStream) -> std::io::Result<()> {
+async fn handle_connection(driver: &Driver, stream: TcpStream) -> std::io::Result<()> {
+    let mut stream = DrainingStream(stream);
     let mut bytes = Vec::with_capacity(MAX_LINE_BYTES);
     let answer = loop {
         let mut chunk = [0; MAX_LINE_BYTES];
--- a/marldeal/src/socket.rs
+++ b/marldeal/src/socket.rs
@@ -1,5 +1,5 @@
-//! A stream that reports reads and writes to an observer, and a socket that can be inspected while another task
-//! owns it.
+//! A stream that reports reads and writes to an observer, a socket that can be inspected while another task owns it,
+//! and a stream that is read and written until it would block.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -39,19 +39,19 @@
 
 /// A socket that other tasks can inspect while its owner reads and writes it, until it is taken out.
 #[derive(Debug, Clone)]
-pub struct SharedSocket(Rc<RefCell<Option<TcpStream>>>);
+pub struct SharedSocket(Rc<RefCell<Option<DrainingStream>>>);
 
 impl SharedSocket {
     /// Shares a socket.
     pub fn new(stream: TcpStream) -> SharedSocket {
-        SharedSocket(Rc::new(RefCell::new(Some(stream))))
+        SharedSocket(Rc::new(RefCell::new(Some(DrainingStream(stream)))))
     }
 
     /// Asks the kernel what is unread at this moment, whether or not the event loop has been notified. Costs
     /// one system call.
     pub fn unread(&self) -> Unread {
         let stream = self.0.borrow();
-        let Some(stream) = &*stream else { return Unread::Closed };
+        let Some(DrainingStream(stream)) = &*stream else { return Unread::Closed };
         loop {
             return match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
                 Ok(0) => Unread::Closed,
@@ -69,30 +69,77 @@
             return true;
         }
         let stream = self.0.borrow();
-        let Some(stream) = &*stream else { return true };
+        let Some(DrainingStream(stream)) = &*stream else { return true };
         let ready = pin!(stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
         matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
     /// Takes the socket out. For all other holders the connection has ended.
     pub fn take(&self) -> Option<TcpStream> {
-        self.0.borrow_mut().take()
+        self.0.borrow_mut().take().map(|stream| stream.0)
     }
 
+    /// Calls `call` with the socket, or fails if it has been taken out.
+    fn poll_open<T>(
+        &self,
+        call: impl FnOnce(Pin<&mut DrainingStream>) -> Poll<io::Result<T>>,
+    ) -> Poll<io::Result<T>> {
+        match &mut *self.0.borrow_mut() {
+            Some(stream) => call(Pin::new(stream)),
+            None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
+        }
+    }
+}
+
+impl AsyncRead for SharedSocket {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        self.poll_open(|s| s.poll_read(cx, buffer))
+    }
+}
+
+impl AsyncWrite for SharedSocket {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+        self.poll_open(|s| s.poll_write(cx, data))
+    }
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        data: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.poll_open(|s| s.poll_write_vectored(cx, data))
+    }
+    fn is_write_vectored(&self) -> bool {
+        self.0.borrow().as_ref().is_some_and(DrainingStream::is_write_vectored)
+    }
+    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.poll_open(|s| s.poll_flush(cx))
+    }
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.poll_open(|s| s.poll_shutdown(cx))
+    }
+}
+
+/// A TCP stream that stays ready until a call reports that it would block. Tokio's own stream takes a transfer of
+/// fewer bytes than requested as a sign that the socket is drained (epoll(7)). That holds on Linux, but not where
+/// calls return short for another reason: there, no further readiness would be reported for the remaining bytes.
+#[derive(Debug)]
+pub struct DrainingStream(pub TcpStream);
+
+impl DrainingStream {
     /// Calls `call` when the socket is ready, and again while it reports that the socket is not ready or the
-    /// call was interrupted. Tokio's own methods take a transfer of fewer bytes than requested as a sign that
-    /// the socket is drained (epoll(7)). That holds on Linux, but not where calls return short for another
-    /// reason: there, no further readiness would be reported for the remaining bytes.
+    /// call was interrupted.
     fn poll_io<T>(
         &self,
         mut poll_ready: impl FnMut(&TcpStream) -> Poll<io::Result<()>>,
         mut call: impl FnMut(&TcpStream) -> io::Result<T>,
     ) -> Poll<io::Result<T>> {
-        let stream = self.0.borrow();
-        let Some(stream) = &*stream else { return Poll::Ready(Err(io::ErrorKind::NotConnected.into())) };
         loop {
-            std::task::ready!(poll_ready(stream))?;
-            match call(stream) {
+            std::task::ready!(poll_ready(&self.0))?;
+            match call(&self.0) {
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 result => return Poll::Ready(result),
             }
@@ -100,7 +147,7 @@
     }
 }
 
-impl AsyncRead for SharedSocket {
+impl AsyncRead for DrainingStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -110,7 +157,7 @@
     }
 }
 
-impl AsyncWrite for SharedSocket {
+impl AsyncWrite for DrainingStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_io(|s| s.poll_write_ready(cx), |s| s.try_write(data))
     }
@@ -122,22 +169,19 @@
         self.poll_io(|s| s.poll_write_ready(cx), |s| s.try_write_vectored(data))
     }
     fn is_write_vectored(&self) -> bool {
-        self.0.borrow().as_ref().is_some_and(TcpStream::is_write_vectored)
+        self.0.is_write_vectored()
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // A TCP socket has no user-space buffer to flush.
-        Poll::Ready(self.0.borrow().as_ref().map(drop).ok_or_else(|| io::ErrorKind::NotConnected.into()))
+        Poll::Ready(Ok(()))
     }
-    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        match &mut *self.0.borrow_mut() {
-            Some(stream) => Pin::new(stream).poll_shutdown(cx),
-            None => Poll::Ready(Err(io::ErrorKind::NotConnected.into())),
-        }
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_shutdown(cx)
     }
 }
 
 /// A stream whose reads and writes are reported to an observer.
-pub struct ObservedStream<T, S = TcpStream> {
+pub struct ObservedStream<T, S = DrainingStream> {
     /// The stream.
     pub stream: S,
     /// Is notified of reads and writes.
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -238,6 +238,19 @@
         })
     }
 
+    /// Starts with a management address, an external processor and failing system calls.
+    pub fn with_all_fronts_and_failing_calls(
+        servers: &[(&str, &Stub, &str)],
+        calls: &FailingCalls,
+    ) -> Limiter {
+        let environment = shim().environment(calls);
+        let with_management = |c: String| c.replacen("{", r#"{"mgmt":"127.0.0.1:0","#, 1);
+        let extensions = "[external_processor]\nlisten = \"127.0.0.1:0\"\n".to_string();
+        Limiter::with_command(servers, with_management, 1024, Some(extensions), &|command, _| {
+            command.envs(environment.clone());
+        })
+    }
+
     /// Starts with a configuration file that cannot be opened while the file `while_exists` exists.
     pub fn with_failing_config_open(servers: &[(&str, &Stub, &str)], while_exists: &Path) -> Limiter {
         Limiter::with_command(servers, |c| c, 1024, None, &|command, config| {
