--- a/crates/standin/src/message.rs
+++ b/crates/standin/src/message.rs
@@ -33,9 +33,8 @@
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
-        if stream.read(&mut byte).ok()? == 0 {
-            return None;
-        }
+        // Retries interrupted calls, which do not end the connection.
+        stream.read_exact(&mut byte).ok()?;
         head.push(byte[0]);
     }
     let mut message = Message { head: String::from_utf8_lossy(&head).into_owned(), ..Message::default() };
