--- a/crates/soak/shim/failing_calls.c
+++ b/crates/soak/shim/failing_calls.c
@@ -10,6 +10,7 @@
  *   SHIM_BROKEN                         a read fails with ETIMEDOUT or EHOSTUNREACH, once in a connection
  * SHIM_SOCKET_FAILS and SHIM_BIND_FAILS  number of first calls that fail (ENFILE, ENOBUFS)
  * SHIM_OPEN_PATH, SHIM_OPEN_WHILE        opening the first path fails (ENFILE) while the second file exists
+ * SHIM_ACCEPT_WHILE                      accept fails (ENFILE) while this file exists
  * SHIM_CLOCK_STEP_MS                     offset of the wall clock; the monotonic clock is exact
  * SHIM_SEED                              seed of the random choices
  */
@@ -37,7 +38,7 @@
 
 static long short_read, short_write, interrupted, accept_fails, connect_fails, broken, clock_step_ms;
 static atomic_long socket_fails, bind_fails;
-static const char *open_path, *open_while;
+static const char *open_path, *open_while, *accept_while;
 static _Atomic uint64_t state;
 static atomic_uint turn;
 static atomic_uchar broke[MOST_DESCRIPTORS];
@@ -54,6 +55,7 @@
     bind_fails = variable("SHIM_BIND_FAILS");
     open_path = getenv("SHIM_OPEN_PATH");
     open_while = getenv("SHIM_OPEN_WHILE");
+    accept_while = getenv("SHIM_ACCEPT_WHILE");
     state = (uint64_t)variable("SHIM_SEED") * 0x9e3779b97f4a7c15u + 1;
 }
 
@@ -123,6 +125,7 @@
     static const int kinds[] = {ECONNABORTED, ENFILE, ENOBUFS, EMFILE};
     REAL(accept4);
     if (chance(interrupted)) return fail(EINTR);
+    if (accept_while && access(accept_while, F_OK) == 0) return fail(ENFILE);
     if (chance(accept_fails)) return fail(kinds[atomic_fetch_add(&turn, 1) % 4]);
     int made = real(fd, from, size, flags);
     if (made >= 0 && made < MOST_DESCRIPTORS) broke[made] = 0;
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -93,6 +93,13 @@
         all
     }
 
+    /// Returns the environment variables that make every accept fail with ENFILE as long as a file exists.
+    pub fn failing_accept(&self, while_exists: &Path) -> Vec<(String, String)> {
+        let mut all = self.environment(&FailingCalls::default());
+        all.push(("SHIM_ACCEPT_WHILE".to_string(), while_exists.display().to_string()));
+        all
+    }
+
     /// Returns the environment variables that make opens of one file fail as long as another file exists.
     pub fn failing_open(&self, path: &Path, while_exists: &Path) -> Vec<(String, String)> {
         let mut all = self.environment(&FailingCalls::default());
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -110,7 +110,7 @@
     content: Rc<RequestContent>,
     answer: oneshot::Sender<Answer>,
     client: SharedSocket,
-    /// When the client was last seen to be connected.
+    /// When the client was last known to be connected; negative infinity if nothing shows that it was.
     connected_at: Cell<f64>,
 }
 
@@ -545,7 +545,7 @@
             self.handle_input(&mut state, Input::Uploading { id });
         }
         let (answer, answered) = oneshot::channel();
-        let connected_at = Cell::new(self.now());
+        let connected_at = Cell::new(self.last_seen_connected(&client));
         state
             .direct_requests
             .insert(id, DirectRequest { content: Rc::new(content), answer, client, connected_at });
--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -98,13 +98,27 @@
         })
     }
 
-    /// Asks the kernel whether a client is still connected: the event loop may not have been notified yet.
+    /// When a client was last known to be connected, on the decision module's clock. These facts prove it:
+    ///
+    /// - a read of its socket that found neither bytes nor a close ([`SharedSocket::seen_open_at`]), which the HTTP
+    ///   server makes behind the last byte of each request, so that a request needs no further system call;
+    /// - the check by [`Driver::check_permission`].
+    ///
+    /// That the request has arrived proves nothing: its bytes and the close may have waited in the kernel together
+    /// while the process was stalled or accepted no connections.
+    pub(super) fn last_seen_connected(&self, client: &SharedSocket) -> f64 {
+        let age_ms = |at: std::time::Instant| at.elapsed().as_secs_f64() * 1000.0;
+        client.seen_open_at().map_or(f64::NEG_INFINITY, |at| self.now() - age_ms(at))
+    }
+
+    /// Asks the kernel whether a client is still connected: the event loop may not have been notified yet, and bytes
+    /// behind the request may precede the close.
     fn check_client(self: &Rc<Self>, id: RequestId) {
         let disconnected = {
             let state = self.state.borrow();
             let Some(request) = state.direct_requests.get(&id) else { return };
             request.connected_at.set(self.now());
-            request.client.unread() == Unread::Closed
+            request.client.remote_closed()
         };
         if disconnected {
             self.client_disconnected(id);
--- a/marldeal/src/socket.rs
+++ b/marldeal/src/socket.rs
@@ -1,17 +1,19 @@
 //! A stream that reports reads and writes to an observer, and a socket that can be inspected while another task
 //! owns it.
 
-use std::cell::RefCell;
-use std::future::Future;
+use std::cell::{Cell, RefCell};
 use std::io;
 use std::mem::MaybeUninit;
-use std::pin::{pin, Pin};
+use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, Waker};
+use std::task::{Context, Poll};
+use std::time::Instant;
 
 use bytes::Bytes;
+use rustix::event::{poll, PollFd, PollFlags, Timespec};
+use rustix::io::Errno;
 use socket2::SockRef;
-use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
 /// Receives the events of an [`ObservedStream`].
@@ -39,12 +41,12 @@
 
 /// A socket that other tasks can inspect while its owner reads and writes it, until it is taken out.
 #[derive(Debug, Clone)]
-pub struct SharedSocket(Rc<RefCell<Option<TcpStream>>>);
+pub struct SharedSocket(Rc<RefCell<Option<TcpStream>>>, Rc<Cell<Option<Instant>>>);
 
 impl SharedSocket {
     /// Shares a socket.
     pub fn new(stream: TcpStream) -> SharedSocket {
-        SharedSocket(Rc::new(RefCell::new(Some(stream))))
+        SharedSocket(Rc::new(RefCell::new(Some(stream))), Rc::default())
     }
 
     /// Asks the kernel what is unread at this moment, whether or not the event loop has been notified. Costs
@@ -63,15 +65,27 @@
         }
     }
 
-    /// Whether the remote side has stopped sending, even if bytes that it sent before are still unread.
+    /// Asks the kernel whether the remote side has closed or reset the connection, or has stopped sending, even if
+    /// bytes that it sent before are still unread, and whether or not the event loop has been notified. Costs one
+    /// system call.
     pub fn remote_closed(&self) -> bool {
-        if self.unread() == Unread::Closed {
-            return true;
-        }
         let stream = self.0.borrow();
         let Some(stream) = &*stream else { return true };
-        let ready = pin!(stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
-        matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
+        let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
+        loop {
+            match poll(&mut polled, Some(&Timespec::default())) {
+                Ok(ready) => return ready > 0,
+                Err(Errno::INTR) => {}
+                Err(_) => return true,
+            }
+        }
+    }
+
+    /// When a read last found nothing unread and no close, which proves that the remote side was connected then.
+    /// A read that returned bytes proves nothing, since a close may lie behind them, and neither does a read that
+    /// was not tried because the event loop has reported nothing.
+    pub fn seen_open_at(&self) -> Option<Instant> {
+        self.1.get()
     }
 
     /// Takes the socket out. For all other holders the connection has ended.
@@ -106,7 +120,16 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.poll_io(|s| s.poll_read_ready(cx), |s| s.try_read_buf(buffer).map(drop))
+        self.poll_io(
+            |s| s.poll_read_ready(cx),
+            |s| {
+                let read = s.try_read_buf(buffer);
+                if read.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock) {
+                    self.1.set(Some(Instant::now()));
+                }
+                read.map(drop)
+            },
+        )
     }
 }
 
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -220,6 +220,16 @@
         })
     }
 
+    /// Starts with an altered configuration, and accepts no connection while the file `while_exists` exists.
+    pub fn with_failing_accept(
+        servers: &[(&str, &Stub, &str)],
+        alter: impl Fn(String) -> String,
+        while_exists: &Path,
+    ) -> Limiter {
+        let environment = shim().failing_accept(while_exists);
+        Limiter::with_environment(servers, alter, 1024, None, &|_| environment.clone())
+    }
+
     /// Starts with an altered configuration and an external processor; `extension` holds its settings besides
     /// `listen`.
     pub fn with_external_processor(
