--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -18,6 +18,8 @@
 /// and how often to look.
 const LIST_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Bytes that arrived during a stall are read within this time after it, in milliseconds.
+const MAX_READ_DELAY_MS: f64 = 100.0;
 /// Turns of the event loop after which the bytes read from the watch's socket have been handled.
 const LIST_WAIT_YIELDS: usize = 3;
 
@@ -105,12 +107,21 @@
     /// - the check by [`Driver::check_permission`].
     ///
     /// That the request has arrived proves nothing: its bytes and the close may have waited in the kernel together
-    /// while the process was stalled or accepted no connections.
+    /// while the process was stalled or accepted no connections. Nor does a check prove anything of a client whose
+    /// body is still arriving and whose socket holds unread bytes: the close may be queued at the client's system
+    /// behind bytes for which this one has no room. The front looks for that where bytes may have waited.
     pub(super) fn last_seen_connected(&self, client: &SharedSocket) -> f64 {
         let age_ms = |at: std::time::Instant| at.elapsed().as_secs_f64() * 1000.0;
         client.seen_open_at().map_or(f64::NEG_INFINITY, |at| self.now() - age_ms(at))
     }
 
+    /// Whether bytes that were read since `began` may have waited for this process, because it was stalled then or
+    /// shortly before.
+    pub fn stalled_since(&self, began: f64) -> bool {
+        let stall_end = self.stall_detector.borrow_mut().last_stall_end(self.now());
+        stall_end.is_some_and(|stall_end| stall_end + MAX_READ_DELAY_MS >= began)
+    }
+
     /// Asks the kernel whether a client is still connected: the event loop may not have been notified yet, and bytes
     /// behind the request may precede the close.
     fn check_client(self: &Rc<Self>, id: RequestId) {
--- a/marldeal/src/front/answer.rs
+++ b/marldeal/src/front/answer.rs
@@ -19,7 +19,7 @@
 use crate::front::connection::Client;
 use crate::front::head;
 use crate::payload::{self, Payload, ReceiveError, ResponseBody};
-use crate::socket::SharedSocket;
+use crate::socket::{SharedSocket, Unread};
 
 /// How long a request that arrives while this process stops may take to be read before it is refused.
 pub(super) const LATE_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
@@ -28,6 +28,11 @@
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// How long to wait for a close that may follow bytes which the client's system has not sent yet, and how often to
+/// look.
+const CLOSE_ARRIVAL_TIMEOUT: Duration = Duration::from_millis(50);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
 /// Notifies the driver of a disconnect when the client's connection ends before the answer.
 struct DisconnectGuard<'a> {
     driver: &'a Rc<Driver>,
@@ -47,6 +52,7 @@
     socket: &SharedSocket,
     request: hyper::Request<Incoming>,
 ) -> Response<ResponseBody> {
+    let began = driver.now();
     // Bytes that arrive from here on, except this request's body, belong to the next request.
     client.partial_request_since.set(None);
     if request.uri().path() == "/-/ready" {
@@ -104,6 +110,23 @@
     if head.method == Method::GET && !empty {
         return rejection(StatusCode::BAD_REQUEST, "a GET has no body");
     }
+    // Bytes that waited, and a body that goes on: the close may be behind bytes that have not been read.
+    if let Payload::Streamed(pipe) = &body {
+        if delay_ms > 0.0 || driver.stalled_since(began) {
+            match presence_behind_unread(socket).await {
+                Presence::Connected => {}
+                Presence::Disconnected => return rejection(StatusCode::BAD_REQUEST, "its client has left"),
+                Presence::Unknown => {
+                    driver.update_counters(|counters| {
+                        counters.record_answered_locally(parsed.request.class, RequestOutcome::Declined)
+                    });
+                    let sent_all = pipe.discard_rest().await;
+                    let answer = refusal(0.0);
+                    return if sent_all { answer } else { closing(answer) };
+                }
+            }
+        }
+    }
     let pipe = match &body {
         Payload::Streamed(pipe) => Some(pipe.clone()),
         Payload::Buffered { .. } => None,
@@ -162,6 +185,34 @@
     answer
 }
 
+/// What is known of the client whose body is still arriving.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Presence {
+    /// Everything that it has sent has been read, and it has not closed.
+    Connected,
+    /// It has closed.
+    Disconnected,
+    /// Bytes are unread, and a close may follow them that could not arrive yet for lack of room in the socket.
+    Unknown,
+}
+
+/// Waits until a close has arrived that the client may have made behind unread bytes. The bytes are not read.
+async fn presence_behind_unread(socket: &SharedSocket) -> Presence {
+    let deadline = Instant::now() + CLOSE_ARRIVAL_TIMEOUT;
+    loop {
+        if socket.remote_closed() {
+            return Presence::Disconnected;
+        }
+        if socket.unread() == Unread::Nothing {
+            return Presence::Connected;
+        }
+        if Instant::now() >= deadline {
+            return Presence::Unknown;
+        }
+        tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
+    }
+}
+
 /// Reads and drops a body. Closing a socket with unread bytes would cause a reset, which could destroy the answer.
 async fn discard(mut body: Incoming) {
     let mut discarded = 0;
@@ -192,7 +243,11 @@
 
 /// Answers a request that cannot be accepted. Its body may be unread, so the connection is closed.
 fn rejection(status: StatusCode, why: &'static str) -> Response<ResponseBody> {
-    let mut answer = text_response(status, why);
+    closing(text_response(status, why))
+}
+
+/// Marks an answer as the last one on its connection.
+fn closing(mut answer: Response<ResponseBody>) -> Response<ResponseBody> {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
--- a/marldeal/src/front/clients.rs
+++ b/marldeal/src/front/clients.rs
@@ -234,6 +234,7 @@
                 // Out of file descriptors: queued connections are accepted a little later, and if the shortage
                 // lasts, an idle connection is evicted.
                 Err(e) => {
+                    queued_since.get_or_insert_with(Instant::now);
                     let since = *accept_failing_since.get_or_insert_with(|| {
                         info!(event = "accept", "accept: {e}");
                         Instant::now()
--- a/marldeal/tests/departed/judge.rs
+++ b/marldeal/tests/departed/judge.rs
@@ -18,6 +18,8 @@
     KeptConnection,
     /// The head was read before the stop; the body and the close follow during it.
     LateBody,
+    /// The body is too long to be buffered, so that its first attempt begins while it is being read.
+    StreamedBody,
     /// Several requests at once, and a close behind them.
     Pipelined,
     /// The connection passes to a successor process, which is stopped.
--- a/marldeal/tests/departed_clients.rs
+++ b/marldeal/tests/departed_clients.rs
@@ -373,6 +373,71 @@
     }
 }
 
+/// A request of the unsafe class whose body of this many bytes has a length or is sent in one chunk.
+fn long_request(id: &str, bytes: usize, chunked: bool) -> String {
+    let (head, _) = request(if chunked { Form::Chunked } else { Form::Length }, id);
+    let body = "x".repeat(bytes);
+    match chunked {
+        true => format!("{head}{bytes:x}\r\n{body}\r\n0\r\n\r\n"),
+        false => head.replace("Content-Length: 5", &format!("Content-Length: {bytes}")) + &body,
+    }
+}
+
+/// Bodies that are longer than the share of one request in the least memory that is accepted, during a stall and
+/// while accepting fails. Clients that stay are served, or are refused without an attempt.
+#[test]
+fn long_body_and_close_during_a_stall() {
+    let mut record = Record::new(Path::StreamedBody);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let addr = listener.local_addr().expect("an address");
+    serve_on(listener, record.attempts.clone());
+    let files = TempDir::new().expect("a directory");
+    let blocked = files.path().join("no-accept");
+    let with_little_memory =
+        |c: String| with_unsafe_class(c).replace(r#""memory_mb":192"#, r#""memory_mb":20"#);
+    let limiter = Limiter::with_failing_accept(&[], with_little_memory, &blocked);
+    limiter.discovery.push(&update_line(2, true, &[("s-1", addr, "active")]));
+    wait_for("readiness", || ready(&limiter) == 200);
+    let mut refused = 0;
+    while record.wants_more() {
+        let play = |record: &mut Record| {
+            for ending in ENDINGS {
+                for (bytes, chunked) in
+                    [(460_000, false), (500_000, false), (600_000, false), (500_000, true)]
+                {
+                    let (id, mut client) = (record.next_id(), connect(limiter.addr));
+                    client.write_all(long_request(&id, bytes, chunked).as_bytes()).expect("write");
+                    record.leave(client, ending, [id]);
+                }
+            }
+            let (id, mut staying) = (record.next_id(), connect(limiter.addr));
+            staying.write_all(long_request(&id, 600_000, false).as_bytes()).expect("write");
+            (Control::new(connect(limiter.addr), &record.next_id()), staying, id)
+        };
+        let (control, mut staying, id) = match record.batch() % 2 {
+            0 => while_stopped(&limiter, record.stall(), || play(&mut record)),
+            _ => {
+                std::fs::write(&blocked, "").expect("a file");
+                std::thread::sleep(SETTLING_TIME);
+                let played = play(&mut record);
+                std::thread::sleep(Duration::from_millis(500));
+                std::fs::remove_file(&blocked).expect("the file exists");
+                played
+            }
+        };
+        control.assert_served();
+        match read_answer(&mut staying).status {
+            429 => {
+                refused += 1;
+                assert!(!record.attempts.has_begun(&id), "a refused request was not sent");
+            }
+            status => assert_eq!(status, 200),
+        }
+    }
+    eprintln!("{refused} clients that stayed were refused");
+    record.assert_passes();
+}
+
 /// A server whose accept queue is full: connections are established when the queue has space and the SYN is sent
 /// again, one second after the first.
 #[test]
