--- a/marldeal/tests/departed_clients.rs
+++ b/marldeal/tests/departed_clients.rs
@@ -33,6 +33,9 @@
     TcpStream::connect(addr).expect("connect")
 }
 
+/// Lengths of whole requests that one read fills exactly, with its neighbours, or that two reads fill.
+const READ_SIZES: [usize; 4] = [8191, 8192, 8193, 16384];
+
 /// Clients that connect, write a whole request and close; the last one stays.
 fn send_and_leave(record: &mut Record, addr: SocketAddr) -> Control {
     for (form, ending) in forms_and_endings() {
@@ -40,6 +43,12 @@
         client.write_all((text(form, &id) + record.further()).as_bytes()).expect("write");
         record.leave(client, ending, [id]);
     }
+    for total in READ_SIZES {
+        let (id, mut client) = (record.next_id(), connect(addr));
+        let head_bytes = long_request(&id, total, false).len() - total;
+        client.write_all(long_request(&id, total - head_bytes, false).as_bytes()).expect("write");
+        record.leave(client, Ending::Close, [id]);
+    }
     Control::new(connect(addr), &record.next_id())
 }
 
