--- a/marldeal/src/management/mod.rs
+++ b/marldeal/src/management/mod.rs
@@ -63,7 +63,7 @@
 /// Handles one call. Errors are ignored by the caller of this function: they mean that the operator has
 /// disconnected.
 async fn handle_connection(driver: &Driver, stream: TcpStream) -> std::io::Result<()> {
-    let mut stream = DrainingStream(stream);
+    let mut stream = DrainingStream::new(stream);
     let mut bytes = Vec::with_capacity(MAX_LINE_BYTES);
     let answer = loop {
         let mut chunk = [0; MAX_LINE_BYTES];
--- a/marldeal/src/socket.rs
+++ b/marldeal/src/socket.rs
@@ -1,17 +1,19 @@
 //! A stream that reports reads and writes to an observer, a socket that can be inspected while another task owns it,
 //! and a stream that is read and written until it would block.
 
-use std::cell::RefCell;
-use std::future::Future;
+use std::cell::{Cell, RefCell};
 use std::io;
 use std::mem::MaybeUninit;
-use std::pin::{pin, Pin};
+use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll, Waker};
+use std::task::{Context, Poll};
+use std::time::Instant;
 
 use bytes::Bytes;
+use rustix::event::{poll, PollFd, PollFlags, Timespec};
+use rustix::io::Errno;
 use socket2::SockRef;
-use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
 /// Receives the events of an [`ObservedStream`].
@@ -44,14 +46,14 @@
 impl SharedSocket {
     /// Shares a socket.
     pub fn new(stream: TcpStream) -> SharedSocket {
-        SharedSocket(Rc::new(RefCell::new(Some(DrainingStream(stream)))))
+        SharedSocket(Rc::new(RefCell::new(Some(DrainingStream::new(stream)))))
     }
 
     /// Asks the kernel what is unread at this moment, whether or not the event loop has been notified. Costs
     /// one system call.
     pub fn unread(&self) -> Unread {
         let stream = self.0.borrow();
-        let Some(DrainingStream(stream)) = &*stream else { return Unread::Closed };
+        let Some(DrainingStream { stream, .. }) = &*stream else { return Unread::Closed };
         loop {
             return match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
                 Ok(0) => Unread::Closed,
@@ -63,20 +65,32 @@
         }
     }
 
-    /// Whether the remote side has stopped sending, even if bytes that it sent before are still unread.
+    /// Asks the kernel whether the remote side has closed or reset the connection, or has stopped sending, even if
+    /// bytes that it sent before are still unread, and whether or not the event loop has been notified. Costs one
+    /// system call.
     pub fn remote_closed(&self) -> bool {
-        if self.unread() == Unread::Closed {
-            return true;
-        }
         let stream = self.0.borrow();
-        let Some(DrainingStream(stream)) = &*stream else { return true };
-        let ready = pin!(stream.ready(Interest::READABLE)).poll(&mut Context::from_waker(Waker::noop()));
-        matches!(ready, Poll::Ready(Ok(ready)) if ready.is_read_closed())
+        let Some(DrainingStream { stream, .. }) = &*stream else { return true };
+        let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
+        loop {
+            match poll(&mut polled, Some(&Timespec::default())) {
+                Ok(ready) => return ready > 0,
+                Err(Errno::INTR) => {}
+                Err(_) => return true,
+            }
+        }
+    }
+
+    /// When a read last found nothing unread and no close, which proves that the remote side was connected then.
+    /// A read that returned bytes proves nothing, since a close may lie behind them, and neither does a read that
+    /// was not tried because the event loop has reported nothing.
+    pub fn seen_open_at(&self) -> Option<Instant> {
+        self.0.borrow().as_ref().and_then(|stream| stream.seen_open_at.get())
     }
 
     /// Takes the socket out. For all other holders the connection has ended.
     pub fn take(&self) -> Option<TcpStream> {
-        self.0.borrow_mut().take().map(|stream| stream.0)
+        self.0.borrow_mut().take().map(|taken| taken.stream)
     }
 
     /// Calls `call` with the socket, or fails if it has been taken out.
@@ -127,9 +141,32 @@
 /// fewer bytes than requested as a sign that the socket is drained (epoll(7)). That holds on Linux, but not where
 /// calls return short for another reason: there, no further readiness would be reported for the remaining bytes.
 #[derive(Debug)]
-pub struct DrainingStream(pub TcpStream);
+pub struct DrainingStream {
+    stream: TcpStream,
+    /// When a read last found nothing unread and no close.
+    seen_open_at: Cell<Option<Instant>>,
+}
 
 impl DrainingStream {
+    /// Wraps a stream.
+    pub fn new(stream: TcpStream) -> DrainingStream {
+        DrainingStream { stream, seen_open_at: Cell::new(None) }
+    }
+
+    /// The wrapped stream.
+    pub fn get_ref(&self) -> &TcpStream {
+        &self.stream
+    }
+
+    /// Reads, and notes when there was nothing to read.
+    fn try_read(&self, buffer: &mut ReadBuf<'_>) -> io::Result<()> {
+        let read = self.stream.try_read_buf(buffer);
+        if read.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock) {
+            self.seen_open_at.set(Some(Instant::now()));
+        }
+        read.map(drop)
+    }
+
     /// Calls `call` when the socket is ready, and again while it reports that the socket is not ready or the
     /// call was interrupted.
     fn poll_io<T>(
@@ -138,8 +175,8 @@
         mut call: impl FnMut(&TcpStream) -> io::Result<T>,
     ) -> Poll<io::Result<T>> {
         loop {
-            std::task::ready!(poll_ready(&self.0))?;
-            match call(&self.0) {
+            std::task::ready!(poll_ready(&self.stream))?;
+            match call(&self.stream) {
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 result => return Poll::Ready(result),
             }
@@ -153,7 +190,7 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.poll_io(|s| s.poll_read_ready(cx), |s| s.try_read_buf(buffer).map(drop))
+        self.poll_io(|s| s.poll_read_ready(cx), |_| self.try_read(buffer))
     }
 }
 
@@ -169,14 +206,14 @@
         self.poll_io(|s| s.poll_write_ready(cx), |s| s.try_write_vectored(data))
     }
     fn is_write_vectored(&self) -> bool {
-        self.0.is_write_vectored()
+        self.stream.is_write_vectored()
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // A TCP socket has no user-space buffer to flush.
         Poll::Ready(Ok(()))
     }
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0).poll_shutdown(cx)
+        Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
 
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -261,6 +261,18 @@
         })
     }
 
+    /// Starts with an altered configuration, and accepts no connection while the file `while_exists` exists.
+    pub fn with_failing_accept(
+        servers: &[(&str, &Stub, &str)],
+        alter: impl Fn(String) -> String,
+        while_exists: &Path,
+    ) -> Limiter {
+        let environment = shim().failing_accept(while_exists);
+        Limiter::with_command(servers, alter, 1024, None, &|command, _| {
+            command.envs(environment.clone());
+        })
+    }
+
     /// Starts with an altered configuration and an external processor; `extension` holds its settings besides
     /// `listen`.
     pub fn with_external_processor(
