--- a/crates/bench/src/harness.rs
+++ b/crates/bench/src/harness.rs
@@ -3,7 +3,8 @@
 use fawnhill::{Class, Condition, Effect, KeyGroup, Outcome, Plan, Request, ServerEntry, Settings};
 use marldeal_engine::{Engine, Input, Output};
 
-fn settings(rate: f64, max_customers: u32) -> Settings {
+/// Settings of a limiter with one class and one plan.
+pub fn settings(rate: f64, max_customers: u32) -> Settings {
     Settings {
         limiters: 1,
         position: 0,
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -7,8 +7,10 @@
 mod direct;
 mod external;
 mod harness;
+mod outage;
 mod process;
 mod propagation;
+mod refusals;
 mod slopes;
 
 use std::path::PathBuf;
@@ -49,6 +51,8 @@
     Told(propagation::Options),
     /// Measures the eviction of a million customers from the engine's table, without sockets.
     Passes,
+    /// Measures the engine's CPU time per refused and per served request by number of servers, without sockets.
+    Refusals(refusals::Options),
     /// Baseline of `external`, which starts it.
     #[command(hide = true)]
     Echo,
@@ -72,6 +76,7 @@
             customers::run_passes();
             Ok(())
         }
+        Command::Refusals(options) => refusals::run(&options),
         Command::Echo => external::run_echo(),
         Command::Pass { node } => direct::run_proxy(node),
     };
