--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -258,6 +258,8 @@
     attempts: HashMap<(RequestId, u32), Attempt>,
     /// Whether each server of the list accepts new requests.
     servers: HashMap<ServerId, bool>,
+    /// Number of servers that accept new requests.
+    accepting: usize,
     next_id: RequestId,
     counters: RequestCounters,
     peer_history: fault_injection::PeerHistory,
@@ -280,6 +282,7 @@
             open_correlation_ids: HashSet::new(),
             attempts: HashMap::new(),
             servers: HashMap::new(),
+            accepting: 0,
             next_id: 0,
             peer_history: fault_injection::PeerHistory::default(),
         })
@@ -366,7 +369,7 @@
 
     /// Returns whether any server of the list accepts new requests.
     pub fn has_servers(&self) -> bool {
-        self.servers.values().any(|accepts| *accepts)
+        self.accepting > 0
     }
 
     /// Returns whether a request could be served: a server accepts requests, and the decision module is ready to admit
@@ -431,15 +434,16 @@
     fn update_servers(&mut self, whole: bool, entries: Arc<[ServerEntry]>) {
         if whole {
             self.servers.clear();
+            self.accepting = 0;
         }
         for entry in entries.iter() {
-            match entry.condition {
-                Condition::Gone => drop(self.servers.remove(&entry.server)),
-                condition => {
-                    let accepts = condition == Condition::Serving;
-                    self.servers.insert(entry.server.clone(), accepts);
-                }
-            }
+            let accepts = entry.condition == Condition::Serving;
+            let accepted = match entry.condition {
+                Condition::Gone => self.servers.remove(&entry.server),
+                _ => self.servers.insert(entry.server.clone(), accepts),
+            };
+            self.accepting += usize::from(accepts);
+            self.accepting -= usize::from(accepted == Some(true));
         }
         self.events.push_back(Event::Servers { whole, entries });
     }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -355,3 +355,27 @@
         assert_eq!(engine.open_requests(), 0);
     }
 }
+
+/// The engine knows whether any server accepts requests through all changes of the list, also when an entry is repeated
+/// or an unknown server leaves.
+#[test]
+fn servers_that_accept_requests_are_known_through_all_changes() {
+    let (mut engine, mut out) = engine();
+    let (serving, draining, gone) = (Condition::Serving, Condition::Draining, Condition::Gone);
+    let changes = [
+        (true, vec![], false),
+        (false, vec![(1, serving), (1, serving)], true),
+        (false, vec![(1, draining)], false),
+        (false, vec![(1, draining), (2, serving)], true),
+        (false, vec![(3, gone), (2, gone)], false),
+        (false, vec![(1, serving), (2, serving), (1, gone)], true),
+        (true, vec![(1, draining), (2, draining)], false),
+        (true, vec![(2, serving), (2, draining), (2, serving)], true),
+        (true, vec![(4, gone)], false),
+    ];
+    for (n, (whole, entries, expected)) in changes.into_iter().enumerate() {
+        let entries = entries.iter().map(|(server, condition)| entry(*server, *condition)).collect();
+        engine.handle(n as f64, Input::Servers { whole, entries }, &mut out);
+        assert_eq!(engine.has_servers(), expected, "after change {n}");
+    }
+}
