--- a/marldeal/tests/capacity.rs
+++ b/marldeal/tests/capacity.rs
@@ -51,6 +51,23 @@
     }
 }
 
+/// Without arguments, the first table of the page is printed, also outside the source tree.
+#[test]
+fn table_of_the_page_is_printed_without_arguments() {
+    let dir = tempfile::tempdir().expect("a directory");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_marldeal"));
+    let bare = command.current_dir(dir.path()).arg("capacity").output().expect("the program starts");
+    assert!(bare.status.success(), "{}", text(&bare.stderr));
+    let full = table("deploy/size/one-tier-a-service.toml", &["--prefetch"]);
+    assert!(text(&full.stdout).starts_with("| role | what | need | bound |"));
+    assert_eq!(text(&bare.stdout), text(&full.stdout));
+    // A size needs slopes, and slopes need a size.
+    for half in [["--size", "deploy/size/two-years.toml"], ["--slopes", SLOPES[0]]] {
+        let output = marldeal(&[&["capacity"][..], &half[..]].concat());
+        assert_eq!(output.status.code(), Some(2), "{}", text(&output.stderr));
+    }
+}
+
 #[test]
 fn report_shows_each_resource_with_its_bound() {
     let dir = tempfile::tempdir().expect("a directory");
