--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -33,5 +33,6 @@
 pub mod server_model;
 pub mod shrink;
 pub mod size;
+pub mod slow_start;
 pub mod trials;
 pub mod world;
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -494,6 +494,37 @@
 }
 
 impl Trouble {
+    /// A fault without any of the optional keys.
+    pub fn new(what: What, at_s: f64, for_s: f64) -> Trouble {
+        Trouble {
+            what,
+            at_s,
+            for_s,
+            nodes: None,
+            node_share: None,
+            limiters: None,
+            limiter_share: None,
+            from: None,
+            to: None,
+            groups: None,
+            late_ms: None,
+            stumbles: None,
+            discovery: None,
+            moment: None,
+            building: None,
+            region: None,
+            plan: None,
+            times: None,
+            share: None,
+            firms: None,
+            per_s: None,
+            after_s: None,
+            every_s: None,
+            length_s: None,
+            down_s: None,
+        }
+    }
+
     /// Whether a fault of connections applies to those to discovery.
     pub fn targets_discovery(&self) -> bool {
         self.discovery == Some(true)
--- a/crates/rehearsal/src/server_model.rs
+++ b/crates/rehearsal/src/server_model.rs
@@ -165,6 +165,11 @@
         }
     }
 
+    /// Keeps the server from failing under overload in slow start.
+    pub fn disable_overload_failure(&mut self) {
+        self.parameters.fall_ms = 0.0;
+    }
+
     /// The parameters of the server.
     pub fn parameters(&self) -> &ServerParameters {
         &self.parameters
--- a/crates/rehearsal/src/world/attempts.rs
+++ b/crates/rehearsal/src/world/attempts.rs
@@ -127,6 +127,7 @@
             let started = m.model.started();
             self.limiters[limiter].known_servers[server].started >= started && started > 0.0
         };
+        self.judge_arrival(server, limiter, sender_notified, work);
         let repeat =
             self.servers[server].model.running() && self.oracle.attempt_arrived(self.now, job, class);
         let work = if repeat { REPEAT_WORK_MS } else { work };
@@ -152,6 +153,17 @@
         }
     }
 
+    /// Reports a request that reached a running server to the judge of slow starts.
+    fn judge_arrival(&mut self, server: usize, limiter: usize, sender_notified: bool, work: Millis) {
+        if !self.servers[server].model.running() {
+            return;
+        }
+        let requests = work / self.scenario.mean(|class| class.work_ms);
+        if let Some(judge) = &mut self.slow_start {
+            judge.request_arrived(self.now, server, limiter, sender_notified, requests);
+        }
+    }
+
     /// A limiter stops one of its attempts.
     pub(super) fn stop_attempt(&mut self, limiter: usize, id: RequestId, attempt: u32, reason: Outcome) {
         let Some(key) = self.limiters[limiter].attempts.get(&(id, attempt)).copied() else { return };
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -31,6 +31,7 @@
 use crate::rules::{Oracle, TokenBucket};
 use crate::scenario::{Repeats, Scenario, Trouble, What};
 use crate::server_model::{Cancellation, Completion, Job, Rejection, ServerModel};
+use crate::slow_start;
 
 /// Time on the world's clock at which a scenario begins. It is above 0 because limiters treat a time of 0 as unset.
 pub const BEGIN_MS: Millis = 10_000_000.0;
@@ -68,6 +69,7 @@
     FaultEnds { fault: usize },
     FaultStep { fault: usize, on: bool },
     ServerExits { server: usize },
+    ServerStarts { server: usize },
     LimiterCloses { limiter: usize, epoch: u32, down_ms: Millis },
     LimiterKilled { limiter: usize, epoch: u32, down_ms: Millis },
     LimiterStarts { limiter: usize },
@@ -135,6 +137,8 @@
     /// Incremented whenever the next completion is rescheduled; due events of an earlier generation are ignored.
     generation: u32,
     condition: Condition,
+    /// Its size in the server list.
+    weight: f64,
     /// Packets to and from the server are lost.
     silent: bool,
     /// Share of requests answered with an error.
@@ -217,6 +221,7 @@
     actions: Vec<ClientAction>,
     completions: Vec<Completion>,
     output_hook: Option<OutputHook>,
+    slow_start: Option<slow_start::Judge>,
     /// Time that the limiters took for their decisions, if measured.
     decision_time: Option<std::time::Duration>,
 }
@@ -233,6 +238,8 @@
     pub seconds: Vec<Second>,
     /// Real time that the limiters took for their decisions; `None` unless [`World::with_decision_time`] was called.
     pub decision_time: Option<std::time::Duration>,
+    /// What cold servers received; `None` unless [`World::with_slow_start_judge`] was called.
+    pub slow_start: Option<slow_start::Findings>,
 }
 
 impl World {
@@ -261,6 +268,7 @@
                 zone: n as u32 % scenario.buildings,
                 generation: 0,
                 condition: Condition::Serving,
+                weight: 1.0,
                 silent: false,
                 errors: 0.0,
                 resets: 0.0,
@@ -316,6 +324,7 @@
             actions: Vec::new(),
             completions: Vec::new(),
             output_hook: None,
+            slow_start: None,
             decision_time: None,
             scenario: scenario.clone(),
         };
@@ -354,6 +363,40 @@
         self
     }
 
+    /// Judges what servers in slow start receive. They do not fail under overload, so that each window is observed to
+    /// its end.
+    pub fn with_slow_start_judge(mut self) -> World {
+        self.servers.iter_mut().for_each(|server| server.model.disable_overload_failure());
+        self.slow_start = Some(slow_start::Judge::new(slow_start::Terms::of(&self.scenario.nodes)));
+        self
+    }
+
+    /// Lists the speed of each server as its size. Without this all servers are listed as equal.
+    pub fn with_listed_sizes(mut self) -> World {
+        for server in 0..self.servers.len() {
+            self.servers[server].weight = self.servers[server].model.parameters().speed;
+            self.list_initially(server);
+        }
+        self
+    }
+
+    /// Enters a server into the list that limiters start with.
+    fn list_initially(&mut self, server: usize) {
+        let entry = self.servers[server].entry();
+        self.limiters.iter_mut().for_each(|limiter| limiter.known_servers[server] = entry.clone());
+    }
+
+    /// Keeps servers out of the fleet until they join it, cold, at a time of the scenario.
+    pub fn with_joining_servers(mut self, servers: &[usize], at_s: f64) -> World {
+        for server in servers.iter().copied() {
+            self.servers[server].model.exit(self.now);
+            self.servers[server].condition = Condition::Gone;
+            self.list_initially(server);
+            self.schedule(BEGIN_MS + at_s * 1000.0, Event::ServerStarts { server });
+        }
+        self
+    }
+
     /// Runs the scenario to its end. `progress` is called after each second of the scenario.
     pub fn play(mut self, mut progress: impl FnMut(f64)) -> Run {
         let last = BEGIN_MS + self.scenario.seconds * 1000.0;
@@ -381,7 +424,8 @@
         let (mut figures, seconds) =
             self.recorder.finish(self.seed, &broken, self.oracle.violation_count(), self.events);
         (figures.added, figures.control) = self.account.finish();
-        Run { figures, seconds, decision_time: self.decision_time }
+        let slow_start = self.slow_start.map(slow_start::Judge::finish);
+        Run { figures, seconds, decision_time: self.decision_time, slow_start }
     }
 
     fn schedule(&mut self, at: Millis, event: Event) {
@@ -453,6 +497,7 @@
             Event::FaultEnds { fault } => self.end_fault(fault),
             Event::FaultStep { fault, on } => self.step_fault(fault, on),
             Event::ServerExits { server } => self.exit_server(server),
+            Event::ServerStarts { server } => self.start_server(server),
             Event::LimiterCloses { limiter, epoch, down_ms } => self.close_limiter(limiter, epoch, down_ms),
             Event::LimiterKilled { limiter, epoch, down_ms } => {
                 if self.limiters[limiter].epoch == epoch {
@@ -494,7 +539,7 @@
             zone: self.zone,
             cell: 0,
             condition: self.condition,
-            weight: 1.0,
+            weight: self.weight,
             started: self.model.started(),
         }
     }
--- a/crates/rehearsal/src/world/servers.rs
+++ b/crates/rehearsal/src/world/servers.rs
@@ -47,6 +47,9 @@
             return;
         }
         let lost = self.servers[server].model.exit(self.now);
+        if let Some(judge) = &mut self.slow_start {
+            judge.server_exited(server);
+        }
         self.servers[server].generation += 1;
         let silent = self.servers[server].silent;
         for limiter in &mut self.limiters {
@@ -72,6 +75,11 @@
             return;
         }
         self.servers[server].model.start(self.now);
+        let capacity = self.servers[server].model.parameters().capacity();
+        let capacity_per_s = capacity * 1000.0 / self.scenario.mean(|class| class.work_ms);
+        if let Some(judge) = &mut self.slow_start {
+            judge.server_started(self.now, server, capacity_per_s);
+        }
         self.publish_condition(server, Condition::Serving);
     }
 
--- a/crates/rehearsal/tests/planted.rs
+++ b/crates/rehearsal/tests/planted.rs
@@ -2,9 +2,12 @@
 //! that shows it can be reduced. `cargo test -p marldeal-rehearsal --features planted --test planted`.
 #![cfg(feature = "planted")]
 
+use std::sync::{Mutex, PoisonError};
+
 use fawnhill::planted::{activate, Fault};
 use marldeal_rehearsal::rules::Rule;
 use marldeal_rehearsal::scenario::{Repeats, Scenario};
+use marldeal_rehearsal::slow_start::{play, small_trials, Returning, Trial, Verdict};
 use marldeal_rehearsal::{library, shrink};
 
 /// Number of seeds within which each fault has to be detected.
@@ -39,9 +42,32 @@
     }
 }
 
-/// A single test, since a planted fault affects the whole process.
+/// A planted fault affects the whole process, so that one test at a time may run.
+static ACTIVE_FAULT: Mutex<()> = Mutex::new(());
+
+/// The judge of slow starts finds that cold servers count as warm, before few limiters and before many, where no warm
+/// server is left. Beside warm servers their latency protects cold ones.
+#[test]
+fn a_cold_server_that_counts_as_warm_is_found_by_the_judge() {
+    let _active = ACTIVE_FAULT.lock().unwrap_or_else(PoisonError::into_inner);
+    let mut trials: Vec<Trial> = small_trials();
+    trials.retain(|trial| trial.returning == Returning::All);
+    for (fault, expected) in [(None, Verdict::Passed), (Some(Fault::Cold), Verdict::Breached)] {
+        activate(fault);
+        let results = play(&trials, &[1, 2, 3], |_| {});
+        activate(None);
+        for result in results.expect("valid scenarios") {
+            let found = &result.findings;
+            let (name, ratio) = (result.trial.name(), found.worst_ratio());
+            println!("{fault:?}, {name}: worst ratio {ratio:.3}, {} breaches", found.breaches.len());
+            assert_eq!(found.verdict(), expected, "{fault:?}, {name}: worst ratio {ratio:.3}");
+        }
+    }
+}
+
 #[test]
 fn each_planted_fault_is_found_and_shrunk() {
+    let _active = ACTIVE_FAULT.lock().unwrap_or_else(PoisonError::into_inner);
     for fault in [Fault::Answer, Fault::Effect, Fault::Drain, Fault::Cold, Fault::Ceiling] {
         let (scenario, rule) = scenario(fault);
         activate(None);
--- a/marldeal/src/command/mod.rs
+++ b/marldeal/src/command/mod.rs
@@ -6,3 +6,4 @@
 pub mod rehearse;
 pub mod scale;
 mod scenarios;
+mod slow_start;
--- a/marldeal/src/command/rehearse.rs
+++ b/marldeal/src/command/rehearse.rs
@@ -13,6 +13,7 @@
 
 use super::scale;
 use super::scenarios::{bar, print, read};
+use super::slow_start;
 
 /// Selects one figure of a run.
 type Select = fn(&Figures) -> f64;
@@ -108,6 +109,20 @@
         #[command(flatten)]
         seeds: Seeds,
     },
+    /// Judges what all limiters together send to servers in slow start, from 1 to 300 limiters.
+    SlowStart {
+        /// Plays only the few scenarios that the tests play.
+        #[arg(long)]
+        small: bool,
+        /// Plays only scenarios with this number of limiters.
+        #[arg(long)]
+        limiters: Option<u32>,
+        /// Prints the senders of the worst window of each scenario.
+        #[arg(long)]
+        senders: bool,
+        #[command(flatten)]
+        seeds: Seeds,
+    },
     /// Simulates tiers of increasing size and prints how each figure grows.
     Scale {
         /// Numbers of limiters, separated by commas.
@@ -185,6 +200,9 @@
             }
             plan(&scenario, Goal { score, nodes: [least, most] }, &seeds.all())
         }
+        (Some(Command::SlowStart { small, limiters, senders, seeds }), _) => {
+            slow_start::run(small, limiters, senders, &seeds.all())
+        }
         (
             Some(Command::Scale {
                 limiters,
