--- a/crates/rehearsal/src/slow_start/trials.rs
+++ b/crates/rehearsal/src/slow_start/trials.rs
@@ -217,7 +217,11 @@
         returning,
         condition,
     };
-    small.map(trial).to_vec()
+    let mixed = |limiters, capacity_per_s| Trial {
+        sizes: Sizes::Mixed,
+        ..trial((limiters, capacity_per_s, Returning::All, Condition::Burst))
+    };
+    small.map(trial).into_iter().chain([mixed(1, 100.0), mixed(3, 25.0)]).collect()
 }
 
 impl Trial {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -958,6 +958,10 @@
             s.entry = e.clone();
         }
         self.server_order = self.servers.keys().cloned().collect();
+        let serving = self.servers.values().filter(|s| s.entry.condition == Condition::Serving);
+        // Stepwise, so that the mean of equal weights is exactly their value.
+        self.mean_weight =
+            serving.zip(1_u32..).fold(1.0, |mean, (s, n)| mean + (s.weight() - mean) / f64::from(n));
         self.send_held(out);
     }
 
@@ -990,6 +994,7 @@
             rng,
             now,
             attempts_per_server,
+            mean_weight,
             typical_latency,
             ..
         } = self;
@@ -1005,7 +1010,7 @@
         for at in (start..start + choices).chain(others).map(|at| planted::count_check(at % all)) {
             let id = &server_order[at];
             let Some(s) = servers.get_mut(id) else { continue };
-            if !s.accepts(*now, *attempts_per_server, own(at), settings)
+            if !s.accepts(*now, *attempts_per_server, *mean_weight, own(at), settings)
                 || !allowed_by_key_group(request, s, settings)
             {
                 continue;
@@ -1032,11 +1037,16 @@
         (self.latency * trust + typical * TRUSTED_ANSWERS) / (trust + TRUSTED_ANSWERS)
     }
 
+    /// Size relative to other servers.
+    fn weight(&self) -> f64 {
+        self.entry.weight.max(MIN_WEIGHT)
+    }
+
     /// Expected time of one more request at this server.
     fn expected_ms(&self, now: Millis, typical: Millis, zone: u32) -> f64 {
         let latency = self.latency(now, typical).max(1.0);
         let cross = if self.entry.zone == zone { 1.0 } else { CROSS_ZONE_FACTOR };
-        let load = f64::from(self.outstanding + 1) / self.entry.weight.max(MIN_WEIGHT);
+        let load = f64::from(self.outstanding + 1) / self.weight();
         load * latency * cross * (1.0 + 4.0 * self.errors)
     }
 
@@ -1089,7 +1099,7 @@
 
     /// Whether a new request may be sent: the server serves, is not full, and a cold server's share is not used
     /// up.
-    fn accepts(&mut self, now: Millis, rate: f64, own: bool, settings: &Settings) -> bool {
+    fn accepts(&mut self, now: Millis, rate: f64, mean_weight: f64, own: bool, settings: &Settings) -> bool {
         let serves = self.entry.condition == Condition::Serving || planted::is_active(Fault::Drain);
         if !serves || now < self.full_until || self.is_silent() {
             return false;
@@ -1100,10 +1110,11 @@
             self.cold_since = None;
             return true;
         }
-        // Rate of a warm server times the capacity reached so far, and up to twice that: warm servers are
+        // Rate of a warm server of this size times the capacity reached so far, and up to twice that: warm servers are
         // usually half busy, and cold ones take the load while a fleet is replaced. Half of the multiple is
         // left for heavier requests.
         let share = settings.cold_share + (1.0 - settings.cold_share) * age.max(0.0);
+        let rate = rate * (self.weight() / mean_weight);
         self.cold_bucket.fill(now, rate * share * (settings.fall_multiple / 2.0).min(2.0), 1.0);
         own && self.cold_bucket.level >= 1.0
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -121,6 +121,8 @@
     pub(crate) attempt_demand: DecayingSum,
     /// Attempts per second that this limiter has for each server when all are up.
     pub(crate) attempts_per_server: f64,
+    /// Mean weight of the serving servers.
+    pub(crate) mean_weight: f64,
     /// Number of servers that served recently.
     pub(crate) recent_servers: f64,
     /// Typical latency of all servers.
@@ -196,6 +198,7 @@
             lists_received: 0,
             attempt_demand: DecayingSum::new(now, attempt_rate_ms),
             attempts_per_server: 0.0,
+            mean_weight: 1.0,
             recent_servers: 0.0,
             typical_latency: 0.0,
             recent_units: VecDeque::new(),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -242,6 +242,37 @@
     assert!((1..=39).contains(&attempts), "{attempts} attempts");
 }
 
+/// Guards against an overload of a small server in slow start: it must not get as much as a large one.
+#[test]
+fn servers_in_slow_start_get_their_share_by_size() {
+    let mut limiter = SimulatedLimiter::new(settings(0), 2);
+    let started = limiter.now + 5000.0;
+    let mut attempts = [0, 0];
+    for id in 0..700 {
+        if id == 500 {
+            let sized = |n, weight| ServerEntry { started, weight, ..server_entry(n) };
+            limiter.update_servers(false, vec![sized(0, 0.2), sized(1, 1.8)]);
+            attempts = [0, 0];
+        }
+        let mut actions = limiter.submit(request(id, SAFE, UNLIMITED));
+        actions.extend(limiter.advance(10.0));
+        for action in actions {
+            let Action::Send { id, server, .. } = action else { continue };
+            attempts[usize::from(server == server_id(1))] += 1;
+            limiter.end_attempt(id, 0, Outcome::Ok, 10.0);
+        }
+    }
+    // 100 requests a second over two servers for 2 s: after slow start equal ones would get 100 each. In slow start
+    // they would get half of `fall_multiple` (three) times a fifth to 36% of that, 42, and one that was saved.
+    // These get 0.2 and 1.8 times as much.
+    let [small, large] = attempts;
+    assert!((1..=9).contains(&small), "{small} attempts at the small server");
+    assert!(
+        (4 * small..=77).contains(&large),
+        "{large} attempts at the large server, {small} at the small one"
+    );
+}
+
 #[test]
 fn limiter_without_replies_spends_only_its_equal_share_of_a_ceiling() {
     let mut limiter = SimulatedLimiter::new(settings(0), 5);
