--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -19,6 +19,7 @@
 #![warn(missing_docs)]
 
 pub mod account;
+pub mod causes;
 pub mod clients;
 pub mod draws;
 pub mod figures;
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -63,6 +63,11 @@
         sufficient
     }
 
+    /// Whether the bucket holds enough tokens.
+    pub fn holds(&self, now: Millis, rate: f64, capacity: f64, units: f64) -> bool {
+        self.level_at(now, rate, capacity) + 1e-9 >= units
+    }
+
     /// Takes tokens whether or not the bucket holds enough, and returns the balance, which may be negative.
     pub fn withdraw(&mut self, now: Millis, rate: f64, capacity: f64, units: f64) -> f64 {
         *self = TokenBucket { level: self.level_at(now, rate, capacity) - units, at: now };
--- a/crates/rehearsal/src/slow_start/mod.rs
+++ b/crates/rehearsal/src/slow_start/mod.rs
@@ -280,6 +280,19 @@
         }
     }
 
+    /// Whether a server is cold now.
+    pub fn is_cold(&self, now: Millis, server: usize) -> bool {
+        self.cold.get(&server).is_some_and(|cold| now - cold.started < self.terms.cold_ms)
+    }
+
+    /// Whether a cold server may receive one more request of mean work within its bound.
+    pub fn has_room(&self, now: Millis, server: usize) -> bool {
+        let Some(cold) = self.cold.get(&server).filter(|_| self.is_cold(now, server)) else { return false };
+        let recent = cold.recent.iter().filter(|arrival| now - arrival.at <= self.terms.fall_ms);
+        let received: f64 = recent.map(|arrival| arrival.requests).sum();
+        received + 1.0 <= max_requests(self.terms.allowed(cold.capacity_per_s, now - cold.started))
+    }
+
     /// Ends the observation.
     pub fn finish(mut self) -> Findings {
         let mut servers: Vec<usize> = self.cold.keys().copied().collect();
--- a/crates/rehearsal/src/slow_start/tests.rs
+++ b/crates/rehearsal/src/slow_start/tests.rs
@@ -86,3 +86,17 @@
     let found = judge.finish();
     assert_eq!((found.starts, found.cases, found.requests), (2, 0, 0));
 }
+
+/// 63 requests are within the bound of 63.9.
+#[test]
+fn room_is_left_until_the_bound_and_while_the_server_is_cold() {
+    let mut judge = Judge::new(TERMS);
+    judge.server_started(START, 0, CAPACITY_PER_S);
+    assert!(judge.has_room(START, 0) && !judge.has_room(START, 1));
+    (0..62).for_each(|_| judge.request_arrived(START, 0, 0, true, 1.0));
+    assert!(judge.has_room(START, 0));
+    judge.request_arrived(START, 0, 0, true, 1.0);
+    assert!(!judge.has_room(START, 0));
+    assert!(judge.has_room(START + 2001.0, 0), "the window has passed");
+    assert!(!judge.has_room(START + 14_000.0, 0), "warm");
+}
--- a/crates/rehearsal/src/world/clients.rs
+++ b/crates/rehearsal/src/world/clients.rs
@@ -53,8 +53,8 @@
     pub(super) fn send_try(&mut self, sent: Try) {
         let customer = &self.clients.customers()[sent.customer];
         let (plan, class) = (customer.plan, &self.scenario.classes[sent.class]);
-        if sent.earlier_tries == 0 {
-            let (rate, burst) = self.scenario.quota(plan);
+        let (rate, burst) = self.scenario.quota(plan);
+        let inside_quota = if sent.earlier_tries == 0 {
             while self.quota_buckets.len() <= sent.customer {
                 let customer = self.quota_buckets.len();
                 self.quota_buckets.push(TokenBucket::full(self.now, f64::INFINITY));
@@ -65,10 +65,13 @@
             let inside =
                 regular && self.quota_buckets[sent.customer].take(self.now, rate, burst, class.units);
             self.recorder.request_made(self.now, plan, sent.class, inside);
-        }
+            inside
+        } else {
+            self.quota_buckets[sent.customer].holds(self.now, rate, burst, class.units)
+        };
         let at = self.now + draws::between(&mut self.rng, CLIENT_LATENCY_MS);
         let Try { id, job, customer, class, limiter, work, .. } = sent;
-        self.tries.insert(id, SentTry { job, customer, class, limiter, work });
+        self.tries.insert(id, SentTry { job, customer, class, limiter, work, inside_quota });
         self.schedule(at, Event::TryArrives(Box::new(sent)));
     }
 
--- a/crates/rehearsal/src/world/limiters.rs
+++ b/crates/rehearsal/src/world/limiters.rs
@@ -81,12 +81,37 @@
     /// Sends a final answer to the client of a try.
     pub(super) fn send_answer(&mut self, limiter: usize, try_id: u64, answer: Answer) {
         let excused = self.limiters[limiter].excused(self.now);
-        self.tries.remove(&try_id);
+        let sent = self.tries.remove(&try_id);
+        if let (Answer::Refused { .. }, Some(sent)) = (&answer, sent) {
+            self.count_refusal(sent.inside_quota);
+        }
         self.oracle.try_answered(self.now, try_id, answer, excused);
         let at = self.now + draws::between(&mut self.rng, CLIENT_LATENCY_MS);
         self.schedule(at, Event::AnswerArrives { try_id, result: TryResult::Answer(answer) });
     }
 
+    /// Counts a refusal with what the servers are doing now, if that was asked for.
+    fn count_refusal(&mut self, inside_quota: bool) {
+        let Some(mut causes) = self.causes else { return };
+        let is_cold =
+            |server: usize| self.slow_start.as_ref().is_some_and(|judge| judge.is_cold(self.now, server));
+        let has_room =
+            |server: usize| self.slow_start.as_ref().is_some_and(|judge| judge.has_room(self.now, server));
+        let running = || (0..self.servers.len()).filter(|server| self.servers[*server].model.running());
+        let is_full = |server: usize| {
+            let model = &self.servers[server].model;
+            model.held() >= model.parameters().slots
+        };
+        let warm = || running().filter(|server| !is_cold(*server));
+        let state = FleetState {
+            cold_room: running().any(has_room),
+            warm_full: warm().next().is_some() && warm().all(is_full),
+            idle: running().any(|server| self.servers[server].model.held() == 0),
+        };
+        causes.count(!inside_quota, state);
+        self.causes = Some(causes);
+    }
+
     /// Sends a message from a limiter to one peer, or to all.
     pub(super) fn send_message(&mut self, from: usize, to: Option<u32>, body: &[u8]) {
         let all = 0..self.limiters.len();
--- a/crates/rehearsal/src/world/mod.rs
+++ b/crates/rehearsal/src/world/mod.rs
@@ -24,6 +24,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::account::Account;
+use crate::causes::{Causes, FleetState};
 use crate::clients::{ClientAction, Clients, Try, TryResult};
 use crate::draws::{self, Stream};
 use crate::figures::{Figures, Recorder, Second};
@@ -183,6 +184,8 @@
     class: usize,
     limiter: usize,
     work: Millis,
+    /// A single limiter with the customer's whole quota would have sent it on.
+    inside_quota: bool,
 }
 
 /// One run of a scenario.
@@ -222,6 +225,7 @@
     completions: Vec<Completion>,
     output_hook: Option<OutputHook>,
     slow_start: Option<slow_start::Judge>,
+    causes: Option<Causes>,
     /// Time that the limiters took for their decisions, if measured.
     decision_time: Option<std::time::Duration>,
 }
@@ -240,6 +244,8 @@
     pub decision_time: Option<std::time::Duration>,
     /// What cold servers received; `None` unless [`World::with_slow_start_judge`] was called.
     pub slow_start: Option<slow_start::Findings>,
+    /// Causes of refusals; `None` unless [`World::with_causes`] was called.
+    pub causes: Option<Causes>,
 }
 
 impl World {
@@ -325,6 +331,7 @@
             completions: Vec::new(),
             output_hook: None,
             slow_start: None,
+            causes: None,
             decision_time: None,
             scenario: scenario.clone(),
         };
@@ -371,6 +378,13 @@
         self
     }
 
+    /// Counts what servers were doing when limiters refused requests. Unused room of cold servers is only known with
+    /// [`World::with_slow_start_judge`].
+    pub fn with_causes(mut self) -> World {
+        self.causes = Some(Causes::default());
+        self
+    }
+
     /// Lists the speed of each server as its size. Without this all servers are listed as equal.
     pub fn with_listed_sizes(mut self) -> World {
         for server in 0..self.servers.len() {
@@ -425,7 +439,7 @@
             self.recorder.finish(self.seed, &broken, self.oracle.violation_count(), self.events);
         (figures.added, figures.control) = self.account.finish();
         let slow_start = self.slow_start.map(slow_start::Judge::finish);
-        Run { figures, seconds, decision_time: self.decision_time, slow_start }
+        Run { figures, seconds, decision_time: self.decision_time, slow_start, causes: self.causes }
     }
 
     fn schedule(&mut self, at: Millis, event: Event) {
--- a/marldeal/src/command/rehearse.rs
+++ b/marldeal/src/command/rehearse.rs
@@ -9,7 +9,7 @@
 use marldeal_rehearsal::scenario::Scenario;
 use marldeal_rehearsal::search::{self, Bounds};
 use marldeal_rehearsal::world::World;
-use marldeal_rehearsal::{library, report, shrink, size, trials};
+use marldeal_rehearsal::{causes, library, report, shrink, size, trials};
 
 use super::scale;
 use super::scenarios::{bar, print, read};
@@ -123,6 +123,11 @@
         #[command(flatten)]
         seeds: Seeds,
     },
+    /// Counts what servers were doing when requests were refused, while servers join and come back during a burst.
+    Causes {
+        #[command(flatten)]
+        seeds: Seeds,
+    },
     /// Simulates tiers of increasing size and prints how each figure grows.
     Scale {
         /// Numbers of limiters, separated by commas.
@@ -203,6 +208,7 @@
         (Some(Command::SlowStart { small, limiters, senders, seeds }), _) => {
             slow_start::run(small, limiters, senders, &seeds.all())
         }
+        (Some(Command::Causes { seeds }), _) => count_causes(&seeds.all()),
         (
             Some(Command::Scale {
                 limiters,
@@ -405,6 +411,22 @@
     )
 }
 
+/// Prints, for each seed, what servers were doing when requests of a throng were refused.
+fn count_causes(seeds: &[u64]) -> Result<(), String> {
+    println!(
+        "{:>6}{:>9}{:>14}{:>11}{:>11}{:>8}{:>8}",
+        "seed", "refused", "beyond quota", "cold room", "warm full", "idle", "none"
+    );
+    for seed in seeds {
+        let c = causes::play_throng(*seed)?;
+        println!(
+            "{seed:>6}{:>9}{:>14}{:>11}{:>11}{:>8}{:>8}",
+            c.refused, c.beyond_quota, c.cold_room, c.warm_full, c.idle, c.unexplained
+        );
+    }
+    Ok(())
+}
+
 /// Prints the figures of one run.
 fn print_one(scenario: &Scenario, f: &Figures) {
     println!("{}, seed {}: score {:.4}", scenario.name, f.seed, f.score);
