--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -19,6 +19,7 @@
 #![warn(missing_docs)]
 
 pub mod account;
+pub mod causes;
 pub mod clients;
 pub mod draws;
 pub mod figures;
@@ -33,5 +34,6 @@
 pub mod server_model;
 pub mod shrink;
 pub mod size;
+pub mod slow_start;
 pub mod trials;
 pub mod world;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -962,6 +962,10 @@
                 }
             });
         }
+        let serving = self.servers.iter().filter(|s| s.is_listed_as_serving());
+        // Stepwise, so that the mean of equal weights is exactly their value.
+        self.mean_weight =
+            serving.zip(1_u32..).fold(1.0, |mean, (s, n)| mean + (s.weight() - mean) / f64::from(n));
         self.send_held(out);
     }
 
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -135,8 +135,17 @@
             return self.choose_by_scan(id);
         }
         let order = self.check_order();
-        let Limiter { requests, servers, settings, rng, now, attempts_per_server, typical_latency, .. } =
-            self;
+        let Limiter {
+            requests,
+            servers,
+            settings,
+            rng,
+            now,
+            attempts_per_server,
+            mean_weight,
+            typical_latency,
+            ..
+        } = self;
         let (request, now, typical) = (requests.get(&id)?, *now, *typical_latency);
         servers.advance(now);
         let scope = scope_of_key_group(request, settings);
@@ -148,7 +157,7 @@
         for (at, is_cold) in order.ranges().flat_map(|range| merged(&candidates.open, cold, range)) {
             let s = &mut list[planted::count_check(at)];
             if is_cold {
-                let accepts = s.accepts(now, *attempts_per_server, order.is_own(at), settings);
+                let accepts = s.accepts(now, *attempts_per_server, *mean_weight, order.is_own(at), settings);
                 if s.cold_since.is_none() {
                     warmed.push(at);
                 }
@@ -183,8 +192,17 @@
     /// The same choice by a check of every server, for tests and planted faults.
     fn choose_by_scan(&mut self, id: RequestId) -> Option<ServerId> {
         let order = self.check_order();
-        let Limiter { requests, servers, settings, rng, now, attempts_per_server, typical_latency, .. } =
-            self;
+        let Limiter {
+            requests,
+            servers,
+            settings,
+            rng,
+            now,
+            attempts_per_server,
+            mean_weight,
+            typical_latency,
+            ..
+        } = self;
         let request = requests.get(&id)?;
         let list = servers.selectable(Scope::All).list;
         let (mut best, mut considered): (Option<(f64, usize)>, usize) = (None, 0);
@@ -194,7 +212,7 @@
         for at in own.chain(others).map(|at| planted::count_check(at % order.all)) {
             let s = &mut list[at];
             let was_cold = s.cold_since.is_some();
-            let accepts = s.accepts(*now, *attempts_per_server, order.is_own(at), settings);
+            let accepts = s.accepts(*now, *attempts_per_server, *mean_weight, order.is_own(at), settings);
             if was_cold && s.cold_since.is_none() {
                 warmed.push(at);
             }
--- a/src/server_health.rs
+++ b/src/server_health.rs
@@ -87,6 +87,11 @@
         (self.latency * trust + typical * TRUSTED_ANSWERS) / (trust + TRUSTED_ANSWERS)
     }
 
+    /// Size relative to other servers.
+    pub(crate) fn weight(&self) -> f64 {
+        self.entry.weight.max(MIN_WEIGHT)
+    }
+
     /// Expected time of one more request at this server.
     pub(crate) fn expected_ms(&self, now: Millis, typical: Millis, zone: u32) -> f64 {
         let latency = self.latency(now, typical).max(1.0);
@@ -96,7 +101,7 @@
 
     fn time_factors(&self, zone: u32) -> TimeFactors {
         let cross = if self.entry.zone == zone { 1.0 } else { CROSS_ZONE_FACTOR };
-        let load = f64::from(self.outstanding + 1) / self.entry.weight.max(MIN_WEIGHT);
+        let load = f64::from(self.outstanding + 1) / self.weight();
         let errors = 1.0 + 4.0 * self.errors;
         let [product, load, zone, errors] = [load * cross * errors, load, cross, errors].map(Ordered);
         TimeFactors { product, load, zone, errors }
@@ -189,7 +194,14 @@
 
     /// Whether a new request may be sent: the server serves, is not full, and a cold server's share is not used
     /// up.
-    pub(crate) fn accepts(&mut self, now: Millis, rate: f64, own: bool, settings: &Settings) -> bool {
+    pub(crate) fn accepts(
+        &mut self,
+        now: Millis,
+        rate: f64,
+        mean_weight: f64,
+        own: bool,
+        settings: &Settings,
+    ) -> bool {
         let serves = self.is_listed_as_serving() || planted::is_active(Fault::Drain);
         if !serves || now < self.full_until || self.is_silent() {
             return false;
@@ -200,10 +212,11 @@
             self.cold_since = None;
             return true;
         }
-        // Rate of a warm server times the capacity reached so far, and up to twice that: warm servers are
+        // Rate of a warm server of this size times the capacity reached so far, and up to twice that: warm servers are
         // usually half busy, and cold ones take the load while a fleet is replaced. Half of the multiple is
         // left for heavier requests.
         let share = settings.cold_share + (1.0 - settings.cold_share) * age.max(0.0);
+        let rate = rate * (self.weight() / mean_weight);
         self.cold_bucket.fill(now, rate * share * (settings.fall_multiple / 2.0).min(2.0), 1.0);
         own && self.cold_bucket.level >= 1.0
     }
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -1,5 +1,5 @@
 //! The listed servers, and an index of those that may get a request. The index changes when a server changes,
-//! so that a request need not check every server. The rules that it follows are in `policy.rs`.
+//! so that a request need not check every server. The rules that it follows are in `server_health.rs`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
