--- a/crates/faults/src/environment/mod.rs
+++ b/crates/faults/src/environment/mod.rs
@@ -329,6 +329,7 @@
     let started = {
         let mut state = environment.state.borrow_mut();
         state.started = Instant::now();
+        #[expect(clippy::disallowed_methods, reason = "discovery names start times of servers as Unix time")]
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         state.start_unix_ms = unix.as_secs_f64() * 1000.0;
         for limiter in &mut state.limiters {
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -251,6 +251,7 @@
 }
 
 /// Returns the Unix time in milliseconds.
+#[expect(clippy::disallowed_methods, reason = "discovery names start times of servers as Unix time")]
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/marldeal/src/driver/clock.rs
+++ b/marldeal/src/driver/clock.rs
@@ -29,6 +29,7 @@
 }
 
 impl Clock {
+    #[expect(clippy::disallowed_methods, reason = "the origin of the clock is Unix time")]
     pub(super) fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), wall_start: WallTime::from_unix_millis(unix.as_secs_f64() * 1000.0) }
