--- a/crates/bench/src/outage.rs
+++ b/crates/bench/src/outage.rs
@@ -5,6 +5,7 @@
 
 use fawnhill::{Condition, Outcome, Request, RequestId, ServerEntry};
 use marldeal_engine::{Engine, Input, Output};
+use marldeal_snapshot::moments::{MonotonicTime, WallTime};
 use marldeal_snapshot::{Assessment, SnapshotKind};
 use rand::RngExt;
 
@@ -229,7 +230,8 @@
 
 /// Gives the limiter the state of servers that it knows by experience.
 fn set_server_states(engine: &mut Engine, case: Case, rng: &mut rand::rngs::SmallRng) {
-    let mut state = engine.snapshot(0.0, SnapshotKind::Final).state;
+    let (written_at, wall_time) = (MonotonicTime::from_millis(0.0), WallTime::from_unix_millis(0.0));
+    let mut state = engine.snapshot(0.0, written_at, wall_time, SnapshotKind::Final).state;
     for (_, server) in &mut state.servers {
         if case.starts_ejected() {
             (server.ejected, server.silences) = ((FOREVER_MS, 8000.0), 3);
