--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -30,6 +30,10 @@
     pub slow_us: u32,
     /// Listeners complete a handshake only when the client's first bytes arrive, or after this many seconds.
     pub defer_accept_s: u32,
+    /// The process is held up before it writes to a TCP socket, for [`FailingCalls::hold_ms`], and then not for 0.25 s.
+    pub held_writes: u32,
+    /// How long it is held up, in milliseconds.
+    pub hold_ms: u32,
     /// Number of first calls of `socket` for IPv4 that fail.
     pub first_sockets: u32,
     /// Number of first calls of `bind` that fail.
@@ -52,6 +56,8 @@
             ("SHIM_BROKEN", i64::from(self.broken)),
             ("SHIM_SLOW_US", i64::from(self.slow_us)),
             ("SHIM_DEFER_ACCEPT_S", i64::from(self.defer_accept_s)),
+            ("SHIM_HOLD", i64::from(self.held_writes)),
+            ("SHIM_HOLD_MS", i64::from(self.hold_ms)),
             ("SHIM_SOCKET_FAILS", i64::from(self.first_sockets)),
             ("SHIM_BIND_FAILS", i64::from(self.first_binds)),
             ("SHIM_CLOCK_STEP_MS", self.wall_clock_ms),
