--- a/crates/soak/shim/failing_calls.c
+++ b/crates/soak/shim/failing_calls.c
@@ -8,6 +8,7 @@
  *   SHIM_ACCEPT                         accept fails with ECONNABORTED, ENFILE, ENOBUFS and EMFILE in turn
  *   SHIM_CONNECT                        connect fails with EADDRNOTAVAIL, ENETUNREACH and ENOBUFS in turn
  *   SHIM_BROKEN                         a read fails with ETIMEDOUT or EHOSTUNREACH, once in a connection
+ *   SHIM_HOLD                           the process is held up for SHIM_HOLD_MS before it writes to a TCP socket, and then not for 0.25 s
  * SHIM_SOCKET_FAILS and SHIM_BIND_FAILS  number of first calls that fail (ENFILE, ENOBUFS)
  * SHIM_OPEN_PATH, SHIM_OPEN_WHILE        opening the first path fails (ENFILE) while the second file exists
  * SHIM_CLOCK_STEP_MS                     offset of the wall clock; the monotonic clock is exact
@@ -20,6 +21,7 @@
 #include <stdarg.h>
 #include <stdatomic.h>
 #include <stdint.h>
+#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/epoll.h>
@@ -29,13 +31,14 @@
 #include <unistd.h>
 
 #define MOST_DESCRIPTORS 4096
+#define HOLD_DISTANCE_MS 250
 
 static long variable(const char *name) {
     const char *text = getenv(name);
     return text ? atol(text) : 0;
 }
 
-static long short_read, short_write, interrupted, accept_fails, connect_fails, broken, clock_step_ms;
+static long short_read, short_write, interrupted, accept_fails, connect_fails, broken, clock_step_ms, hold, hold_ms;
 static atomic_long socket_fails, bind_fails;
 static const char *open_path, *open_while;
 static _Atomic uint64_t state;
@@ -50,6 +53,8 @@
     connect_fails = variable("SHIM_CONNECT");
     broken = variable("SHIM_BROKEN");
     clock_step_ms = variable("SHIM_CLOCK_STEP_MS");
+    hold = variable("SHIM_HOLD");
+    hold_ms = variable("SHIM_HOLD_MS");
     socket_fails = variable("SHIM_SOCKET_FAILS");
     bind_fails = variable("SHIM_BIND_FAILS");
     open_path = getenv("SHIM_OPEN_PATH");
@@ -101,9 +106,31 @@
     return real(fd, to, fewer(length, short_read), flags);
 }
 
+static int64_t monotonic_ms(void) {
+    struct timespec now;
+    clock_gettime(CLOCK_MONOTONIC, &now);
+    return (int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000;
+}
+
+/* Holds the calling thread up, as a machine without a free processor would. */
+static void hold_up(void) {
+    static _Atomic int64_t next_ms;
+    int64_t now_ms = monotonic_ms();
+    if (hold == 0 || now_ms < next_ms || !chance(hold)) return;
+    next_ms = now_ms + hold_ms + HOLD_DISTANCE_MS;
+    struct timespec wait = {hold_ms / 1000, hold_ms % 1000 * 1000000};
+    nanosleep(&wait, NULL);
+    int64_t end_ms = monotonic_ms();
+    if (end_ms - now_ms > hold_ms) {
+        dprintf(STDERR_FILENO, "shim: held up until %lld ms, %lld ms too long\n", (long long)end_ms,
+                (long long)(end_ms - now_ms - hold_ms));
+    }
+}
+
 ssize_t send(int fd, const void *from, size_t length, int flags) {
     REAL(send);
     if (!is_tcp(fd)) return real(fd, from, length, flags);
+    hold_up();
     if (chance(interrupted)) return fail(EINTR);
     return real(fd, from, fewer(length, short_write), flags);
 }
@@ -111,6 +138,7 @@
 ssize_t writev(int fd, const struct iovec *from, int count) {
     REAL(writev);
     if (!is_tcp(fd)) return real(fd, from, count);
+    hold_up();
     if (chance(interrupted)) return fail(EINTR);
     if (count > 0 && from[0].iov_len > 0 && chance(short_write)) {
         struct iovec first = {from[0].iov_base, fewer(from[0].iov_len, 1000)};
--- a/crates/soak/src/judge/tests.rs
+++ b/crates/soak/src/judge/tests.rs
@@ -162,6 +162,20 @@
     assert_eq!(rules(long), [Rule::TimeLeft]);
 }
 
+/// The request of the first attempt has 991 ms left when it arrives, and that of the second 971 ms.
+#[test]
+fn time_left_may_exceed_what_the_client_has_by_150_ms() {
+    let with = |event: usize, begun, left_ms| {
+        let mut all = successful_request(Effect::Safe);
+        all[event].1 = arrived(if event == 2 { 1 } else { 2 }, 1, begun, left_ms);
+        rules(all)
+    };
+    assert_eq!(with(2, 109.0, 1141.0), []);
+    assert_eq!(with(2, 109.0, 1141.1), [Rule::TimeLeft]);
+    assert_eq!(with(4, 129.0, 1121.0), []);
+    assert_eq!(with(4, 129.0, 1121.1), [Rule::TimeLeft], "a second attempt has less time");
+}
+
 #[test]
 fn requests_beyond_a_cold_servers_budget_are_found() {
     let history = |interval_ms: Millis, notified: bool| {
--- a/crates/soak/src/shim.rs
+++ b/crates/soak/src/shim.rs
@@ -24,6 +24,10 @@
     pub connects: u32,
     /// Reads fail with ETIMEDOUT or EHOSTUNREACH.
     pub broken: u32,
+    /// The process is held up before it writes to a TCP socket, for [`FailingCalls::hold_ms`], and then not for 0.25 s.
+    pub held_writes: u32,
+    /// How long it is held up, in milliseconds.
+    pub hold_ms: u32,
     /// Number of first calls of `socket` for IPv4 that fail.
     pub first_sockets: u32,
     /// Number of first calls of `bind` that fail.
@@ -43,6 +47,8 @@
             ("SHIM_ACCEPT", i64::from(self.accepts)),
             ("SHIM_CONNECT", i64::from(self.connects)),
             ("SHIM_BROKEN", i64::from(self.broken)),
+            ("SHIM_HOLD", i64::from(self.held_writes)),
+            ("SHIM_HOLD_MS", i64::from(self.hold_ms)),
             ("SHIM_SOCKET_FAILS", i64::from(self.first_sockets)),
             ("SHIM_BIND_FAILS", i64::from(self.first_binds)),
             ("SHIM_CLOCK_STEP_MS", self.wall_clock_ms),
--- a/marldeal/src/driver.rs
+++ b/marldeal/src/driver.rs
@@ -216,6 +216,11 @@
 /// Longest datagram between limiters, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
+/// How long a request is on its way to the limiter and an attempt on its way to the server, in milliseconds, beyond what the
+/// limiter's clock shows. The time that an attempt names may exceed what the client has left by 0.15 s, and a process
+/// may be held up for all of that before it writes.
+const TIME_ON_THE_WAY_MS: f64 = 10.0;
+
 /// A server list from the configuration counts as current after this time without an update from discovery.
 const DISCOVERY_TIMEOUT_MS: f64 = 2000.0;
 
@@ -281,6 +286,11 @@
         self.clock.now()
     }
 
+    /// The time that an attempt with this deadline names to its server, in milliseconds.
+    pub fn time_left_ms(&self, deadline: f64) -> f64 {
+        deadline - self.now() - TIME_ON_THE_WAY_MS
+    }
+
     /// Whether a request could be served: a server accepts requests, discovery has sent a list or had time to, and
     /// the decision module is ready to admit requests.
     pub fn can_serve(&self) -> bool {
--- a/marldeal/src/driver/proxied.rs
+++ b/marldeal/src/driver/proxied.rs
@@ -17,7 +17,7 @@
     pub verdict: Verdict,
     /// The address of the server for a granted attempt.
     pub server_addr: Option<SocketAddr>,
-    /// Time that the granted attempt may take, in milliseconds.
+    /// Time that the granted attempt names to its server and may take, in milliseconds.
     pub remaining_ms: f64,
 }
 
@@ -80,7 +80,7 @@
                         _ => None,
                     };
                     let server_addr = grant.and_then(|g| addresses.get(&g.server)).copied();
-                    let remaining_ms = grant.map_or(0.0, |g| g.deadline - now);
+                    let remaining_ms = grant.map_or(0.0, |g| self.time_left_ms(g.deadline));
                     // A stream that has closed, or whose queue is full, learns of its end in another way.
                     if let Some(replies) = proxied.streams.get(&stream) {
                         let _ = replies.try_send(ProxyReply { verdict, server_addr, remaining_ms });
--- a/marldeal/src/upstream/servers.rs
+++ b/marldeal/src/upstream/servers.rs
@@ -278,7 +278,7 @@
     job.content.attempt_sent_at.set(Some(now));
     let (id, attempt) = (job.id, job.attempt);
     debug!(event = "sent", request = id, attempt, server = %job.server, "request {id}: attempt {attempt} to {}", job.server);
-    let left_ms = (job.deadline - now).min(job.content.budget_ms);
+    let left_ms = driver.time_left_ms(job.deadline).min(job.content.budget_ms);
     conn.tracker.begin(job);
     let Ok(request) = request(job, addr, left_ms, &conn.tracker) else { return (Outcome::NotSent, None) };
     let ServerConnection { sender, connection, tracker, .. } = &mut conn;
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -216,6 +216,18 @@
         Limiter::with_environment(servers, alter, 1024, None, &|_| environment.clone())
     }
 
+    /// Starts with failing system calls and with extensions, as the text of their file.
+    pub fn with_failing_calls_and_extensions(
+        servers: &[(&str, &Stub, &str)],
+        calls: &FailingCalls,
+        extensions: &str,
+    ) -> Limiter {
+        let environment = shim().environment(calls);
+        Limiter::with_environment(servers, |c| c, 1024, Some(extensions.to_string()), &|_| {
+            environment.clone()
+        })
+    }
+
     /// Starts with a configuration file that cannot be opened while the file `while_exists` exists.
     pub fn with_failing_config_open(servers: &[(&str, &Stub, &str)], while_exists: &Path) -> Limiter {
         Limiter::with_environment(servers, |c| c, 1024, None, &|config| {
