--- a/marldeal/tests/short_transfers.rs
+++ b/marldeal/tests/short_transfers.rs
@@ -30,6 +30,8 @@
     broken: 0,
     slow_us: 0,
     defer_accept_s: 0,
+    held_writes: 0,
+    hold_ms: 0,
     first_sockets: 0,
     first_binds: 0,
     wall_clock_ms: 0,
--- a/marldeal/tests/stubs/mod.rs
+++ b/marldeal/tests/stubs/mod.rs
@@ -261,8 +261,8 @@
         extensions: &str,
     ) -> Limiter {
         let environment = shim().environment(calls);
-        Limiter::with_environment(servers, |c| c, 1024, Some(extensions.to_string()), &|_| {
-            environment.clone()
+        Limiter::with_command(servers, |c| c, 1024, Some(extensions.to_string()), &|command, _| {
+            command.envs(environment.clone());
         })
     }
 
