--- a/crates/lifecycle/src/stalls.rs
+++ b/crates/lifecycle/src/stalls.rs
@@ -19,7 +19,7 @@
 //! assert_eq!(detector.max_queued_ms(5950.0), 4950.0);
 //! // The event loop has turned often enough to read everything that had arrived by then.
 //! let stall_end = detector.backlog_since(5950.0).expect("there is a backlog");
-//! detector.backlog_read(stall_end);
+//! detector.backlog_read(5960.0, stall_end);
 //! assert_eq!(detector.max_queued_ms(6060.0), 0.0);
 //! ```
 
@@ -37,13 +37,14 @@
     started_at: Millis,
     /// When the end of the stall was detected.
     ended_at: Millis,
-    backlog_read: bool,
+    /// When all data that had arrived by its end had been read.
+    backlog_read_at: Option<Millis>,
 }
 
 impl Stall {
-    /// Whether data read now may have arrived during the stall.
-    fn has_backlog(&self, now: Millis) -> bool {
-        !self.backlog_read || now - self.ended_at <= MIN_BACKLOG_MS
+    /// Whether data read at this time may have arrived during the stall.
+    fn has_backlog(&self, at: Millis) -> bool {
+        self.backlog_read_at.is_none_or(|read_at| at <= read_at) || at - self.ended_at <= MIN_BACKLOG_MS
     }
 }
 
@@ -68,7 +69,7 @@
         // The backlog of the stall before may still be unread.
         let earlier = self.last_stall.filter(|stall| stall.has_backlog(heartbeat_at));
         let started_at = earlier.map_or(heartbeat_at, |stall| stall.started_at);
-        self.last_stall = Some(Stall { started_at, ended_at: now, backlog_read: false });
+        self.last_stall = Some(Stall { started_at, ended_at: now, backlog_read_at: None });
         // The same stall must not be detected twice; the next heartbeat follows at once.
         self.last_heartbeat = None;
     }
@@ -82,16 +83,22 @@
     /// The end of the last stall, if its backlog has not been reported as read.
     pub fn backlog_since(&mut self, now: Millis) -> Option<Millis> {
         self.detect(now);
-        self.last_stall.filter(|stall| !stall.backlog_read).map(|stall| stall.ended_at)
+        self.last_stall.filter(|stall| stall.backlog_read_at.is_none()).map(|stall| stall.ended_at)
     }
 
     /// Reports that all data which had arrived by `stall_end` has been read. No effect if there was a stall since.
-    pub fn backlog_read(&mut self, stall_end: Millis) {
+    pub fn backlog_read(&mut self, now: Millis, stall_end: Millis) {
         if let Some(stall) = self.last_stall.as_mut().filter(|stall| stall.ended_at <= stall_end) {
-            stall.backlog_read = true;
+            stall.backlog_read_at.get_or_insert(now);
         }
     }
 
+    /// Whether data that was read at `read_since` or later, until now, may have arrived during a stall.
+    pub fn may_have_queued_since(&mut self, now: Millis, read_since: Millis) -> bool {
+        self.detect(now);
+        self.last_stall.is_some_and(|stall| stall.has_backlog(read_since))
+    }
+
     /// Longest time that data read now may have been waiting to be read.
     pub fn max_queued_ms(&mut self, now: Millis) -> Millis {
         self.detect(now);
--- a/crates/lifecycle/tests/stalls.rs
+++ b/crates/lifecycle/tests/stalls.rs
@@ -5,7 +5,7 @@
 /// Reports the backlog of the last stall as read.
 fn report_backlog_read(detector: &mut StallDetector, now: f64) {
     let stall_end = detector.backlog_since(now).expect("there is a backlog");
-    detector.backlog_read(stall_end);
+    detector.backlog_read(now, stall_end);
 }
 
 #[test]
@@ -36,6 +36,18 @@
     assert_eq!(detector.backlog_since(3241.0), None);
 }
 
+/// A request whose first bytes were read soon after a stall may have waited, however long its rest takes.
+#[test]
+fn data_read_since_a_stall_may_have_waited() {
+    let mut detector = StallDetector::default();
+    detector.heartbeat(0.0, Some(100.0));
+    detector.heartbeat(3000.0, Some(9000.0));
+    assert!(detector.may_have_queued_since(3301.0, 3300.0), "the backlog has not been read");
+    report_backlog_read(&mut detector, 3301.0);
+    assert!(detector.may_have_queued_since(3400.0, 3301.0), "it was read with the backlog");
+    assert!(!detector.may_have_queued_since(3400.0, 3302.0));
+}
+
 /// A process that was stopped and then gets no CPU time for a moment has stalled twice; data that arrived during the
 /// first stall is still unread after the second.
 #[test]
@@ -48,7 +60,7 @@
     assert_eq!(detector.last_stall_end(3070.0), Some(3070.0));
     assert_eq!(detector.max_queued_ms(3090.0), 3090.0);
     // The report for the first stall comes too late to say anything about the second.
-    detector.backlog_read(first_end);
+    detector.backlog_read(3095.0, first_end);
     assert_eq!(detector.max_queued_ms(3200.0), 3200.0);
     report_backlog_read(&mut detector, 3200.0);
     assert_eq!(detector.max_queued_ms(3301.0), 0.0);
--- a/marldeal/src/driver/permission.rs
+++ b/marldeal/src/driver/permission.rs
@@ -18,8 +18,6 @@
 /// and how often to look.
 const LIST_WAIT_TIMEOUT: Duration = Duration::from_millis(60);
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Bytes that arrived during a stall are read within this time after it, in milliseconds.
-const MAX_READ_DELAY_MS: f64 = 100.0;
 /// Turns of the event loop after which the bytes read from the watch's socket have been handled.
 const LIST_WAIT_YIELDS: usize = 3;
 
@@ -116,10 +114,9 @@
     }
 
     /// Whether bytes that were read since `began` may have waited for this process, because it was stalled then or
-    /// shortly before.
+    /// had not read all that arrived during a stall.
     pub fn stalled_since(&self, began: f64) -> bool {
-        let stall_end = self.stall_detector.borrow_mut().last_stall_end(self.now());
-        stall_end.is_some_and(|stall_end| stall_end + MAX_READ_DELAY_MS >= began)
+        self.stall_detector.borrow_mut().may_have_queued_since(self.now(), began)
     }
 
     /// Asks the kernel whether a client is still connected: the event loop may not have been notified yet, and bytes
--- a/marldeal/src/driver/stall_tracking.rs
+++ b/marldeal/src/driver/stall_tracking.rs
@@ -21,7 +21,7 @@
             for _ in 0..BACKLOG_TURNS {
                 tokio::task::yield_now().await;
             }
-            driver.stall_detector.borrow_mut().backlog_read(stall_end);
+            driver.stall_detector.borrow_mut().backlog_read(driver.now(), stall_end);
         });
     }
 }
