--- /dev/null
+++ b/crates/soak/tests/addresses.rs
@@ -0,0 +1,10 @@
+//! Addresses that are free until a limiter listens on them.
+
+use marldeal_soak::limiter::peer_addresses;
+
+/// Guards against a limiter whose address another run takes before it listens.
+#[test]
+fn runs_of_one_process_share_no_host_for_datagrams() {
+    let [first, second] = [(); 2].map(|()| peer_addresses(3).expect("addresses"));
+    assert!(first.iter().all(|at| second.iter().all(|other| at.ip() != other.ip())), "{first:?} {second:?}");
+}
